--- a/packages/account/src/createStartMeter.ts
+++ b/packages/account/src/createStartMeter.ts
@@ -13,7 +13,7 @@
 }
 
 /** Windows that are told: those that may not be reported yet, and a few more for a new holder of the duty. */
-const keptWindows = 6;
+const retainedWindows = 6;
 
 /** Makes the meter of one process. What it tells only grows, so that its reports may be repeated and disordered. */
 export function createStartMeter({ source, windowMs, trueTime, clock }: StartMeterDeps): StartMeter {
@@ -27,8 +27,8 @@
         counts.set(key, { ...present, requests: present.requests + 1 });
     }
 
-    function dropOld(nowMs: number): void {
-        const oldest = Math.floor(nowMs / windowMs) - keptWindows;
+    function dropExpired(nowMs: number): void {
+        const oldest = Math.floor(nowMs / windowMs) - retainedWindows;
         [...counts].filter(([, { window }]) => window < oldest).forEach(([key]) => counts.delete(key));
     }
 
@@ -44,7 +44,7 @@
         },
         report: () => {
             const nowMs = trueTime.nowMs();
-            dropOld(nowMs);
+            dropExpired(nowMs);
             const oldestOpenMs = Math.min(...open.values());
             const countedUntilMs = Math.min(nowMs, trueTime.atMs(oldestOpenMs));
             return { source, countedUntilMs, counts: [...counts.values()] };
--- a/packages/account/src/starts.test.ts
+++ b/packages/account/src/starts.test.ts
@@ -2,7 +2,7 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { createStartBook } from "./createStartBook.js";
+import { createStartCountRegistry } from "./createStartCountRegistry.js";
 import { createStartMeter } from "./createStartMeter.js";
 
 const windowMs = 5_000;
@@ -13,11 +13,11 @@
     const clock = createFakeClock(1_000_000);
     const trueTime = { nowMs: clock.wallMs, atMs: (ms: number) => ms + clock.wallMs() - clock.monotonicMs() };
     const meterOf = (source: string) => createStartMeter({ source, windowMs, trueTime, clock });
-    return { clock, meterOf, book: createStartBook(clock) };
+    return { clock, meterOf, registry: createStartCountRegistry(clock) };
 }
 
 test("a request counts for the window in which it began, though it ends in a later one", async () => {
-    const { clock, meterOf, book } = createFixture();
+    const { clock, meterOf, registry: book } = createFixture();
     const meter = meterOf("g1");
     await clock.advance(4_900);
     const end = meter.open(hule);
@@ -37,7 +37,7 @@
     const picks = fc.array(fc.nat(40), { maxLength: 60 });
     fc.assert(
         fc.property(fc.array(fc.nat(1), { minLength: 1, maxLength: 20 }), picks, (processes, order) => {
-            const { clock, meterOf, book } = createFixture();
+            const { clock, meterOf, registry: book } = createFixture();
             const meters = [meterOf("g1"), meterOf("g2")];
             const reports = processes.map(index => {
                 const meter = meters[index]!;
@@ -53,22 +53,22 @@
 });
 
 test("a process that fell silent is not waited for, and its counts stay", async () => {
-    const { clock, meterOf, book } = createFixture();
-    const [dead, live] = [meterOf("dead"), meterOf("live")];
-    dead.open(hule)(clock.monotonicMs());
-    book.learn(dead.report());
+    const { clock, meterOf, registry: book } = createFixture();
+    const [silent, reporting] = [meterOf("dead"), meterOf("live")];
+    silent.open(hule)(clock.monotonicMs());
+    book.learn(silent.report());
     await clock.advance(8_000);
-    book.learn(live.report());
+    book.learn(reporting.report());
     expect(book.isCountedUntil(1_005_000)).toBe(true);
     expect([...book.countsOf(200)]).toEqual([["hule", 1]]);
 });
 
 test("a book tells another all that it knows", () => {
-    const { clock, meterOf, book } = createFixture();
+    const { clock, meterOf, registry: book } = createFixture();
     const meter = meterOf("g1");
     meter.open(hule)(clock.monotonicMs());
     book.learn(meter.report());
-    const other = createStartBook(clock);
-    book.tell().forEach(report => other.learn(report));
+    const other = createStartCountRegistry(clock);
+    book.reports().forEach(report => other.learn(report));
     expect([...other.countsOf(200)]).toEqual([["hule", 1]]);
 });
--- a/packages/account/src/summarizeUsage.ts
+++ b/packages/account/src/summarizeUsage.ts
@@ -22,17 +22,17 @@
             jobTotalsMs.set(counter.team, (jobTotalsMs.get(counter.team) ?? 0) + counter.engineMs);
         }
     }
-    const claimedMs = new Map<TeamId, number>();
+    const reportedByOwnersMs = new Map<TeamId, number>();
     for (const job of jobs) {
         const row = rowOf(rows, job.team);
         row.deliveredEngineMs += job.deliveredEngineMs;
         row.discardedEngineMs += job.discardedEngineMs;
-        const claimed = job.deliveredEngineMs + job.discardedEngineMs;
-        claimedMs.set(job.team, (claimedMs.get(job.team) ?? 0) + claimed);
+        const reportedMs = job.deliveredEngineMs + job.discardedEngineMs;
+        reportedByOwnersMs.set(job.team, (reportedByOwnersMs.get(job.team) ?? 0) + reportedMs);
     }
     for (const row of rows.values()) {
-        const rest = (jobTotalsMs.get(row.team) ?? 0) - (claimedMs.get(row.team) ?? 0);
-        row.overheadEngineMs = Math.max(0, rest);
+        const unreportedMs = (jobTotalsMs.get(row.team) ?? 0) - (reportedByOwnersMs.get(row.team) ?? 0);
+        row.overheadEngineMs = Math.max(0, unreportedMs);
     }
     return [...rows.values()].sort((a, b) => (a.team < b.team ? -1 : 1));
 }
--- a/packages/admit/src/KeptAnswer.ts
+++ b/packages/admit/src/CachedAnswer.ts
@@ -1,5 +1,5 @@
 /** A whole answer that can be given again. */
-export interface KeptAnswer {
+export interface CachedAnswer {
     status: number;
     headers: Record<string, string>;
     body: Uint8Array;
--- a/packages/admit/src/KeyRangeDeps.ts
+++ b/packages/admit/src/KeyRangeDeps.ts
@@ -2,7 +2,7 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Lease } from "@auburnarch/types/Lease";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { AnswerMemory } from "./AnswerMemory.js";
+import type { AnswerCacheBudget } from "./AnswerCacheBudget.js";
 import type { KeyRangeGuards } from "./KeyRangeGuards.js";
 
 /** What the owner of a key range is built from. */
@@ -15,7 +15,7 @@
     logger: Logger;
     invariants: Invariants;
     /** Shared by the ranges of an entry. */
-    answers: AnswerMemory;
+    answerBudget: AnswerCacheBudget;
     /** For how long a key may be sent again; 10 min by default. */
     windowMs?: number;
     /** Largest difference between any two clocks, of entries and callers; 2 s by default. */
--- a/packages/admit/src/Quarantine.ts
+++ b/packages/admit/src/Quarantine.ts
@@ -9,11 +9,11 @@
 /** Contents that were in flight when a sampler died, and those refused for it, as one entry knows them. */
 export interface Quarantine {
     /** Takes the suspects of a sampler's report. */
-    noteReport(report: Pick<SamplerReport, "suspects">): void;
+    recordSuspects(report: Pick<SamplerReport, "suspects">): void;
     /** Takes a death that this entry saw itself. */
-    noteDeath(vm: VmId, bootId: string, digests: ContentDigest[]): void;
+    recordCrash(vm: VmId, bootId: string, digests: ContentDigest[]): void;
     /** A clean finish clears a suspect, also one that is refused: a content that kills does so wherever it runs. */
-    noteCleanFinish(digest: ContentDigest): void;
+    recordCleanFinish(digest: ContentDigest): void;
     /** True for convicted content: it is not to run anywhere. */
     isRefused(digest: ContentDigest): boolean;
     /**
--- a/packages/admit/src/admission.test.ts
+++ b/packages/admit/src/admission.test.ts
@@ -43,15 +43,15 @@
 
 test("a team's places are bounded, freed once, and do not touch another team's", () => {
     const limit = createTeamLimit({ maxPerTeam: () => 2 });
-    const leave = limit.enter(lugo);
-    limit.enter(lugo);
-    expect(codeName(() => limit.enter(lugo))).toBe("queueFull");
-    limit.enter(burgos);
+    const leave = limit.acquire(lugo);
+    limit.acquire(lugo);
+    expect(codeName(() => limit.acquire(lugo))).toBe("queueFull");
+    limit.acquire(burgos);
     leave();
     leave();
-    expect(limit.taken(lugo)).toBe(1);
-    limit.enter(lugo);
-    expect(codeName(() => limit.enter(lugo))).toBe("queueFull");
+    expect(limit.inUse(lugo)).toBe(1);
+    limit.acquire(lugo);
+    expect(codeName(() => limit.acquire(lugo))).toBe("queueFull");
 });
 
 test("a key tells its minting time only if it is a UUIDv7", () => {
--- a/packages/admit/src/keepAnswer.ts
+++ b/packages/admit/src/bufferAnswer.ts
@@ -1,11 +1,11 @@
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
-import type { KeptAnswer } from "./KeptAnswer.js";
+import type { CachedAnswer } from "./CachedAnswer.js";
 import { replayAnswer } from "./replayAnswer.js";
 
 /** `kept` is undefined where the body is longer than what may be kept; `answer` is whole in both cases. */
-interface KeepResult {
+interface BufferResult {
     answer: PlainAnswer;
-    kept: KeptAnswer | undefined;
+    cached: CachedAnswer | undefined;
 }
 
 async function* chain(
@@ -22,7 +22,7 @@
  * Reads an answer whole, up to `maxBytes`; beyond that it streams on unread and is not kept. Rejects if the body
  * breaks off while it is read.
  */
-export async function keepAnswer(answer: PlainAnswer, maxBytes: number): Promise<KeepResult> {
+export async function bufferAnswer(answer: PlainAnswer, maxBytes: number): Promise<BufferResult> {
     const { status, headers } = answer;
     const parts: Uint8Array[] = [];
     const rest = answer.body[Symbol.asyncIterator]();
@@ -31,9 +31,9 @@
         parts.push(next.value);
         bytes += next.value.length;
         if (bytes > maxBytes) {
-            return { answer: { status, headers, body: chain(parts, rest) }, kept: undefined };
+            return { answer: { status, headers, body: chain(parts, rest) }, cached: undefined };
         }
     }
     const kept = { status, headers, body: Buffer.concat(parts) };
-    return { answer: replayAnswer(kept), kept };
+    return { answer: replayAnswer(kept), cached: kept };
 }
--- a/packages/admit/src/claimCost.test.ts
+++ b/packages/admit/src/claimCost.test.ts
@@ -11,7 +11,7 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 import { v7 } from "uuid";
 import { expect, test } from "vitest";
-import { createAnswerMemory } from "./createAnswerMemory.js";
+import { createAnswerCacheBudget } from "./createAnswerCacheBudget.js";
 import { createKeyRange } from "./createKeyRange.js";
 import { replayAnswer } from "./replayAnswer.js";
 
@@ -41,7 +41,7 @@
     }
 };
 
-async function measure(requestsPerSecond: number, way: "claim" | "range") {
+async function measure(requestsPerSecond: number, strategy: "claim" | "range") {
     const clock = createFakeClock();
     const random = createRandom(1);
     const { store, control } = createFakeObjectStore({
@@ -57,13 +57,13 @@
         clock,
         logger: silent,
         invariants: createInvariants(silent, () => {}),
-        answers: createAnswerMemory(),
+        answerBudget: createAnswerCacheBudget(),
     });
     const inRange: Admit = async (key, execute) => {
         const outcome = await range.run({ team: "t" as TeamId, key, digest: "d" as ContentDigest }, execute);
         return outcome.kind === "ran";
     };
-    const admit = way === "claim" ? claimInStore(store) : inRange;
+    const admit = strategy === "claim" ? claimInStore(store) : inRange;
     const addedMs: number[] = [];
     const send = async (): Promise<void> => {
         const startedAtMs = clock.monotonicMs();
@@ -83,7 +83,7 @@
     addedMs.sort((a, b) => a - b);
     const p50 = addedMs[Math.floor(addedMs.length / 2)] ?? 0;
     return {
-        way,
+        way: strategy,
         requestsPerSecond,
         admittedPart: Number((addedMs.length / total).toFixed(2)),
         storeWritesPerRequest: Number((control.calls().write / total).toFixed(2)),
--- a/packages/admit/src/countDeadVms.test.ts
+++ b/packages/admit/src/countCrashedVms.test.ts
@@ -2,7 +2,7 @@
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import type { VmId } from "@auburnarch/types/VmId";
 import { expect, test } from "vitest";
-import { countDeadVms } from "./countDeadVms.js";
+import { countCrashedVms } from "./countCrashedVms.js";
 
 /** Each death is written `vm/start`. */
 const recordOf = (digest: string, deaths: string[]): QuarantineRecord => ({
@@ -34,6 +34,6 @@
     }],
 ])("deaths that count: %s", (_name, deaths, expected) => {
     const records = Object.entries(deaths).map(([digest, list]) => recordOf(digest, list));
-    const counted = records.map(record => [record.digest, countDeadVms(record, records, 2)]);
+    const counted = records.map(record => [record.digest, countCrashedVms(record, records, 2)]);
     expect(Object.fromEntries(counted)).toEqual(expected);
 });
--- a/packages/admit/src/countedDeaths.ts
+++ b/packages/admit/src/countedCrashes.ts
@@ -1,7 +1,7 @@
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 
 /** Deaths that still count against a record: those since its latest clean end or lift, until it expires. */
-export function countedDeaths(record: QuarantineRecord, nowMs: number): QuarantineRecord["deaths"] {
+export function countedCrashes(record: QuarantineRecord, nowMs: number): QuarantineRecord["deaths"] {
     if (record.expiresAtMs <= nowMs) {
         return [];
     }
--- a/packages/admit/src/createKeyRange.test.ts
+++ b/packages/admit/src/createKeyRange.test.ts
@@ -14,7 +14,7 @@
 import fc from "fast-check";
 import { v7 } from "uuid";
 import { expect, test } from "vitest";
-import { createAnswerMemory } from "./createAnswerMemory.js";
+import { createAnswerCacheBudget } from "./createAnswerCacheBudget.js";
 import { createKeyRange } from "./createKeyRange.js";
 import { defaultKeyRangeGuards } from "./defaultKeyRangeGuards.js";
 import type { KeyRangeDeps } from "./KeyRangeDeps.js";
@@ -41,7 +41,7 @@
             clock,
             logger: silent,
             invariants,
-            answers: createAnswerMemory(),
+            answerBudget: createAnswerCacheBudget(),
             ...change,
         });
     const executeOf = (key: string) => (): Promise<AttemptOutcome<PlainAnswer>> => {
@@ -64,12 +64,12 @@
         key: string,
         content = digest,
     ): Promise<string> => {
-        let told = "";
+        let described = "";
         void owner.run({ team, key, digest: content }, executeOf(key)).then(describe).then(
-            text => (told = text),
+            text => (described = text),
         );
-        await clock.runUntil(() => told !== "", 10_000);
-        return told;
+        await clock.runUntil(() => described !== "", 10_000);
+        return described;
     };
     const mint = (offsetMs = 0): string => v7({ msecs: clock.wallMs() + offsetMs });
     return { clock, service, invariants, ownerWith, executeOf, send, mint };
@@ -195,8 +195,8 @@
     const key = mint();
     expect(await send(small, key)).toMatch(/^ran \{.*\}$/);
     expect(await send(small, key)).toBe("unknown keyTakenOver");
-    const answers = createAnswerMemory(200);
-    const owner = ownerWith({ answers, maxKeys: 20 });
+    const answers = createAnswerCacheBudget(200);
+    const owner = ownerWith({ answerBudget: answers, maxKeys: 20 });
     const keys = Array.from({ length: 21 }, (_, n) => mint(n));
     const told = [];
     for (const one of keys) {
--- a/packages/admit/src/createKeyRange.ts
+++ b/packages/admit/src/createKeyRange.ts
@@ -4,9 +4,9 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
+import { bufferAnswer } from "./bufferAnswer.js";
+import type { CachedAnswer } from "./CachedAnswer.js";
 import { defaultKeyRangeGuards } from "./defaultKeyRangeGuards.js";
-import { keepAnswer } from "./keepAnswer.js";
-import type { KeptAnswer } from "./KeptAnswer.js";
 import type { KeyedRequest } from "./KeyedRequest.js";
 import type { KeyRange } from "./KeyRange.js";
 import type { KeyRangeDeps } from "./KeyRangeDeps.js";
@@ -19,7 +19,7 @@
 /** What became of a key, and what a repeat of it is told. `lost`: it ran, and its answer is not in memory. */
 type KeyState =
     | { kind: "running"; ended: Promise<Outcome>; }
-    | { kind: "answered"; answer: KeptAnswer; uncount: () => void; }
+    | { kind: "answered"; answer: CachedAnswer; release: () => void; }
     | { kind: "unknown"; code: ResultCode; }
     | { kind: "lost"; };
 
@@ -33,14 +33,14 @@
 const defaultSkewMs = 2_000;
 const defaultMaxKeys = 20_000;
 const defaultMaxAnswerBytes = 4_000_000;
-const fullRetryAfterMs = 1_000;
+const overloadedRetryAfterMs = 1_000;
 
 const notRun = (code: ResultCode, retryAfterMs?: number): Outcome => ({ kind: "notRun", code, retryAfterMs });
 const unknown = (code: ResultCode): Outcome => ({ kind: "unknown", code });
 
 /** Makes the owner's memory of a key range; see `docs/design/04-at-most-once.md`. */
 export function createKeyRange(deps: KeyRangeDeps): KeyRange {
-    const { clock, lease, logger, invariants, answers, range, takenOverAtMs } = deps;
+    const { clock, lease, logger, invariants, answerBudget, range, takenOverAtMs } = deps;
     const { windowMs = defaultWindowMs, skewMs = defaultSkewMs, maxKeys = defaultMaxKeys } = deps;
     const { maxAnswerBytes = defaultMaxAnswerBytes, guards = defaultKeyRangeGuards } = deps;
     /** In the order of acceptance. */
@@ -48,14 +48,14 @@
     let latestWallMs = clock.wallMs();
 
     /** Wall time that never goes back: a clock set back must not make keys acceptable that were forgotten. */
-    function nowMs(): number {
+    function nonDecreasingWallMs(): number {
         latestWallMs = Math.max(latestWallMs, clock.wallMs());
         return latestWallMs;
     }
 
     /** Forgets keys that would be refused for their age, in any case. */
-    function forgetOld(): void {
-        const limitMs = nowMs() - windowMs - skewMs;
+    function evictExpired(): void {
+        const limitMs = nonDecreasingWallMs() - windowMs - skewMs;
         for (const [id, entry] of entries) {
             if (entry.acceptedAtMs >= limitMs) {
                 return;
@@ -63,17 +63,17 @@
             entries.delete(id);
             if (entry.state.kind === "running") {
                 // Still running after the whole window: it goes to the end and is kept on.
-                entry.acceptedAtMs = nowMs();
+                entry.acceptedAtMs = nonDecreasingWallMs();
                 entries.set(id, entry);
             }
             else if (entry.state.kind === "answered") {
-                entry.state.uncount();
+                entry.state.release();
             }
         }
     }
 
     /** Why a key that is not in memory may not run; undefined if it may. */
-    function refuse(key: string): Outcome | undefined {
+    function findRefusal(key: string): Outcome | undefined {
         const mintedAtMs = mintTime(key);
         if (mintedAtMs === undefined) {
             return notRun(resultCodes.keyNotUuidV7);
@@ -81,32 +81,32 @@
         if (!guards.mayAccept(lease.isHeld())) {
             return notRun(resultCodes.notOwner);
         }
-        if (mintedAtMs > nowMs() + skewMs) {
+        if (mintedAtMs > nonDecreasingWallMs() + skewMs) {
             return notRun(resultCodes.keyTooOld);
         }
-        if (!guards.isRemembered(mintedAtMs, nowMs(), windowMs)) {
+        if (!guards.isRemembered(mintedAtMs, nonDecreasingWallMs(), windowMs)) {
             return unknown(resultCodes.keyTooOld);
         }
         if (takenOverAtMs !== undefined && !guards.isAfterTakeover(mintedAtMs, takenOverAtMs, skewMs)) {
             return unknown(resultCodes.keyTakenOver);
         }
-        return entries.size >= maxKeys ? notRun(resultCodes.overloaded, fullRetryAfterMs) : undefined;
+        return entries.size >= maxKeys ? notRun(resultCodes.overloaded, overloadedRetryAfterMs) : undefined;
     }
 
-    function noteAnswer(entry: KeyEntry, kept: KeptAnswer | undefined): void {
-        if (kept === undefined) {
+    function recordAnswer(entry: KeyEntry, cached: CachedAnswer | undefined): void {
+        if (cached === undefined) {
             entry.state = { kind: "lost" };
             return;
         }
         const forget = (): void => {
             entry.state = { kind: "lost" };
         };
-        const state: KeyState = { kind: "answered", answer: kept, uncount: () => {} };
+        const state: KeyState = { kind: "answered", answer: cached, release: () => {} };
         entry.state = state;
-        state.uncount = answers.add(kept.body.length, forget);
+        state.release = answerBudget.add(cached.body.length, forget);
     }
 
-    async function execution(id: string, entry: KeyEntry, execute: Execute): Promise<Outcome> {
+    async function executeAndRecord(id: string, entry: KeyEntry, execute: Execute): Promise<Outcome> {
         const outcome = await execute();
         if (outcome.kind === "notRun") {
             // It truly did not run: the key is free, and the caller may send it again.
@@ -117,19 +117,19 @@
             entry.state = { kind: "unknown", code: outcome.code };
             return outcome;
         }
-        const { answer, kept } = await keepAnswer(outcome.answer, maxAnswerBytes);
-        noteAnswer(entry, kept);
+        const { answer, cached: kept } = await bufferAnswer(outcome.answer, maxAnswerBytes);
+        recordAnswer(entry, kept);
         return { kind: "ran", answer };
     }
 
     function start(id: string, request: KeyedRequest, execute: Execute): Promise<Outcome> {
-        const again = entries.get(id);
-        invariants.check(resultCodes.ranTwice, again === undefined, { range, key: request.key });
+        const existing = entries.get(id);
+        invariants.check(resultCodes.ranTwice, existing === undefined, { range, key: request.key });
         // Until it is known to be running it counts as unknown, so that nothing can slip in between.
         const state: KeyState = { kind: "unknown", code: resultCodes.internal };
-        const entry: KeyEntry = { digest: request.digest, acceptedAtMs: nowMs(), state };
+        const entry: KeyEntry = { digest: request.digest, acceptedAtMs: nonDecreasingWallMs(), state };
         entries.set(id, entry);
-        const ended = execution(id, entry, execute).catch((error: unknown): Outcome => {
+        const ended = executeAndRecord(id, entry, execute).catch((error: unknown): Outcome => {
             entry.state = { kind: "unknown", code: codeOf(error) };
             return unknown(codeOf(error));
         });
@@ -137,7 +137,7 @@
         return ended;
     }
 
-    async function repeat(entry: KeyEntry): Promise<Outcome> {
+    async function answerRepeat(entry: KeyEntry): Promise<Outcome> {
         const { state } = entry;
         switch (state.kind) {
             case "answered":
@@ -148,20 +148,20 @@
                 return unknown(resultCodes.keyTakenOver);
             case "running": {
                 const outcome = await state.ended;
-                return outcome.kind === "notRun" ? outcome : repeat(entry);
+                return outcome.kind === "notRun" ? outcome : answerRepeat(entry);
             }
         }
     }
 
     async function run(request: KeyedRequest, execute: Execute): Promise<Outcome> {
-        forgetOld();
+        evictExpired();
         const id = `${request.team} ${request.key.toLowerCase()}`;
         const found = entries.get(id);
         if (found !== undefined && guards.isSeen(true)) {
             const isSame = found.digest === request.digest;
-            return isSame ? repeat(found) : notRun(resultCodes.keyReused);
+            return isSame ? answerRepeat(found) : notRun(resultCodes.keyReused);
         }
-        const refusal = refuse(request.key);
+        const refusal = findRefusal(request.key);
         if (refusal !== undefined && refusal.kind !== "ran") {
             const { code, kind } = refusal;
             logger.warn("keyRefused", {
--- a/packages/admit/src/createQuarantine.test.ts
+++ b/packages/admit/src/createQuarantine.test.ts
@@ -10,8 +10,8 @@
 import { createQuarantine } from "./createQuarantine.js";
 import { mergeRecords } from "./mergeRecords.js";
 
-const poison = "poison" as ContentDigest;
-const neighbour = "neighbour" as ContentDigest;
+const crashInducing = "poison" as ContentDigest;
+const bystander = "neighbour" as ContentDigest;
 const vmOf = (name: string): VmId => name as VmId;
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 
@@ -33,16 +33,16 @@
     const { entry } = createFixture();
     const first = entry();
     const second = entry();
-    first.noteReport(reportOf("vm-1", "b1", poison, neighbour));
-    first.noteReport(reportOf("vm-1", "b2", poison));
-    expect(first.isRefused(poison)).toBe(false);
+    first.recordSuspects(reportOf("vm-1", "b1", crashInducing, bystander));
+    first.recordSuspects(reportOf("vm-1", "b2", crashInducing));
+    expect(first.isRefused(crashInducing)).toBe(false);
     await first.publish();
-    second.noteDeath(vmOf("vm-2"), "b9", [poison]);
+    second.recordCrash(vmOf("vm-2"), "b9", [crashInducing]);
     const document = await second.publish();
-    expect(second.isRefused(poison)).toBe(true);
+    expect(second.isRefused(crashInducing)).toBe(true);
     expect(first.offer(document!)).toBe(true);
-    expect(first.isRefused(poison)).toBe(true);
-    expect([first, second].some(one => one.isRefused(neighbour))).toBe(false);
+    expect(first.isRefused(crashInducing)).toBe(true);
+    expect([first, second].some(one => one.isRefused(bystander))).toBe(false);
 });
 
 test("one death reported by many, often, is one death, one record and one write", async () => {
@@ -53,7 +53,7 @@
         entries.forEach(one => one.offer(document));
     entries.forEach(one => void one.run(abort.signal, spread));
     for (let second = 0; second < 120; second++) {
-        entries.forEach(one => one.noteReport(reportOf("vm-1", "b1", poison)));
+        entries.forEach(one => one.recordSuspects(reportOf("vm-1", "b1", crashInducing)));
         await clock.advance(1_000);
     }
     abort.abort();
@@ -66,16 +66,16 @@
     const { entry } = createFixture();
     const first = entry();
     const second = entry();
-    first.noteReport(reportOf("vm-1", "b1", poison, neighbour));
-    expect(first.mustRunApart(neighbour, [poison])).toBe(true);
-    expect(first.mustRunApart(neighbour, ["other" as ContentDigest, neighbour])).toBe(false);
+    first.recordSuspects(reportOf("vm-1", "b1", crashInducing, bystander));
+    expect(first.mustRunApart(bystander, [crashInducing])).toBe(true);
+    expect(first.mustRunApart(bystander, ["other" as ContentDigest, bystander])).toBe(false);
     second.offer((await first.publish())!);
-    expect(second.mustRunApart(poison, [neighbour])).toBe(true);
-    second.noteCleanFinish(neighbour);
+    expect(second.mustRunApart(crashInducing, [bystander])).toBe(true);
+    second.recordCleanFinish(bystander);
     first.offer((await second.publish())!);
-    expect(first.mustRunApart(neighbour, [poison])).toBe(false);
-    first.noteReport(reportOf("vm-1", "b1", neighbour));
-    expect(first.isSuspect(neighbour)).toBe(false);
+    expect(first.mustRunApart(bystander, [crashInducing])).toBe(false);
+    first.recordSuspects(reportOf("vm-1", "b1", bystander));
+    expect(first.isSuspect(bystander)).toBe(false);
 });
 
 test("a refused content that finishes cleanly is refused nowhere any more", async () => {
@@ -83,50 +83,50 @@
     const { clock, entry } = createFixture();
     const first = entry();
     const second = entry();
-    first.noteDeath(vmOf("vm-1"), "b1", [neighbour, poison]);
-    first.noteDeath(vmOf("vm-2"), "b2", [neighbour]);
-    expect(first.isRefused(neighbour)).toBe(true);
+    first.recordCrash(vmOf("vm-1"), "b1", [bystander, crashInducing]);
+    first.recordCrash(vmOf("vm-2"), "b2", [bystander]);
+    expect(first.isRefused(bystander)).toBe(true);
     second.offer((await first.publish())!);
     await clock.advance(70);
-    second.noteCleanFinish(neighbour);
-    expect(second.isRefused(neighbour)).toBe(false);
+    second.recordCleanFinish(bystander);
+    expect(second.isRefused(bystander)).toBe(false);
     first.offer((await second.publish())!);
-    expect(first.isRefused(neighbour)).toBe(false);
+    expect(first.isRefused(bystander)).toBe(false);
     // The sampler goes on reporting the deaths that it saw.
-    first.noteReport(reportOf("vm-2", "b2", neighbour));
-    expect(first.isRefused(neighbour)).toBe(false);
+    first.recordSuspects(reportOf("vm-2", "b2", bystander));
+    expect(first.isRefused(bystander)).toBe(false);
 });
 
 test("operators lift a content durably; new deaths count anew; records expire", async () => {
     const { clock, control, entry } = createFixture();
     const quarantine = entry({ expiresAfterMs: 60_000 });
-    quarantine.noteDeath(vmOf("vm-1"), "b1", [poison]);
-    quarantine.noteDeath(vmOf("vm-2"), "b1", [poison]);
+    quarantine.recordCrash(vmOf("vm-1"), "b1", [crashInducing]);
+    quarantine.recordCrash(vmOf("vm-2"), "b1", [crashInducing]);
     await clock.advance(10);
     control.setOutage(true);
-    await expect(quarantine.lift(poison)).rejects.toThrow("storeUnavailable");
+    await expect(quarantine.lift(crashInducing)).rejects.toThrow("storeUnavailable");
     control.setOutage(false);
-    await quarantine.lift(poison);
-    expect(quarantine.isRefused(poison)).toBe(false);
+    await quarantine.lift(crashInducing);
+    expect(quarantine.isRefused(crashInducing)).toBe(false);
     const fresh = entry();
     fresh.offer({ version: control.revision(), value: control.peek("quarantine") });
-    expect(fresh.isRefused(poison)).toBe(false);
+    expect(fresh.isRefused(crashInducing)).toBe(false);
     await clock.advance(10);
-    quarantine.noteDeath(vmOf("vm-1"), "b2", [poison]);
-    quarantine.noteDeath(vmOf("vm-3"), "b1", [poison]);
-    expect(quarantine.isRefused(poison)).toBe(true);
+    quarantine.recordCrash(vmOf("vm-1"), "b2", [crashInducing]);
+    quarantine.recordCrash(vmOf("vm-3"), "b1", [crashInducing]);
+    expect(quarantine.isRefused(crashInducing)).toBe(true);
     await clock.advance(60_001);
-    expect(quarantine.isRefused(poison)).toBe(false);
+    expect(quarantine.isRefused(crashInducing)).toBe(false);
     expect(quarantine.list()).toEqual([]);
 });
 
 test("entries that race lose nothing of each other", async () => {
     const { entry } = createFixture();
     const entries = [entry(), entry(), entry()];
-    entries.forEach((one, n) => one.noteDeath(vmOf(`vm-${n}`), "b", [`d${n}` as ContentDigest]));
+    entries.forEach((one, n) => one.recordCrash(vmOf(`vm-${n}`), "b", [`d${n}` as ContentDigest]));
     await Promise.all(entries.map(one => one.publish()));
     const last = entry();
-    last.noteDeath(vmOf("vm-9"), "b", [poison]);
+    last.recordCrash(vmOf("vm-9"), "b", [crashInducing]);
     const document = await last.publish();
     expect(last.list().map(record => record.digest).sort()).toEqual(["d0", "d1", "d2", "poison"]);
     expect(entries.every(one => one.offer(document!))).toBe(true);
@@ -142,13 +142,13 @@
         logger: silent,
         maxRecords: 10,
     });
-    quarantine.noteDeath(vmOf("vm-1"), "b1", [poison]);
-    quarantine.noteDeath(vmOf("vm-2"), "b1", [poison]);
+    quarantine.recordCrash(vmOf("vm-1"), "b1", [crashInducing]);
+    quarantine.recordCrash(vmOf("vm-2"), "b1", [crashInducing]);
     for (let n = 0; n < 100; n++) {
-        quarantine.noteDeath(vmOf("vm-1"), `b${n}`, [`d${n}` as ContentDigest]);
+        quarantine.recordCrash(vmOf("vm-1"), `b${n}`, [`d${n}` as ContentDigest]);
     }
     expect(quarantine.list().length).toBe(10);
-    expect(quarantine.isRefused(poison)).toBe(true);
+    expect(quarantine.isRefused(crashInducing)).toBe(true);
 });
 
 test("merging is independent of order and repeats", () => {
--- a/packages/admit/src/createQuarantine.ts
+++ b/packages/admit/src/createQuarantine.ts
@@ -4,13 +4,13 @@
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import { createQuarantineRecords } from "./createQuarantineRecords.js";
-import { createStoredList } from "./createStoredList.js";
+import { createQuarantineStore } from "./createQuarantineStore.js";
 import { createTrials } from "./createTrials.js";
-import { groupDeaths } from "./groupDeaths.js";
+import { groupCrashes } from "./groupCrashes.js";
 import { isTrialDue } from "./isTrialDue.js";
 import type { Quarantine } from "./Quarantine.js";
 import type { QuarantineDeps } from "./QuarantineDeps.js";
-import type { ToldDeath } from "./ToldDeath.js";
+import type { ReportedCrash } from "./ReportedCrash.js";
 
 const defaultPublishWithinMs = 1_000;
 /** A death under full load has hundreds of contents; a line names this many and counts the rest. */
@@ -21,8 +21,8 @@
     const { store, clock, random, logger, publishWithinMs = defaultPublishWithinMs } = deps;
     const records = createQuarantineRecords(deps);
     let wake = (): void => {};
-    let announce = (_document: SharedDocument): void => {};
-    const stored = createStoredList({ store, clock, logger, records, onNews: () => wake() });
+    let onPublished = (_document: SharedDocument): void => {};
+    const stored = createQuarantineStore({ store, clock, logger, records, onUnpublished: () => wake() });
     const trials = createTrials({
         clock,
         random,
@@ -33,33 +33,33 @@
         write: async record => {
             const document = await stored.write([record]);
             if (document !== undefined) {
-                announce(document);
+                onPublished(document);
             }
             return document !== undefined;
         },
     });
 
-    function takeNews(offered: QuarantineRecord[]): void {
-        if (records.take(offered)) {
-            stored.markNew();
+    function mergeAndMark(offered: QuarantineRecord[]): void {
+        if (records.merge(offered)) {
+            stored.markUnpublished();
         }
     }
 
     async function lift(digest: ContentDigest): Promise<void> {
-        const forgiven = records.forgiven(digest);
-        if (forgiven === undefined) {
+        const lifted = records.liftedRecord(digest);
+        if (lifted === undefined) {
             throw new ResultError(resultCodes.notFound, "digest");
         }
-        takeNews([forgiven]);
+        mergeAndMark([lifted]);
         await stored.publish();
-        if (stored.isNew()) {
+        if (stored.hasUnpublished()) {
             throw new ResultError(resultCodes.storeUnavailable, "other entries kept writing; send again");
         }
         logger.info("contentLifted", { digest });
     }
 
-    async function waitForNews(signal: AbortSignal): Promise<void> {
-        if (!stored.isNew() && !signal.aborted) {
+    async function waitForUnpublished(signal: AbortSignal): Promise<void> {
+        if (!stored.hasUnpublished() && !signal.aborted) {
             await new Promise<void>(resolve => {
                 wake = resolve;
                 signal.addEventListener("abort", () => resolve(), { once: true });
@@ -69,42 +69,42 @@
     }
 
     async function run(signal: AbortSignal, onDocument: (document: SharedDocument) => void): Promise<void> {
-        announce = onDocument;
+        onPublished = onDocument;
         while (!signal.aborted) {
-            await waitForNews(signal);
+            await waitForUnpublished(signal);
             const document = await stored.publish().catch(() => undefined);
             if (document !== undefined) {
                 onDocument(document);
             }
-            else if (stored.isNew()) {
+            else if (stored.hasUnpublished()) {
                 // The object API is down or busy; what is known here is in force here meanwhile.
                 await clock.sleep(publishWithinMs, signal);
             }
         }
     }
 
-    function noteDeath(death: ToldDeath): void {
-        const news = records.newsOf(death);
-        if (news.length > 0) {
-            const { vm, bootId, contents } = death;
-            const told = news.slice(0, maxLoggedDigests).map(record => record.digest).join();
-            logger.info("deathNoted", { vm, bootId, contents, digests: told });
+    function recordCrash(crash: ReportedCrash): void {
+        const newRecords = records.newRecordsOf(crash);
+        if (newRecords.length > 0) {
+            const { vm, bootId, contents } = crash;
+            const loggedDigests = newRecords.slice(0, maxLoggedDigests).map(record => record.digest).join();
+            logger.info("deathNoted", { vm, bootId, contents, digests: loggedDigests });
         }
-        takeNews(news);
+        mergeAndMark(newRecords);
     }
 
-    function noteCleanFinish(digest: ContentDigest): void {
+    function recordCleanFinish(digest: ContentDigest): void {
         if (!records.isSuspect(digest)) {
             return;
         }
         logger.info("suspectFinishedCleanly", { digest, isRefused: records.isRefused(digest) });
-        takeNews([records.forgiven(digest)!]);
+        mergeAndMark([records.liftedRecord(digest)!]);
     }
 
     return {
-        noteReport: report => groupDeaths(report.suspects).forEach(noteDeath),
-        noteDeath: (vm, bootId, digests) => noteDeath({ vm, bootId, contents: undefined, digests }),
-        noteCleanFinish,
+        recordSuspects: report => groupCrashes(report.suspects).forEach(recordCrash),
+        recordCrash: (vm, bootId, digests) => recordCrash({ vm, bootId, contents: undefined, digests }),
+        recordCleanFinish,
         isRefused: records.isRefused,
         isSuspect: records.isSuspect,
         mustRunApart: (digest, others) =>
--- a/packages/admit/src/createQuarantineRecords.ts
+++ b/packages/admit/src/createQuarantineRecords.ts
@@ -4,17 +4,17 @@
 import { isConvicted } from "./isConvicted.js";
 import { mergeRecords } from "./mergeRecords.js";
 import type { QuarantineDeps } from "./QuarantineDeps.js";
-import type { ToldDeath } from "./ToldDeath.js";
+import type { ReportedCrash } from "./ReportedCrash.js";
 import { trialDueAtMs } from "./trialDueAtMs.js";
 import type { TrialKind } from "./TrialKind.js";
 
 interface QuarantineRecords {
     /** Takes records in; true if any told something new. */
-    take(offered: QuarantineRecord[]): boolean;
+    merge(offered: QuarantineRecord[]): boolean;
     /** A death as records that tell it, without the digests for which it is known. */
-    newsOf(death: ToldDeath): QuarantineRecord[];
+    newRecordsOf(death: ReportedCrash): QuarantineRecord[];
     /** The record with its deaths so far forgiven; undefined where there is none. */
-    forgiven(digest: ContentDigest): QuarantineRecord | undefined;
+    liftedRecord(digest: ContentDigest): QuarantineRecord | undefined;
     isSuspect(digest: ContentDigest): boolean;
     isRefused(digest: ContentDigest): boolean;
     /** Wall time from which a refused content may be tried once more. */
@@ -28,13 +28,13 @@
 
 const defaultExpiresAfterMs = 24 * 3_600_000;
 const defaultMaxRecords = 1_000;
-const maxDeathsPerVm = 16;
+const maxCrashesPerVm = 16;
 
 /** The records of a quarantine in memory, bounded and expiring. */
 export function createQuarantineRecords(deps: QuarantineDeps): QuarantineRecords {
     const { clock, logger, maxRecords = defaultMaxRecords, expiresAfterMs = defaultExpiresAfterMs } = deps;
     const records = new Map<ContentDigest, QuarantineRecord>();
-    const convicts = (record: QuarantineRecord): boolean =>
+    const isConvictedNow = (record: QuarantineRecord): boolean =>
         (deps.isConvicted ?? isConvicted)(record, clock.wallMs(), [...records.values()]);
 
     const isLive = (record: QuarantineRecord): boolean => record.expiresAtMs > clock.wallMs();
@@ -47,22 +47,22 @@
         );
         const surplus = records.size - maxRecords;
         if (surplus > 0) {
-            const suspects = list().filter(record => !convicts(record));
+            const suspects = list().filter(record => !isConvictedNow(record));
             suspects.sort((a, b) => a.expiresAtMs - b.expiresAtMs);
             suspects.slice(0, surplus).forEach(({ digest }) => records.delete(digest));
         }
     }
 
     function logChange(before: QuarantineRecord | undefined, after: QuarantineRecord): void {
-        const was = before !== undefined && convicts(before);
-        const is = convicts(after);
+        const was = before !== undefined && isConvictedNow(before);
+        const is = isConvictedNow(after);
         if (was !== is) {
             const vms = new Set(after.deaths.map(death => death.vm)).size;
             logger.warn(is ? "contentQuarantined" : "contentReleased", { digest: after.digest, vms });
         }
     }
 
-    function takeOne(record: QuarantineRecord): boolean {
+    function mergeOne(record: QuarantineRecord): boolean {
         const known = records.get(record.digest);
         const [merged] = mergeRecords(known === undefined ? [] : [known], [record]);
         if (JSON.stringify(merged) === JSON.stringify(known)) {
@@ -74,36 +74,36 @@
     }
 
     /** A death that adds nothing: told before, or one more on a VM that has many. */
-    function isKnown(digest: ContentDigest, vm: string, bootId: string): boolean {
-        const deaths = (records.get(digest)?.deaths ?? []).filter(death => death.vm === vm);
-        return deaths.length >= maxDeathsPerVm || deaths.some(death => death.bootId === bootId);
+    function isRecorded(digest: ContentDigest, vm: string, bootId: string): boolean {
+        const crashes = (records.get(digest)?.deaths ?? []).filter(death => death.vm === vm);
+        return crashes.length >= maxCrashesPerVm || crashes.some(death => death.bootId === bootId);
     }
 
     return {
-        take: offered => {
-            const changed = offered.filter(isLive).map(takeOne);
+        merge: offered => {
+            const changed = offered.filter(isLive).map(mergeOne);
             prune();
             return changed.includes(true);
         },
-        newsOf: ({ vm, bootId, contents, digests }) => {
+        newRecordsOf: ({ vm, bootId, contents, digests }) => {
             // A repeated report is no news: it must neither prolong a record nor cause a write.
             const atMs = clock.wallMs();
-            const news = digests.filter(digest => !isKnown(digest, vm, bootId)).map(digest => ({
+            const newRecords = digests.filter(digest => !isRecorded(digest, vm, bootId)).map(digest => ({
                 digest,
                 deaths: [{ vm, bootId, atMs, ...(contents === undefined ? {} : { contents }) }],
                 expiresAtMs: atMs + expiresAfterMs,
                 liftedAtMs: undefined,
             }));
-            return news as QuarantineRecord[];
+            return newRecords as QuarantineRecord[];
         },
-        forgiven: digest => {
+        liftedRecord: digest => {
             const record = records.get(digest);
             if (record === undefined) {
                 return undefined;
             }
             // Entries' clocks differ: what one that is ahead has told is forgiven as well.
-            const told = [...record.deaths, ...record.trials ?? []].map(each => each.atMs);
-            const liftedAtMs = Math.max(clock.wallMs(), ...told);
+            const recordedAtMs = [...record.deaths, ...record.trials ?? []].map(each => each.atMs);
+            const liftedAtMs = Math.max(clock.wallMs(), ...recordedAtMs);
             return { ...record, liftedAtMs };
         },
         isSuspect: digest => {
@@ -114,7 +114,7 @@
         },
         isRefused: digest => {
             const record = records.get(digest);
-            return record !== undefined && convicts(record);
+            return record !== undefined && isConvictedNow(record);
         },
         trialDueAtMs: (digest, kind) => {
             const record = records.get(digest);
--- a/packages/admit/src/createStoredList.ts
+++ b/packages/admit/src/createQuarantineStore.ts
@@ -7,20 +7,20 @@
 import { mergeRecords } from "./mergeRecords.js";
 import { parseQuarantine } from "./parseQuarantine.js";
 
-interface StoredListDeps {
+interface QuarantineStoreDeps {
     store: ObjectStore;
     clock: Clock;
     logger: Logger;
-    records: { take(offered: QuarantineRecord[]): boolean; list(): QuarantineRecord[]; };
+    records: { merge(offered: QuarantineRecord[]): boolean; list(): QuarantineRecord[]; };
     /** Called when there is something to write. */
-    onNews: () => void;
+    onUnpublished: () => void;
 }
 
 /** The quarantine list as one object of the object API, which all entries write. */
-interface StoredList {
+interface QuarantineStore {
     /** Whether something known here is not known to be stored. */
-    isNew(): boolean;
-    markNew(): void;
+    hasUnpublished(): boolean;
+    markUnpublished(): void;
     /** Takes the stored list in if its version is higher; true if taken. */
     offer(document: Pick<SharedDocument, "version" | "value">): boolean;
     /** Writes the list with `extra` if nobody else has written meanwhile; else takes in what they wrote. */
@@ -30,24 +30,26 @@
 }
 
 const key = "quarantine";
-const maxTries = 5;
+const maxAttempts = 5;
 const absent = 0 as ObjectVersion;
 
 /** Makes the stored side of the quarantine; a version known here is only replaced by a higher one. */
-export function createStoredList({ store, clock, logger, records, onNews }: StoredListDeps): StoredList {
+export function createQuarantineStore(
+    { store, clock, logger, records, onUnpublished: onNews }: QuarantineStoreDeps,
+): QuarantineStore {
     let version: ObjectVersion = absent;
-    let isNew = false;
+    let hasUnpublished = false;
 
-    function markNew(): void {
-        isNew = true;
+    function markUnpublished(): void {
+        hasUnpublished = true;
         onNews();
     }
 
     /** Takes a stored list; true if it lacks something that is known here. */
-    function takeStored(value: unknown, storedVersion: ObjectVersion): boolean {
+    function mergeStored(value: unknown, storedVersion: ObjectVersion): boolean {
         const stored = parseQuarantine(value) ?? [];
         version = storedVersion;
-        records.take(stored);
+        records.merge(stored);
         const isLive = (record: QuarantineRecord): boolean => record.expiresAtMs > clock.wallMs();
         const present = JSON.stringify(mergeRecords(records.list()));
         return JSON.stringify(mergeRecords(stored.filter(isLive))) !== present;
@@ -55,40 +57,40 @@
 
     async function write(extra: QuarantineRecord[] = []): Promise<SharedDocument | undefined> {
         const value = { records: mergeRecords(records.list(), extra) };
-        isNew = false;
+        hasUnpublished = false;
         const outcome = await store.write(key, value, version).catch((error: unknown) => {
-            markNew();
+            markUnpublished();
             throw error;
         });
         if (outcome.kind === "written") {
             version = outcome.version;
-            records.take(extra);
+            records.merge(extra);
             logger.info("quarantinePublished", { version, records: value.records.length });
             return { name: key, version, value };
         }
-        const lacks = takeStored(outcome.current?.value, outcome.current?.version ?? absent);
-        isNew = isNew || lacks;
+        const isIncomplete = mergeStored(outcome.current?.value, outcome.current?.version ?? absent);
+        hasUnpublished = hasUnpublished || isIncomplete;
         return undefined;
     }
 
     return {
-        isNew: () => isNew,
-        markNew,
+        hasUnpublished: () => hasUnpublished,
+        markUnpublished,
         offer: document => {
             if (document.version <= version) {
                 return false;
             }
-            if (takeStored(document.value, document.version as ObjectVersion)) {
-                markNew();
+            if (mergeStored(document.value, document.version as ObjectVersion)) {
+                markUnpublished();
             }
             else {
-                isNew = false;
+                hasUnpublished = false;
             }
             return true;
         },
         write,
         publish: async () => {
-            for (let tries = 0; tries < maxTries && isNew; tries++) {
+            for (let tries = 0; tries < maxAttempts && hasUnpublished; tries++) {
                 const document = await write();
                 if (document !== undefined) {
                     return document;
--- a/packages/admit/src/createTeamLimit.ts
+++ b/packages/admit/src/createTeamLimit.ts
@@ -10,9 +10,9 @@
 
 interface TeamLimit {
     /** Takes a place and gives the function that frees it; throws `queueFull`, and then nothing ran. */
-    enter(team: TeamId): () => void;
+    acquire(team: TeamId): () => void;
     /** Places taken by a team now. */
-    taken(team: TeamId): number;
+    inUse(team: TeamId): number;
 }
 
 const defaultRetryAfterMs = 1_000;
@@ -20,33 +20,33 @@
 /** Bounds what one team may have waiting, so that its backlog fills neither memory nor the others' way in. */
 export function createTeamLimit(deps: TeamLimitDeps): TeamLimit {
     const { maxPerTeam, retryAfterMs = defaultRetryAfterMs } = deps;
-    const places = new Map<TeamId, number>();
-    const taken = (team: TeamId): number => places.get(team) ?? 0;
+    const slots = new Map<TeamId, number>();
+    const inUse = (team: TeamId): number => slots.get(team) ?? 0;
 
-    function leave(team: TeamId): void {
-        const left = taken(team) - 1;
-        if (left === 0) {
-            places.delete(team);
+    function release(team: TeamId): void {
+        const remaining = inUse(team) - 1;
+        if (remaining === 0) {
+            slots.delete(team);
         }
         else {
-            places.set(team, left);
+            slots.set(team, remaining);
         }
     }
 
     return {
-        enter: team => {
-            if (taken(team) >= maxPerTeam()) {
+        acquire: team => {
+            if (inUse(team) >= maxPerTeam()) {
                 throw new ResultError(resultCodes.queueFull, team, retryAfterMs);
             }
-            places.set(team, taken(team) + 1);
-            let inside = true;
+            slots.set(team, inUse(team) + 1);
+            let isHeld = true;
             return () => {
-                if (inside) {
-                    inside = false;
-                    leave(team);
+                if (isHeld) {
+                    isHeld = false;
+                    release(team);
                 }
             };
         },
-        taken,
+        inUse,
     };
 }
--- a/packages/admit/src/createTrials.test.ts
+++ b/packages/admit/src/createTrials.test.ts
@@ -27,7 +27,7 @@
     function die(vm: string, ...names: ContentDigest[]): void {
         const death = { vm: vm as VmId, bootId: `boot-${boots++}`, contents: names.length };
         const suspects = names.map(digest => ({ digest, deaths: [death] }));
-        entries.forEach(entry => entry.noteReport({ suspects }));
+        entries.forEach(entry => entry.recordSuspects({ suspects }));
     }
 
     /** What one entry wrote reaches the others. */
@@ -59,7 +59,7 @@
     // One run, not one at each entry.
     expect(await second!.takeTrial(innocent, "sample")).toBeUndefined();
     await clock.advance(200);
-    first!.noteCleanFinish(innocent);
+    first!.recordCleanFinish(innocent);
     await first!.publish();
     spread();
     expect([first!, second!].map(entry => entry.isRefused(innocent))).toEqual([false, false]);
@@ -70,8 +70,8 @@
     const { clock, entries: [entry], die } = createFixture(1);
     die("vm-1", innocent, digestOf("beside"));
     die("vm-2", innocent, digestOf("beside too"));
-    entry!.noteCleanFinish(digestOf("beside"));
-    entry!.noteCleanFinish(digestOf("beside too"));
+    entry!.recordCleanFinish(digestOf("beside"));
+    entry!.recordCleanFinish(digestOf("beside too"));
     await clock.advance(5_000);
     expect(dueOf(entry!, innocent)).toEqual([0, 0]);
 });
@@ -142,7 +142,7 @@
     const [record] = entry!.list().filter(each => each.digest === innocent);
     const trials = [{ trial: "t" as TrialId, atMs: clock.wallMs() + 2_000 }];
     entry!.offer({ version: 1, value: { records: [{ ...record!, trials }] } });
-    entry!.noteCleanFinish(innocent);
+    entry!.recordCleanFinish(innocent);
     await clock.advance(3_000);
     die("vm-3", innocent, digestOf("c"));
     die("vm-4", innocent, digestOf("d"));
@@ -150,32 +150,32 @@
 });
 
 /** Killers are sent again and again to each entry; counts the samplers that die in trials, by hour. */
-async function countTrialDeaths(names: string[], hours: number): Promise<number[]> {
+async function countTrialCrashes(names: string[], hours: number): Promise<number[]> {
     const { clock, entries, die, spread } = createFixture(3);
     names.forEach((name, index) => {
         die(`vm-${index}-1`, digestOf(name), digestOf(`beside ${name}`));
         die(`vm-${index}-2`, digestOf(name), digestOf(`beside ${name} too`));
     });
-    const deaths = Array.from({ length: hours }, () => 0);
+    const crashes = Array.from({ length: hours }, () => 0);
     const everyMs = 20_000;
     for (let atMs = 0; atMs < hours * hourMs; atMs += everyMs) {
         for (const entry of entries) {
             for (const name of names.map(digestOf)) {
                 if (entry.isRefused(name) && await entry.takeTrial(name, "sample") !== undefined) {
                     die(`vm-${atMs}-${name}`, name);
-                    deaths[Math.floor(atMs / hourMs)]!++;
+                    crashes[Math.floor(atMs / hourMs)]!++;
                 }
                 spread();
             }
         }
         await clock.advance(everyMs);
     }
-    return deaths;
+    return crashes;
 }
 
 test("a killer whose sender never gives up costs five samplers in a day beyond the first two", async () => {
     // The waits after trials at 0, 1, 3, 7 and 15 h end at 31 h; the record lives 24 h from its last death.
-    const deaths = await countTrialDeaths(["killer"], 24);
+    const deaths = await countTrialCrashes(["killer"], 24);
     expect(deaths.map((count, hour) => count > 0 ? hour : -1).filter(hour => hour >= 0))
         .toEqual([0, 1, 3, 7, 15]);
     expect(Math.max(...deaths)).toBe(1);
@@ -183,7 +183,7 @@
 
 test("many killers together cost three samplers an hour", async () => {
     // Aim: under 1 % of the samplers' time at a site of six, each death costing a minute.
-    const deaths = await countTrialDeaths(["a", "b", "c", "d", "e", "f", "g", "h"], 6);
+    const deaths = await countTrialCrashes(["a", "b", "c", "d", "e", "f", "g", "h"], 6);
     expect(Math.max(...deaths)).toBe(3);
 });
 
--- a/packages/admit/src/createTrials.ts
+++ b/packages/admit/src/createTrials.ts
@@ -27,7 +27,7 @@
 
 /** A trial that was not run by then, since its caller has not come again, is forgotten. */
 const permitLifeMs = 600_000;
-const maxTries = 5;
+const maxAttempts = 5;
 
 /**
  * Allows a refused content one run at a time. A trial counts once it stands in the shared list, written under the
@@ -40,7 +40,7 @@
     const { clock, logger } = deps;
     const permits = new Map<ContentDigest, Permit>();
     /** Contents for which a trial is being asked for here: the next request of it must not ask as well. */
-    const asking = new Set<ContentDigest>();
+    const requesting = new Set<ContentDigest>();
 
     const dueInMs = (digest: ContentDigest, kind: TrialKind): number => {
         const dueAtMs = deps.dueAtMs(digest, kind);
@@ -64,19 +64,19 @@
     }
 
     /** Asks once more under the same id for what may have been written already. */
-    async function ask(digest: ContentDigest, kind: TrialKind): Promise<void> {
-        for (let tries = 0; tries < maxTries && validPermit(digest) === undefined; tries++) {
+    async function requestPermit(digest: ContentDigest, kind: TrialKind): Promise<void> {
+        for (let tries = 0; tries < maxAttempts && validPermit(digest) === undefined; tries++) {
             if (dueInMs(digest, kind) > 0) {
                 return;
             }
-            const { trial } = permitOf(digest) ?? keepPermit(digest, deps.random.nextId() as TrialId);
+            const { trial } = permitOf(digest) ?? storePermit(digest, deps.random.nextId() as TrialId);
             if (await deps.write(deps.withTrial(digest, trial))) {
                 logger.warn("contentTrialAllowed", { digest, trial });
             }
         }
     }
 
-    function keepPermit(digest: ContentDigest, trial: TrialId): Permit {
+    function storePermit(digest: ContentDigest, trial: TrialId): Permit {
         const permit = { trial, untilMs: clock.wallMs() + permitLifeMs };
         permits.set(digest, permit);
         return permit;
@@ -85,19 +85,19 @@
     return {
         trialDueInMs: (digest, kind) => validPermit(digest) === undefined ? dueInMs(digest, kind) : 0,
         takeTrial: async (digest, kind) => {
-            if (asking.has(digest)) {
+            if (requesting.has(digest)) {
                 return undefined;
             }
-            asking.add(digest);
+            requesting.add(digest);
             try {
-                await ask(digest, kind);
+                await requestPermit(digest, kind);
             }
             catch {
                 // The object API is down: what is refused stays refused until a trial can be counted.
                 logger.info("contentTrialNotCounted", { digest });
             }
             finally {
-                asking.delete(digest);
+                requesting.delete(digest);
             }
             const permit = validPermit(digest);
             if (permit !== undefined) {
@@ -105,6 +105,6 @@
             }
             return permit?.trial;
         },
-        returnTrial: (digest, trial) => void keepPermit(digest, trial),
+        returnTrial: (digest, trial) => void storePermit(digest, trial),
     };
 }
--- a/packages/admit/src/isConvicted.ts
+++ b/packages/admit/src/isConvicted.ts
@@ -1,5 +1,5 @@
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
-import { countDeadVms } from "./countDeadVms.js";
+import { countCrashedVms } from "./countCrashedVms.js";
 
 const vmsToConvict = 2;
 
@@ -12,5 +12,5 @@
     nowMs: number,
     records: readonly QuarantineRecord[] = [],
 ): boolean {
-    return countDeadVms(record, records, nowMs) >= vmsToConvict;
+    return countCrashedVms(record, records, nowMs) >= vmsToConvict;
 }
--- a/packages/admit/src/isSameDeath.ts
+++ b/packages/admit/src/isSameCrash.ts
@@ -1,8 +1,8 @@
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 
-type Death = Pick<QuarantineRecord["deaths"][number], "vm" | "bootId">;
+type Crash = Pick<QuarantineRecord["deaths"][number], "vm" | "bootId">;
 
 /** A death is one engine incarnation on one VM, whoever tells of it and when. */
-export function isSameDeath(a: Death, b: Death): boolean {
+export function isSameCrash(a: Crash, b: Crash): boolean {
     return a.vm === b.vm && a.bootId === b.bootId;
 }
--- a/packages/admit/src/mergeRecords.ts
+++ b/packages/admit/src/mergeRecords.ts
@@ -1,14 +1,14 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 
-type Deaths = QuarantineRecord["deaths"];
+type Crashes = QuarantineRecord["deaths"];
 type Trials = NonNullable<QuarantineRecord["trials"]>;
 
 const latest = (a: number | undefined, b: number | undefined): number | undefined =>
     a === undefined ? b : Math.max(a, b ?? a);
 
 /** Each teller counts what it saw, so that the highest count is nearest to the truth. */
-function mergeDeath(a: Deaths[number], b: Deaths[number]): Deaths[number] {
+function mergeCrash(a: Crashes[number], b: Crashes[number]): Crashes[number] {
     const contents = latest(a.contents, b.contents);
     const { vm, bootId } = a;
     return { vm, bootId, atMs: Math.min(a.atMs, b.atMs), ...(contents === undefined ? {} : { contents }) };
@@ -25,12 +25,12 @@
 }
 
 /** One death told by several entries counts once, at the earliest time told. */
-function mergeDeaths(deaths: Deaths): Deaths {
-    const byBoot = new Map<string, Deaths[number]>();
-    for (const death of deaths) {
+function mergeCrashes(crashes: Crashes): Crashes {
+    const byBoot = new Map<string, Crashes[number]>();
+    for (const death of crashes) {
         const key = `${death.vm} ${death.bootId}`;
         const known = byBoot.get(key);
-        byBoot.set(key, known === undefined ? death : mergeDeath(known, death));
+        byBoot.set(key, known === undefined ? death : mergeCrash(known, death));
     }
     return [...byBoot].sort(([a], [b]) => a < b ? -1 : 1).map(([, death]) => death);
 }
@@ -45,7 +45,7 @@
         const known = merged.get(record.digest);
         merged.set(record.digest, {
             digest: record.digest,
-            deaths: mergeDeaths([...(known?.deaths ?? []), ...record.deaths]),
+            deaths: mergeCrashes([...(known?.deaths ?? []), ...record.deaths]),
             expiresAtMs: Math.max(known?.expiresAtMs ?? 0, record.expiresAtMs),
             liftedAtMs: latest(known?.liftedAtMs, record.liftedAtMs),
             trials: mergeTrials([...(known?.trials ?? []), ...(record.trials ?? [])]),
--- a/packages/admit/src/replayAnswer.ts
+++ b/packages/admit/src/replayAnswer.ts
@@ -1,5 +1,5 @@
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
-import type { KeptAnswer } from "./KeptAnswer.js";
+import type { CachedAnswer } from "./CachedAnswer.js";
 
 async function* once(body: Uint8Array): AsyncGenerator<Uint8Array> {
     if (body.length > 0) {
@@ -8,6 +8,6 @@
 }
 
 /** The answer as it came, from memory. */
-export function replayAnswer({ status, headers, body }: KeptAnswer): PlainAnswer {
+export function replayAnswer({ status, headers, body }: CachedAnswer): PlainAnswer {
     return { status, headers, body: once(body) };
 }
--- a/packages/admit/src/trialDueAtMs.ts
+++ b/packages/admit/src/trialDueAtMs.ts
@@ -1,33 +1,35 @@
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
-import { countedDeaths } from "./countedDeaths.js";
-import { isSameDeath } from "./isSameDeath.js";
+import { countedCrashes } from "./countedCrashes.js";
+import { isSameCrash } from "./isSameCrash.js";
 import { openTrials } from "./openTrials.js";
 import type { TrialKind } from "./TrialKind.js";
 import { trialLimits } from "./trialLimits.js";
 
-const vmsToProve = 2;
+const vmsToConfirm = 2;
 
 /** Wall time from which one more trial keeps the whole fleet within `limit` in a window. */
 function withinLimitFromMs(records: readonly QuarantineRecord[], limit: number): number {
-    const begunAtMs = records.flatMap(openTrials).map(trial => trial.atMs).sort((a, b) => b - a);
-    const oldestInFullWindow = begunAtMs[limit - 1];
+    const startedAtMs = records.flatMap(openTrials).map(trial => trial.atMs).sort((a, b) => b - a);
+    const oldestInFullWindow = startedAtMs[limit - 1];
     return oldestInFullWindow === undefined ? 0 : oldestInFullWindow + trialLimits.windowMs;
 }
 
 interface Evidence {
     /** Trials after which a death of the content was told. */
-    killed: number;
+    crashed: number;
     /** Trials that neither cleared it nor killed. */
     unknown: number;
     wasAlone: boolean;
 }
 
-function waitBeforeTrialMs({ killed, unknown, wasAlone }: Evidence, kind: TrialKind): number {
+function waitBeforeTrialMs({ crashed: killed, unknown, wasAlone }: Evidence, kind: TrialKind): number {
     if (killed > 0) {
-        return trialLimits.afterProofMs * 2 ** (killed - 1);
+        return trialLimits.afterConfirmedCrashMs * 2 ** (killed - 1);
     }
-    const afterAloneMs = kind === "sample" ? trialLimits.firstOfSampleMs : trialLimits.afterProofMs;
-    const waitMs = wasAlone ? afterAloneMs : trialLimits.afterDeathMs;
+    const afterAloneMs = kind === "sample"
+        ? trialLimits.firstSampleTrialMs
+        : trialLimits.afterConfirmedCrashMs;
+    const waitMs = wasAlone ? afterAloneMs : trialLimits.afterCrashMs;
     return unknown > 0 ? Math.max(waitMs, trialLimits.afterUnknownMs) : waitMs;
 }
 
@@ -47,21 +49,21 @@
     nowMs: number,
     kind: TrialKind,
 ): number {
-    const deaths = countedDeaths(record, nowMs);
+    const crashes = countedCrashes(record, nowMs);
     const trials = openTrials(record);
     const others = records.filter(other => other.digest !== record.digest);
     const isAlone = (death: QuarantineRecord["deaths"][number]): boolean =>
         death.contents === 1
         // Also a content that is cleared by now was company: the death is as unexplained as before.
-        && !others.some(other => other.deaths.some(each => isSameDeath(each, death)));
-    const vmsAlone = new Set(deaths.filter(isAlone).map(death => death.vm)).size;
-    const killed = trials.filter(trial => deaths.some(death => death.atMs >= trial.atMs)).length;
-    const evidence = { killed, unknown: trials.length - killed, wasAlone: vmsAlone >= vmsToProve };
+        && !others.some(other => other.deaths.some(each => isSameCrash(each, death)));
+    const vmsAlone = new Set(crashes.filter(isAlone).map(death => death.vm)).size;
+    const crashed = trials.filter(trial => crashes.some(death => death.atMs >= trial.atMs)).length;
+    const evidence = { crashed, unknown: trials.length - crashed, wasAlone: vmsAlone >= vmsToConfirm };
     const waitMs = waitBeforeTrialMs(evidence, kind);
-    const latestMs = Math.max(...deaths.map(death => death.atMs), ...trials.map(trial => trial.atMs));
+    const latestMs = Math.max(...crashes.map(death => death.atMs), ...trials.map(trial => trial.atMs));
     // Contents that most likely kill leave a trial to those whose deaths have other explanations.
-    const limit = evidence.killed > 0 || evidence.wasAlone
-        ? trialLimits.maxOfLikelyKillers
+    const limit = evidence.crashed > 0 || evidence.wasAlone
+        ? trialLimits.maxOfLikelyCrashInducing
         : trialLimits.maxInWindow;
     return Math.max(latestMs + waitMs, withinLimitFromMs(records, limit));
 }
--- a/packages/bench/src/decide/createDecisionSetup.ts
+++ b/packages/bench/src/decide/createDecisionSetup.ts
@@ -5,7 +5,7 @@
 import { defaultDispatchPolicy } from "@auburnarch/dispatch/defaultDispatchPolicy";
 import type { DispatcherDeps } from "@auburnarch/dispatch/DispatcherDeps";
 import type { RunningAttempt } from "@auburnarch/dispatch/RunningAttempt";
-import type { Work } from "@auburnarch/dispatch/Work";
+import type { SampleWork } from "@auburnarch/dispatch/SampleWork";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 import type { LimitsManifest } from "@auburnarch/types/LimitsManifest";
@@ -18,7 +18,7 @@
 interface DecisionSetup {
     placement: ReturnType<typeof createPlacement>;
     /** A fresh sample to place. */
-    nextWork(): Work;
+    nextWork(): SampleWork;
 }
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
@@ -49,7 +49,7 @@
     return { report, reportAgeMs: 100, sentAttempts: 0, sentTokens: 0, sentSinceReport: 0, suspected: false };
 }
 
-function toWork(order: number): Work {
+function toWork(order: number): SampleWork {
     const group = order % promptsInUse;
     const task = {
         sample: `job/0/${group}/${order}`,
@@ -80,12 +80,12 @@
     };
 }
 
-const toAttempt = (work: Work, sampler: string): RunningAttempt => ({
+const toAttempt = (work: SampleWork, sampler: string): RunningAttempt => ({
     attempt: `attempt-${work.arrivalOrder}` as AttemptId,
     work,
     sampler: sampler as RunningAttempt["sampler"],
     abort: new AbortController(),
-    resumed: [],
+    resumedSpans: [],
     spans: [],
     tokens: 50,
     expectedTokens: work.expectedTokens,
@@ -115,15 +115,15 @@
             throw new Error("nothing is sent");
         },
         mayAct: () => true,
-        onMade: () => {},
+        onSampleGenerated: () => {},
     };
     const state = createDispatchState(deps, defaultDispatchPolicy);
     let order = 0;
     for (let sent = 0; sent < inFlight; sent++) {
         const attempt = toAttempt(toWork(order++), views[sent % candidates]!.report.sampler);
         state.attempts.add(attempt);
-        state.ledger.noteSent(attempt);
-        state.hints.noteSent(attempt.work.task.prompt, attempt.sampler, 0);
+        state.samplerStats.recordSent(attempt);
+        state.prefixHints.recordSent(attempt.work.task.prompt, attempt.sampler, 0);
     }
     return { placement: createPlacement(deps, state), nextWork: () => toWork(order++) };
 }
--- a/packages/bench/src/faults/FaultGuards.ts
+++ b/packages/bench/src/faults/FaultGuards.ts
@@ -1,17 +1,17 @@
 import type { KeyRangeGuards } from "@auburnarch/admit/KeyRangeGuards";
 import type { QuarantineDeps } from "@auburnarch/admit/QuarantineDeps";
-import type { GateGuards } from "@auburnarch/gate/GateGuards";
+import type { SidecarGuards } from "@auburnarch/gate/SidecarGuards";
 import type { LeaseGuards } from "@auburnarch/lease/LeaseGuards";
 import type { OwnerGuards } from "@auburnarch/own/OwnerGuards";
 import type { SendGuards } from "@auburnarch/send/SendGuards";
-import type { SpreadGuards } from "@auburnarch/spread/SpreadGuards";
+import type { DocumentSyncGuards } from "@auburnarch/spread/DocumentSyncGuards";
 
 /** The guards of all parts that a randomised run is made of. */
 export interface FaultGuards {
     owner: OwnerGuards;
-    gate: GateGuards;
+    gate: SidecarGuards;
     lease: LeaseGuards;
-    spread: SpreadGuards;
+    spread: DocumentSyncGuards;
     send: SendGuards;
     keyRange: KeyRangeGuards;
     quarantine: Required<Pick<QuarantineDeps, "isConvicted" | "isTrialDue">>;
--- a/packages/bench/src/faults/SamplerNode.ts
+++ b/packages/bench/src/faults/SamplerNode.ts
@@ -1,4 +1,4 @@
-import type { Gate } from "@auburnarch/gate/Gate";
+import type { Sidecar } from "@auburnarch/gate/Sidecar";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { SidecarProcess } from "./SidecarProcess.js";
 
@@ -10,7 +10,7 @@
     port(): SidecarPort;
     /** The present sidecar process; undefined while there is none. */
     sidecar(): SidecarProcess | undefined;
-    gate(): Gate | undefined;
+    gate(): Sidecar | undefined;
     /** The VM of the moment. */
     vm(): string;
     /** Calls `listener` right before the next order arrives. */
--- a/packages/bench/src/faults/SidecarProcess.ts
+++ b/packages/bench/src/faults/SidecarProcess.ts
@@ -1,9 +1,9 @@
-import type { Gate } from "@auburnarch/gate/Gate";
+import type { Sidecar } from "@auburnarch/gate/Sidecar";
 import type { TestProcess } from "@auburnarch/own/testing/TestProcess";
 
 /** One run of a sidecar. */
 export interface SidecarProcess {
-    gate: Gate;
+    gate: Sidecar;
     process: TestProcess;
     /** The job lease's number in the object API when this run began. */
     startedAtFencing: number;
--- a/packages/bench/src/faults/createEntryNode.ts
+++ b/packages/bench/src/faults/createEntryNode.ts
@@ -86,7 +86,7 @@
             store: process.connect(createStoreLink(world, name)),
             vmList: process.connect(world.vmList),
             scoring: process.connect(deps.scoring),
-            keep: process.connect(deps.keep),
+            groupStore: process.connect(deps.keep),
             cursorKey: "bench-key",
             seeds: deps.addresses,
             leaseTtlMs,
--- a/packages/bench/src/faults/createRunParts.ts
+++ b/packages/bench/src/faults/createRunParts.ts
@@ -1,7 +1,7 @@
 import { createFakeScoring } from "@auburnarch/fakes/createFakeScoring";
 import { createFakeWeightStore } from "@auburnarch/fakes/createFakeWeightStore";
 import type { FakeEngineControl } from "@auburnarch/fakes/FakeEngineControl";
-import { createTestKeep } from "@auburnarch/own/testing/createTestKeep";
+import { createTestGroupStore } from "@auburnarch/own/testing/createTestGroupStore";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { TeamId } from "@auburnarch/types/TeamId";
@@ -36,7 +36,7 @@
     const { clock } = world;
     const { scoring } = createFakeScoring({ clock, latencyMs: scoringLatencyMs });
     const { weightStore } = createFakeWeightStore({ clock, transferMs: weightTransferMs, maxConcurrent: 2 });
-    const keep = createTestKeep();
+    const keep = createTestGroupStore();
     const backends = createBackends(world);
     const entries: EntryNode[] = [];
 
--- a/packages/bench/src/faults/createSidecarProcess.ts
+++ b/packages/bench/src/faults/createSidecarProcess.ts
@@ -1,12 +1,12 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
-import { createGate } from "@auburnarch/gate/createGate";
-import type { GateDeps } from "@auburnarch/gate/GateDeps";
-import { learnWithinMs } from "@auburnarch/gate/learnWithinMs";
+import { createSidecar } from "@auburnarch/gate/createSidecar";
+import { initialConfigWaitMs } from "@auburnarch/gate/initialConfigWaitMs";
+import type { SidecarDependencies } from "@auburnarch/gate/SidecarDependencies";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createReadFencing } from "@auburnarch/lease/createReadFencing";
 import { createReporter } from "@auburnarch/membership/createReporter";
 import { createTestProcess } from "@auburnarch/own/testing/createTestProcess";
-import { createFollower } from "@auburnarch/spread/createFollower";
+import { createDocumentFollower } from "@auburnarch/spread/createDocumentFollower";
 import type { ConfigVersion } from "@auburnarch/types/ConfigVersion";
 import type { EnginePort } from "@auburnarch/types/EnginePort";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
@@ -63,7 +63,7 @@
         region: "norte" as Region,
         service: deps.service,
     };
-    const gateDeps: GateDeps = {
+    const gateDeps: SidecarDependencies = {
         identity,
         clock,
         random: random.fork(),
@@ -74,9 +74,9 @@
         backend: deps.backend === undefined ? undefined : process.connect(deps.backend),
         weightStore: process.connect(deps.weightStore),
         readFencing: createReadFencing(process.connect(createStoreLink(world, deps.name))),
-        learnWithinMs,
+        initialConfigWaitMs,
     };
-    const gate = createGate(gateDeps, guards.gate);
+    const gate = createSidecar(gateDeps, guards.gate);
     let down = (): void => undefined;
     const died = new Promise<void>(resolve => {
         down = resolve;
@@ -107,7 +107,7 @@
         }
     }
 
-    const follower = createFollower(
+    const follower = createDocumentFollower(
         { invariants, logger, faultsOf: faultsOfDocument, guards: guards.spread },
         takeDocument,
     );
--- a/packages/bench/src/faults/createTrainerSide.ts
+++ b/packages/bench/src/faults/createTrainerSide.ts
@@ -3,7 +3,7 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import { createTestTrainer } from "@auburnarch/own/testing/createTestTrainer";
-import type { TrainerRoute } from "@auburnarch/own/testing/TrainerRoute";
+import type { TrainerConnection } from "@auburnarch/own/testing/TrainerConnection";
 import type { GroupsPage } from "@auburnarch/types/GroupsPage";
 import type { JobId } from "@auburnarch/types/JobId";
 import type { TeamId } from "@auburnarch/types/TeamId";
@@ -48,7 +48,7 @@
         const ended = await network.exchange(
             "trainer",
             entry.name,
-            () => entry.enter(present => present.train(team, call, false)),
+            () => entry.enter(present => present.handleTrainerCall(team, call, false)),
         );
         if (ended.kind !== "answered") {
             throw new ResultError(resultCodes.connectionBroken);
@@ -81,7 +81,7 @@
         }
     }
 
-    const route: TrainerRoute = {
+    const route: TrainerConnection = {
         openStep: spec => train({ kind: "openStep", job, spec }) as Promise<{ fencing: number; }>,
         publishWeights: weights =>
             train({ kind: "publishWeights", job, weights }) as Promise<{ fencing: number; }>,
@@ -103,9 +103,9 @@
         mayEnd: deps.mayEnd,
         groupsPerStep,
         maxTokens,
-        route: () => route,
+        connect: () => route,
         openAhead: 1,
-        takeExtraPublishes: () => {
+        nextExtraPublishCount: () => {
             const count = extraPublishes;
             extraPublishes = 0;
             if (count > 0) {
--- a/packages/bench/src/faults/judges/judgeRun.ts
+++ b/packages/bench/src/faults/judges/judgeRun.ts
@@ -1,7 +1,7 @@
 import { isConvicted } from "@auburnarch/admit/isConvicted";
 import { validateManifest } from "@auburnarch/config/validateManifest";
 import { digestRequest } from "@auburnarch/entry/digestRequest";
-import { learnWithinMs } from "@auburnarch/gate/learnWithinMs";
+import { initialConfigWaitMs } from "@auburnarch/gate/initialConfigWaitMs";
 import type { OwnerStatus } from "@auburnarch/own/OwnerStatus";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
@@ -13,7 +13,7 @@
 const manifestKey = "config/manifest";
 const askMs = 1_000;
 /** Without word from an entry a sidecar takes work after this time. */
-const startMs = learnWithinMs + 150;
+const startMs = initialConfigWaitMs + 150;
 /** A process that has just started hears of the manifest and the quarantine within this time. */
 const learnMs = 2_000;
 
--- a/packages/bench/src/faults/judges/judgeServed.ts
+++ b/packages/bench/src/faults/judges/judgeServed.ts
@@ -14,7 +14,7 @@
         return true;
     }
     let isServed = false;
-    void trainer.trainer.ask(prompts).then(() => {
+    void trainer.trainer.runExtraStep(prompts).then(() => {
         isServed = true;
     });
     await world.clock.runUntil(() => isServed, servedWithinMs);
--- a/packages/bench/src/faults/removedMechanisms.ts
+++ b/packages/bench/src/faults/removedMechanisms.ts
@@ -1,11 +1,11 @@
-import { countedDeaths } from "@auburnarch/admit/countedDeaths";
+import { countedCrashes } from "@auburnarch/admit/countedCrashes";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import type { FaultGuards } from "./FaultGuards.js";
 
 const vmsToConvict = 2;
 
 function hasDeathsOnTwoVms(record: QuarantineRecord, nowMs: number): boolean {
-    return new Set(countedDeaths(record, nowMs).map(death => death.vm)).size >= vmsToConvict;
+    return new Set(countedCrashes(record, nowMs).map(death => death.vm)).size >= vmsToConvict;
 }
 
 /** Mechanisms that no single guard stands for, by name, each with what runs in its place once it is taken away. */
--- a/packages/bench/src/faults/runWithFaults.ts
+++ b/packages/bench/src/faults/runWithFaults.ts
@@ -152,7 +152,7 @@
         violations: violations.list(),
         simulatedMs: clock.monotonicMs(),
         stepsDone: parts.trainer.trainer.report.stepsDone,
-        groupsTaken: parts.trainer.trainer.report.taken.size,
+        groupsTaken: parts.trainer.trainer.report.receivedGroups.size,
         requests: parts.caller.count(),
         owners: watch.owners(),
     };
--- a/packages/bench/src/faults/scripts/runBystanderScript.ts
+++ b/packages/bench/src/faults/scripts/runBystanderScript.ts
@@ -34,7 +34,7 @@
     for (const [vm, contents] of deaths) {
         const death = { vm: vm as VmId, bootId: `boot of ${vm}`, contents: contents.length };
         const suspects = contents.map(digest => ({ digest: digest as ContentDigest, deaths: [death] }));
-        quarantine.noteReport({ suspects });
+        quarantine.recordSuspects({ suspects });
     }
     return quarantine.isRefused(bystander)
         ? {
--- a/packages/bench/src/faults/scripts/runShutdownScript.ts
+++ b/packages/bench/src/faults/scripts/runShutdownScript.ts
@@ -1,4 +1,4 @@
-import { createTestGate } from "@auburnarch/gate/testing/createTestGate";
+import { createSidecarFixture } from "@auburnarch/gate/testing/createSidecarFixture";
 import type { SamplerOrderResult } from "@auburnarch/types/SamplerOrderResult";
 import type { FaultGuards } from "../FaultGuards.js";
 import type { ScriptedViolation } from "./ScriptedViolation.js";
@@ -12,7 +12,7 @@
  * what is in flight at its shutdown. Taken then, it leaves the engine in the middle of a load that nobody watches.
  */
 export async function runShutdownScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
-    const { gate, clock, attempt, load } = createTestGate({
+    const { sidecar: gate, clock, attempt, load } = createSidecarFixture({
         guards: guards.gate,
         engine: { tokensPerSecond: 10 },
     });
--- a/packages/bench/src/faults/scripts/runSuspectsScript.ts
+++ b/packages/bench/src/faults/scripts/runSuspectsScript.ts
@@ -1,4 +1,4 @@
-import { createTestGate } from "@auburnarch/gate/testing/createTestGate";
+import { createSidecarFixture } from "@auburnarch/gate/testing/createSidecarFixture";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import type { VmId } from "@auburnarch/types/VmId";
@@ -14,7 +14,7 @@
  * at one sampler within a moment. If both start there, that sampler's death would convict the bystander among them.
  */
 export async function runSuspectsScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
-    const { gate, clock, control, attempt } = createTestGate({ guards: guards.gate });
+    const { sidecar: gate, clock, control, attempt } = createSidecarFixture({ guards: guards.gate });
     await clock.advance(describedMs);
     const record = (digest: string): QuarantineRecord => ({
         digest: digest as ContentDigest,
--- a/packages/bench/src/faults/scripts/runTrialScript.ts
+++ b/packages/bench/src/faults/scripts/runTrialScript.ts
@@ -1,4 +1,4 @@
-import { createTestGate } from "@auburnarch/gate/testing/createTestGate";
+import { createSidecarFixture } from "@auburnarch/gate/testing/createSidecarFixture";
 import type { FaultGuards } from "../FaultGuards.js";
 import type { ScriptedViolation } from "./ScriptedViolation.js";
 
@@ -10,7 +10,7 @@
  * other work runs. If both ran at once and the sampler died, its death would tell as little as those before it.
  */
 export async function runTrialScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
-    const { gate, clock, control, attempt } = createTestGate({ guards: guards.gate });
+    const { sidecar: gate, clock, control, attempt } = createSidecarFixture({ guards: guards.gate });
     await clock.advance(describedMs);
     const attempts = [attempt("before"), attempt("trial", { isTrial: true }), attempt("after")];
     for (const each of attempts) {
--- a/packages/bench/src/faults/scripts/runUninformedScript.ts
+++ b/packages/bench/src/faults/scripts/runUninformedScript.ts
@@ -1,4 +1,4 @@
-import { createTestGate } from "@auburnarch/gate/testing/createTestGate";
+import { createSidecarFixture } from "@auburnarch/gate/testing/createSidecarFixture";
 import type { FaultGuards } from "../FaultGuards.js";
 import type { ScriptedViolation } from "./ScriptedViolation.js";
 
@@ -10,7 +10,10 @@
  * a sender that does not know that its content is refused, and before the sidecar has heard of it.
  */
 export async function runUninformedScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
-    const { gate, clock, control, attempt } = createTestGate({ guards: guards.gate, learnWithinMs });
+    const { sidecar: gate, clock, control, attempt } = createSidecarFixture({
+        guards: guards.gate,
+        initialConfigWaitMs: learnWithinMs,
+    });
     await clock.advance(describedMs);
     const sent = attempt("refused elsewhere");
     void gate.runSample(sent, () => undefined, new AbortController().signal);
--- a/packages/bench/src/policy/benchPolicies.ts
+++ b/packages/bench/src/policy/benchPolicies.ts
@@ -2,7 +2,7 @@
 import { createPromptLengthModel } from "@auburnarch/dispatch/createPromptLengthModel";
 import { defaultDispatchPolicy } from "@auburnarch/dispatch/defaultDispatchPolicy";
 import type { DispatchPolicy } from "@auburnarch/dispatch/DispatchPolicy";
-import { hasOutgrown } from "@auburnarch/dispatch/hasOutgrown";
+import { hasExceededExpectedLength } from "@auburnarch/dispatch/hasExceededExpectedLength";
 import { holdNever } from "@auburnarch/dispatch/holdNever";
 import { moveNever } from "@auburnarch/dispatch/moveNever";
 import { priorityByNeed } from "@auburnarch/dispatch/priorityByNeed";
@@ -26,7 +26,7 @@
     hold: holdNever,
     room: roomWithinLimit,
     thin: thinNever,
-    movable: hasOutgrown,
+    movable: hasExceededExpectedLength,
     move: moveNever,
     priority: priorityByNeed,
     createLengthModel: createPromptLengthModel,
--- a/packages/bench/src/policy/createFleet.ts
+++ b/packages/bench/src/policy/createFleet.ts
@@ -1,8 +1,8 @@
 import { createFakeEngine } from "@auburnarch/fakes/createFakeEngine";
 import { createFakeWeightStore } from "@auburnarch/fakes/createFakeWeightStore";
 import type { FakeEngineControl } from "@auburnarch/fakes/FakeEngineControl";
-import { createGate } from "@auburnarch/gate/createGate";
-import type { Gate } from "@auburnarch/gate/Gate";
+import { createSidecar } from "@auburnarch/gate/createSidecar";
+import type { Sidecar } from "@auburnarch/gate/Sidecar";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Clock } from "@auburnarch/types/Clock";
@@ -38,7 +38,7 @@
 
 interface FleetSampler {
     id: SamplerId;
-    gate: Gate;
+    gate: Sidecar;
     control: FakeEngineControl;
     port: SidecarPort;
     /** Nothing passes to or from the VM until then. */
@@ -81,7 +81,7 @@
             ...speed,
         });
         const id = `sampler-${index}` as SamplerId;
-        const gate = createGate({
+        const gate = createSidecar({
             identity: {
                 sampler: id,
                 vm: `vm-${index}` as VmId,
--- a/packages/bench/src/policy/createReportFeed.ts
+++ b/packages/bench/src/policy/createReportFeed.ts
@@ -1,4 +1,4 @@
-import type { Gate } from "@auburnarch/gate/Gate";
+import type { Sidecar } from "@auburnarch/gate/Sidecar";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Random } from "@auburnarch/types/Random";
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
@@ -17,7 +17,7 @@
 
 /** Starts the feed of a gate; `isSilent` holds while the VM sends nothing. */
 export function createReportFeed(
-    gate: Gate,
+    gate: Sidecar,
     clock: Clock,
     random: Random,
     reports: Scenario["reports"],
--- a/packages/bench/src/policy/createTrainerLoop.ts
+++ b/packages/bench/src/policy/createTrainerLoop.ts
@@ -82,7 +82,7 @@
         ...common,
         job: () => manifest,
         isAboutToSwap: roller.isAboutToSwap,
-        onMade: take,
+        onSampleGenerated: take,
     }, policy.dispatch);
 
     function take(made: MadeSample): void {
--- a/packages/bench/src/slopes/createFleetEntry.ts
+++ b/packages/bench/src/slopes/createFleetEntry.ts
@@ -1,8 +1,8 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
 import { createMembership } from "@auburnarch/membership/createMembership";
 import type { Membership } from "@auburnarch/membership/Membership";
-import { createSpread } from "@auburnarch/spread/createSpread";
-import type { Spread } from "@auburnarch/spread/Spread";
+import { createDocumentSync } from "@auburnarch/spread/createDocumentSync";
+import type { DocumentSync } from "@auburnarch/spread/DocumentSync";
 import type { EntryRecord } from "@auburnarch/types/EntryRecord";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { FleetCommon } from "./FleetCommon.js";
@@ -10,7 +10,7 @@
 /** The control part of an entry. */
 interface FleetEntry {
     membership: Membership;
-    spread: Spread;
+    spread: DocumentSync;
     manifestVersion(): number;
     stop(): void;
 }
@@ -25,9 +25,9 @@
         exchange: (address, message) => network.call(from, address, "gossip", message),
         newerDocuments: theirs => spread.transfersFor(theirs),
         absentDocuments: theirs => spread.absentFrom(theirs),
-        takeDocuments: documents => spread.takeAbsent(documents),
+        acceptDocuments: documents => spread.applyAbsent(documents),
     });
-    const spread: Spread = createSpread({
+    const spread: DocumentSync = createDocumentSync({
         ...deps,
         listPeers: membership.listPeers,
         isRelay: membership.isRelay,
--- a/packages/bench/src/slopes/createFleetSidecar.ts
+++ b/packages/bench/src/slopes/createFleetSidecar.ts
@@ -1,6 +1,6 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
 import { createReporter } from "@auburnarch/membership/createReporter";
-import { createFollower } from "@auburnarch/spread/createFollower";
+import { createDocumentFollower } from "@auburnarch/spread/createDocumentFollower";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { FleetCommon } from "./FleetCommon.js";
@@ -18,7 +18,7 @@
     const { at, network } = deps;
     const domain = at % deps.domains;
     const region = `region-${domain % deps.regions}`;
-    const follower = createFollower({ ...deps, faultsOf: faultsOfDocument }, () => undefined);
+    const follower = createDocumentFollower({ ...deps, faultsOf: faultsOfDocument }, () => undefined);
     const manifestVersion = (): number => follower.get("manifest")?.version ?? 0;
     const incarnation = deps.random.nextId();
     let sequence = 0;
--- a/packages/bench/src/slopes/measureChange.ts
+++ b/packages/bench/src/slopes/measureChange.ts
@@ -1,7 +1,7 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createDocumentSet } from "@auburnarch/spread/createDocumentSet";
-import { defaultSpreadGuards } from "@auburnarch/spread/defaultSpreadGuards";
+import { defaultDocumentSyncGuards } from "@auburnarch/spread/defaultDocumentSyncGuards";
 import type { DocumentSet } from "@auburnarch/spread/DocumentSet";
 import type { DocumentTransfer } from "@auburnarch/spread/DocumentTransfer";
 import type { ChangePoint } from "./ChangePoint.js";
@@ -20,7 +20,7 @@
     });
     return createDocumentSet(
         { logger, invariants, faultsOf: faultsOfDocument },
-        defaultSpreadGuards,
+        defaultDocumentSyncGuards,
         () => undefined,
     );
 }
@@ -40,12 +40,12 @@
     const [from, to] = [createSet(), createSet()];
     const publish = (version: number): void => {
         const value = makeManifest(samplers, jobs, version % priorities + 1);
-        from.take({ name: "manifest", version, value });
+        from.apply({ name: "manifest", version, value });
     };
     const cross = (transfer: DocumentTransfer): string => JSON.stringify(transfer);
     publish(1);
     const heapBefore = heapNow();
-    to.takeTransfer(JSON.parse(cross(from.transfer("manifest", 0)!)) as DocumentTransfer);
+    to.applyTransfer(JSON.parse(cross(from.transfer("manifest", 0)!)) as DocumentTransfer);
     let makeUs = 0;
     let takeUs = 0;
     let transferBytes = 0;
@@ -54,7 +54,7 @@
         const startedUs = cpuNowUs();
         const text = cross(from.transfer("manifest", version - 1)!);
         const madeUs = cpuNowUs();
-        to.takeTransfer(JSON.parse(text) as DocumentTransfer);
+        to.applyTransfer(JSON.parse(text) as DocumentTransfer);
         takeUs += cpuNowUs() - madeUs;
         makeUs += madeUs - startedUs;
         transferBytes = text.length;
--- a/packages/cli/src/createQuarantineCommand.ts
+++ b/packages/cli/src/createQuarantineCommand.ts
@@ -1,4 +1,4 @@
-import { countDeadVms } from "@auburnarch/admit/countDeadVms";
+import { countCrashedVms } from "@auburnarch/admit/countCrashedVms";
 import { isConvicted } from "@auburnarch/admit/isConvicted";
 import { openTrials } from "@auburnarch/admit/openTrials";
 import type { OperatorQuarantine } from "@auburnarch/types/OperatorQuarantine";
@@ -18,7 +18,7 @@
     return [
         record.digest,
         isConvicted(record, anyTimeMs, records) ? "refused" : "watched",
-        countDeadVms(record, records, anyTimeMs),
+        countCrashedVms(record, records, anyTimeMs),
         openTrials(record).length,
         new Date(record.expiresAtMs).toISOString(),
     ];
--- a/packages/daemon/src/FeedExtras.ts
+++ b/packages/daemon/src/FeedExtras.ts
@@ -1,15 +1,15 @@
-import type { StartBook } from "@auburnarch/account/StartBook";
+import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
 import type { StartMeter } from "@auburnarch/account/StartMeter";
 import type { TrueTimeEstimate } from "@auburnarch/clock/TrueTimeEstimate";
-import type { BreakMemory } from "@auburnarch/relay/BreakMemory";
+import type { BreakRegistry } from "@auburnarch/relay/BreakRegistry";
 
 /** What goes along with questions for changes of the store, and with their answers. */
 export interface FeedExtras {
     /** Contents that broke off at samplers. */
-    breaks: BreakMemory;
+    breaks: BreakRegistry;
     trueTime: TrueTimeEstimate;
     /** What this process counts and tells a runner; undefined where it counts nothing. */
     meter: StartMeter | undefined;
     /** What a runner has been told; undefined in a gateway. */
-    starts: StartBook | undefined;
+    starts: StartCountRegistry | undefined;
 }
--- a/packages/daemon/src/createFeedExtras.ts
+++ b/packages/daemon/src/createFeedExtras.ts
@@ -1,8 +1,8 @@
-import { createStartBook } from "@auburnarch/account/createStartBook";
+import { createStartCountRegistry } from "@auburnarch/account/createStartCountRegistry";
 import { createStartMeter } from "@auburnarch/account/createStartMeter";
 import { createClockVote } from "@auburnarch/clock/createClockVote";
 import { createToldTime } from "@auburnarch/clock/createToldTime";
-import { createBreakMemory } from "@auburnarch/relay/createBreakMemory";
+import { createBreakRegistry } from "@auburnarch/relay/createBreakRegistry";
 import type { FeedExtras } from "./FeedExtras.js";
 import type { RoleContext } from "./RoleContext.js";
 
@@ -31,9 +31,9 @@
         show();
     }
     return {
-        breaks: createBreakMemory(clock),
+        breaks: createBreakRegistry(clock),
         trueTime,
         meter,
-        starts: usage === undefined || !isRunner ? undefined : createStartBook(clock),
+        starts: usage === undefined || !isRunner ? undefined : createStartCountRegistry(clock),
     };
 }
--- a/packages/daemon/src/createPeerAnswers.test.ts
+++ b/packages/daemon/src/createPeerAnswers.test.ts
@@ -1,19 +1,19 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { createToldTime } from "@auburnarch/clock/createToldTime";
 import { codeOf } from "@auburnarch/errors/codeOf";
-import type { LotId } from "@auburnarch/lots/LotId";
-import { createBreakMemory } from "@auburnarch/relay/createBreakMemory";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import { createBreakRegistry } from "@auburnarch/relay/createBreakRegistry";
 import type { RunnerStatus } from "@auburnarch/runner/peers/RunnerStatus";
 import { expect, test } from "vitest";
 import { createPeerAnswers } from "./createPeerAnswers.js";
 import { rpcMethods } from "./rpcMethods.js";
 
 const asked: unknown[] = [];
-const breaks = createBreakMemory(createFakeClock());
+const breaks = createBreakRegistry(createFakeClock());
 const answer = createPeerAnswers({
     runner: () => ({
         status: () => ({ incarnation: "r1" }) as RunnerStatus,
-        results: async (lot: LotId, fromChunk: number, waitMs: number) => {
+        results: async (lot: BatchJobId, fromChunk: number, waitMs: number) => {
             asked.push([lot, fromChunk, waitMs]);
             return { kind: "unsure" };
         },
--- a/packages/daemon/src/createPeerAnswers.ts
+++ b/packages/daemon/src/createPeerAnswers.ts
@@ -1,6 +1,6 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import { lotSchemas } from "@auburnarch/lots/lotSchemas";
+import { batchJobSchemas } from "@auburnarch/lots/batchJobSchemas";
 import type { FeedHub } from "@auburnarch/peers/FeedHub";
 import { feedSchemas } from "@auburnarch/peers/feedSchemas";
 import { statusQuerySchema } from "@auburnarch/runner/peers/statusQuerySchema";
@@ -24,13 +24,13 @@
 ): (method: string, params: unknown) => Promise<unknown> {
     async function answerFeed(params: unknown): Promise<unknown> {
         const query = feedSchemas.query.parse(params);
-        breaks.learn(feedSchemas.breaks.parse(params).breaks);
+        breaks.merge(feedSchemas.breaks.parse(params).breaks);
         const report = feedExtrasSchemas.query.parse(params).starts;
         if (report !== undefined) {
             starts?.learn(report);
         }
         const answer = await hub().answer(query);
-        const marks = breaks.known(query.since === undefined ? Infinity : breaksToldMs);
+        const marks = breaks.listAll(query.since === undefined ? Infinity : breaksToldMs);
         return {
             ...answer,
             ...(starts === undefined ? {} : { trueMs: trueTime.nowMs() }),
@@ -42,7 +42,7 @@
         match(method)
             .with(rpcMethods.status, () => runner().status(statusQuerySchema.parse(params ?? {})))
             .with(rpcMethods.results, () => {
-                const { lot, fromChunk, waitMs } = lotSchemas.resultsQuery.parse(params);
+                const { lot, fromChunk, waitMs } = batchJobSchemas.resultsQuery.parse(params);
                 return runner().results(lot, fromChunk, waitMs);
             })
             .with(rpcMethods.feed, () => answerFeed(params))
--- a/packages/daemon/src/createPeerLinks.ts
+++ b/packages/daemon/src/createPeerLinks.ts
@@ -1,6 +1,6 @@
 import type { RunnerAddress } from "@auburnarch/discovery/RunnerAddress";
-import type { LotId } from "@auburnarch/lots/LotId";
-import { lotSchemas } from "@auburnarch/lots/lotSchemas";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import { batchJobSchemas } from "@auburnarch/lots/batchJobSchemas";
 import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
 import type { FeedAnswer } from "@auburnarch/peers/FeedAnswer";
 import type { FeedQuery } from "@auburnarch/peers/FeedQuery";
@@ -21,7 +21,7 @@
     status(address: RunnerAddress, timeoutMs: number, query: StatusQuery): Promise<RunnerStatus>;
     results(
         address: RunnerAddress,
-        query: { lot: LotId; fromChunk: number; waitMs: number; },
+        query: { lot: BatchJobId; fromChunk: number; waitMs: number; },
         timeoutMs: number,
     ): Promise<ResultsAnswer>;
     feed(address: RunnerAddress, query: FeedQuery, timeoutMs: number): Promise<FeedAnswer>;
@@ -51,9 +51,9 @@
         status: async (address, timeoutMs, query) =>
             await call(address, rpcMethods.status, query, timeoutMs) as RunnerStatus,
         results: async (address, query, timeoutMs) =>
-            lotSchemas.resultsAnswer.parse(await call(address, rpcMethods.results, query, timeoutMs)),
+            batchJobSchemas.resultsAnswer.parse(await call(address, rpcMethods.results, query, timeoutMs)),
         feed: async (address, query, timeoutMs) => {
-            const marks = breaks.noted(breaksToldMs);
+            const marks = breaks.listOwn(breaksToldMs);
             const asked = {
                 ...query,
                 ...(marks.length === 0 ? {} : { breaks: marks }),
@@ -64,7 +64,7 @@
             if (trueMs !== undefined) {
                 trueTime.learn(address.host, trueMs, clock.monotonicMs());
             }
-            breaks.learn(feedSchemas.breaks.parse(answer).breaks);
+            breaks.merge(feedSchemas.breaks.parse(answer).breaks);
             return feedSchemas.answer.parse(answer);
         },
     };
--- a/packages/daemon/src/createUsageDeps.ts
+++ b/packages/daemon/src/createUsageDeps.ts
@@ -1,4 +1,4 @@
-import type { StartBook } from "@auburnarch/account/StartBook";
+import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
 import { createSendUsageReport } from "@auburnarch/platform/createSendUsageReport";
 import { splitAddress } from "@auburnarch/platform/splitAddress";
 import type { UsageDeps } from "@auburnarch/runner/usage/UsageDeps";
@@ -7,7 +7,7 @@
 /** What a runner needs to report the use of teams; undefined where that is not asked for. */
 export function createUsageDeps(
     { settings, currentSettings, clock }: RoleContext,
-    starts: StartBook | undefined,
+    starts: StartCountRegistry | undefined,
 ): UsageDeps | undefined {
     const { usage } = settings;
     if (usage === undefined || starts === undefined) {
--- a/packages/daemon/src/openTextShelf.ts
+++ b/packages/daemon/src/openTextShelf.ts
@@ -1,11 +1,11 @@
 import { createTextJournal } from "@auburnarch/keep/createTextJournal";
-import { createTextShelf } from "@auburnarch/runner/items/createTextShelf";
-import type { TextShelf } from "@auburnarch/runner/items/TextShelf";
+import { createTextCache } from "@auburnarch/runner/items/createTextCache";
+import type { TextCache } from "@auburnarch/runner/items/TextCache";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { RoleContext } from "./RoleContext.js";
 
 interface OpenedShelf {
-    shelf: TextShelf;
+    shelf: TextCache;
     /** Puts what waits on the disk, unless the disk takes too long. */
     flush(): Promise<void>;
 }
@@ -17,7 +17,7 @@
 export async function openTextShelf({ settings, clock, logger }: RoleContext): Promise<OpenedShelf> {
     const { dataFolder } = settings;
     if (dataFolder === undefined) {
-        return { shelf: createTextShelf(), flush: async () => {} };
+        return { shelf: createTextCache(), flush: async () => {} };
     }
     const journal = createTextJournal({ folder: dataFolder, clock, logger });
     const patient = <T>(work: Promise<T>, otherwise: T): Promise<T> => {
@@ -27,7 +27,7 @@
     };
     const earlier = await patient(journal.load(), new Map<string, TokenSpan[]>());
     return {
-        shelf: createTextShelf({ earlier, note: journal.note }),
+        shelf: createTextCache({ restored: earlier, persist: journal.record }),
         flush: () => patient(journal.flush(), undefined),
     };
 }
--- a/packages/daemon/src/session.test.ts
+++ b/packages/daemon/src/session.test.ts
@@ -46,11 +46,16 @@
 /** A trainer at the door of an entry that need not be the owner. */
 function portTo(entry: Entry, { job, team }: JobManifest): TrainerPort {
     return {
-        openStep: async spec => void await entry.train(team, { kind: "openStep", job, spec }, false),
+        openStep: async spec =>
+            void await entry.handleTrainerCall(team, { kind: "openStep", job, spec }, false),
         publishWeights: async weights =>
-            void await entry.train(team, { kind: "publishWeights", job, weights }, false),
+            void await entry.handleTrainerCall(team, { kind: "publishWeights", job, weights }, false),
         readGroups: async (step, cursor, waitMs) =>
-            await entry.train(team, { kind: "readGroups", job, step, cursor, waitMs }, false) as GroupsPage,
+            await entry.handleTrainerCall(
+                team,
+                { kind: "readGroups", job, step, cursor, waitMs },
+                false,
+            ) as GroupsPage,
     };
 }
 
--- a/packages/daemon/src/startCommon.ts
+++ b/packages/daemon/src/startCommon.ts
@@ -5,8 +5,8 @@
 import type { SamplerDirectory } from "@auburnarch/discovery/SamplerDirectory";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
 import { watchKind } from "@auburnarch/discovery/watchKind";
-import { createFedStore } from "@auburnarch/peers/createFedStore";
-import { createOutageEvidence } from "@auburnarch/peers/createOutageEvidence";
+import { createFeedBackedStore } from "@auburnarch/peers/createFeedBackedStore";
+import { createOutageTracker } from "@auburnarch/peers/createOutageTracker";
 import { createRunnerCaller } from "@auburnarch/peers/createRunnerCaller";
 import type { FeedHub } from "@auburnarch/peers/FeedHub";
 import type { RunnerCaller } from "@auburnarch/peers/RunnerCaller";
@@ -17,7 +17,7 @@
 import { decodeSampler } from "@auburnarch/platform/decodeSampler";
 import { platformKinds } from "@auburnarch/platform/platformKinds";
 import { splitAddress } from "@auburnarch/platform/splitAddress";
-import type { BreakMemory } from "@auburnarch/relay/BreakMemory";
+import type { BreakRegistry } from "@auburnarch/relay/BreakRegistry";
 import type { CallSampler } from "@auburnarch/relay/CallSampler";
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
@@ -41,7 +41,7 @@
     /** What is told between processes along with changes of the store. */
     extras: FeedExtras;
     /** Contents that broke off at samplers, as told between processes. */
-    breaks: BreakMemory;
+    breaks: BreakRegistry;
     storeSilentMs: () => number;
     storeHeardMs: () => number;
     storeRegainedMs: () => number;
@@ -99,12 +99,12 @@
         clock,
         logger,
     });
-    const outages = createOutageEvidence({
+    const outages = createOutageTracker({
         storeSilentMs: health.silentMs,
         storeRegainedMs: health.regainedMs,
         clock,
     });
-    const store = createFedStore({
+    const store = createFeedBackedStore({
         self: context.settings.name,
         waitForStore: health.waitUntilServed,
         inner: health.store,
--- a/packages/daemon/src/startEntry.ts
+++ b/packages/daemon/src/startEntry.ts
@@ -4,7 +4,7 @@
 import { createPeerCall } from "@auburnarch/entry/createPeerCall";
 import type { EntryDeps } from "@auburnarch/entry/EntryDeps";
 import { serveEntry } from "@auburnarch/entry/serveEntry";
-import { createFileGroupKeep } from "@auburnarch/keep/createFileGroupKeep";
+import { createFileGroupStore } from "@auburnarch/keep/createFileGroupStore";
 import { createHttpSidecar } from "@auburnarch/send/createHttpSidecar";
 import { createBudgetedStore } from "@auburnarch/store/createBudgetedStore";
 import { createHttpObjectStore } from "@auburnarch/store/createHttpObjectStore";
@@ -44,7 +44,7 @@
     if (settings.dataFolder === undefined) {
         return undefined;
     }
-    return createFileGroupKeep(join(settings.dataFolder, "groups"), { clock: context.clock, logger });
+    return createFileGroupStore(join(settings.dataFolder, "groups"), { clock: context.clock, logger });
 }
 
 /** Starts the entry role from checked settings and resolves once it listens. */
@@ -80,7 +80,7 @@
         store,
         vmList: createHttpVmList(settings.vmListUrl),
         scoring: createHttpScoring(settings.scoringUrl!),
-        keep,
+        groupStore: keep,
         cursorKey: settings.cursorKey!,
         seeds: [...settings.seeds, ...snapshot?.peers ?? []],
         startSnapshot: snapshot,
--- a/packages/daemon/src/startGateway.ts
+++ b/packages/daemon/src/startGateway.ts
@@ -1,11 +1,11 @@
 import { createGateway } from "@auburnarch/gateway/createGateway";
 import { createRunnerResults } from "@auburnarch/gateway/createRunnerResults";
-import { createLotReader } from "@auburnarch/lots/createLotReader";
-import { createLotStore } from "@auburnarch/lots/createLotStore";
+import { createBatchJobReader } from "@auburnarch/lots/createBatchJobReader";
+import { createBatchJobStore } from "@auburnarch/lots/createBatchJobStore";
 import { decodeLot } from "@auburnarch/platform/decodeLot";
 import { serveClients } from "@auburnarch/platform/serveClients";
 import { splitAddress } from "@auburnarch/platform/splitAddress";
-import { createRelay } from "@auburnarch/relay/createRelay";
+import { createRequestForwarder } from "@auburnarch/relay/createRequestForwarder";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { RoleContext } from "./RoleContext.js";
 import type { RunningRole } from "./RunningRole.js";
@@ -30,8 +30,8 @@
 export async function startGateway(context: RoleContext): Promise<RunningRole> {
     const { settings, clock, random, logger, metrics, invariants } = context;
     const common = startCommon(context, () => false, idleTouchIntervalMs);
-    const lots = createLotStore(common.store);
-    const relay = createRelay({
+    const lots = createBatchJobStore(common.store);
+    const relay = createRequestForwarder({
         ...common,
         clock,
         random: random.fork(),
@@ -45,10 +45,10 @@
     const gateway = createGateway({
         ...common,
         routingAgeMs: common.tables.ageMs,
-        relay,
-        lots,
-        reader: createLotReader(lots, clock, results),
-        decodeLot,
+        forwardRequest: relay,
+        batchJobStore: lots,
+        batchJobReader: createBatchJobReader(lots, clock, results),
+        decodeBatchJob: decodeLot,
         clock,
         logger,
         metrics,
@@ -70,7 +70,7 @@
 
     return {
         shutdown: async () => {
-            gateway.leave();
+            gateway.markNotReady();
             served.leave();
             const endMs = clock.monotonicMs() + settings.gracePeriodMs - exitSlackMs;
             await clock.sleep(balancerNoticesMs);
--- a/packages/daemon/src/startRunner.ts
+++ b/packages/daemon/src/startRunner.ts
@@ -1,6 +1,6 @@
 import { watchKind } from "@auburnarch/discovery/watchKind";
-import { lotKinds } from "@auburnarch/lots/lotKinds";
-import { lotSchemas } from "@auburnarch/lots/lotSchemas";
+import { batchJobKinds } from "@auburnarch/lots/batchJobKinds";
+import { batchJobSchemas } from "@auburnarch/lots/batchJobSchemas";
 import { createFeedHub } from "@auburnarch/peers/createFeedHub";
 import type { FeedHub } from "@auburnarch/peers/FeedHub";
 import { createEngineOrders } from "@auburnarch/platform/createEngineOrders";
@@ -50,7 +50,11 @@
         registration,
         incarnation: random.nextId(),
         failureDomain: settings.failureDomain as FailureDomain,
-        entries: watchKind({ ...watched, kind: lotKinds.entries, decode: decodeWith(lotSchemas.entry) }),
+        entries: watchKind({
+            ...watched,
+            kind: batchJobKinds.entries,
+            decode: decodeWith(batchJobSchemas.entry),
+        }),
         registered: common.runners,
         watchVersions: () =>
             watchKind({
@@ -66,14 +70,14 @@
         }),
         reportRetirement: state =>
             common.writeStatus(`${platformKinds.retirements}/${settings.name}`, { state }),
-        shelf,
+        textCache: shelf,
         readEvents: readItemEvents,
         orders: createEngineOrders(clock, common.agentFor),
         probe: common.links.status,
         usage: createUsageDeps(context, common.extras.starts),
         trueTime: common.extras.trueTime,
         orderHandOverMs: settings.orderHandOverMs,
-        lotRetentionMs: settings.lotRetentionMs,
+        batchJobRetentionMs: settings.lotRetentionMs,
         maxLoading: settings.maxLoadingSamplers,
     });
     const hub = createFeedHub({
@@ -82,7 +86,7 @@
         store: common.ownStore,
         gatherMsOf: prefix => prefix === `${platformKinds.samplers}/` ? samplerGatherMs : 0,
         waitMsOf: prefix => slowKinds.has(prefix) ? slowWaitMs : undefined,
-        storeHeardMs: common.storeHeardMs,
+        sinceStoreAnswerMs: common.storeHeardMs,
         sinceOutageMs: runner.sinceOutageMs,
         clock,
         logger,
--- a/packages/daemon/src/startSidecar.ts
+++ b/packages/daemon/src/startSidecar.ts
@@ -1,15 +1,15 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
 import type { Settings } from "@auburnarch/config/Settings";
 import { createPeerCall } from "@auburnarch/entry/createPeerCall";
-import { createGate } from "@auburnarch/gate/createGate";
-import type { Gate } from "@auburnarch/gate/Gate";
-import type { GateDeps } from "@auburnarch/gate/GateDeps";
-import { learnWithinMs } from "@auburnarch/gate/learnWithinMs";
-import { serveGate } from "@auburnarch/gate/serveGate";
+import { createSidecar } from "@auburnarch/gate/createSidecar";
+import { initialConfigWaitMs } from "@auburnarch/gate/initialConfigWaitMs";
+import { serveSidecar } from "@auburnarch/gate/serveSidecar";
+import type { Sidecar } from "@auburnarch/gate/Sidecar";
+import type { SidecarDependencies } from "@auburnarch/gate/SidecarDependencies";
 import { createReadFencing } from "@auburnarch/lease/createReadFencing";
 import { createReporter } from "@auburnarch/membership/createReporter";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
-import { createFollower } from "@auburnarch/spread/createFollower";
+import { createDocumentFollower } from "@auburnarch/spread/createDocumentFollower";
 import { createBudgetedStore } from "@auburnarch/store/createBudgetedStore";
 import { createHttpEngine } from "@auburnarch/store/createHttpEngine";
 import { createHttpObjectStore } from "@auburnarch/store/createHttpObjectStore";
@@ -51,7 +51,7 @@
     context: ProcessContext,
     identity: SamplerIdentity,
     toolbox: ReturnType<typeof createToolbox>,
-): GateDeps {
+): SidecarDependencies {
     const { clock, random } = context;
     const store = createBudgetedStore(createHttpObjectStore(settings.objectApiUrl), {
         clock,
@@ -68,12 +68,12 @@
         backend: settings.backendUrl === undefined ? undefined : createHttpPlainBackend(settings.backendUrl),
         weightStore: createHttpWeightStore(settings.weightStoreUrl ?? ""),
         readFencing: createReadFencing(store),
-        learnWithinMs,
+        initialConfigWaitMs,
     };
 }
 
 /** Metrics of a sidecar, with its gauges as of now. */
-function renderSidecar(gate: Gate, metrics: Metrics): Promise<string> {
+function renderSidecar(gate: Sidecar, metrics: Metrics): Promise<string> {
     const report = gate.report();
     metrics.set("gate_running", {}, report.running);
     metrics.set("gate_waiting", {}, report.waiting);
@@ -91,8 +91,8 @@
     const { logger } = toolbox;
     const identity = identify(settings);
     const trust = await openTrust(settings, { clock, logger });
-    const gate = createGate(createGateDeps(settings, context, identity, toolbox));
-    const served = await serveGate(gate, {
+    const gate = createSidecar(createGateDeps(settings, context, identity, toolbox));
+    const served = await serveSidecar(gate, {
         host: settings.listenHost,
         port: settings.listenPort,
         clock,
@@ -106,7 +106,7 @@
     identity.address = addressOf(settings, served.port);
 
     const { invariants } = toolbox;
-    const follower = createFollower(
+    const follower = createDocumentFollower(
         { invariants, logger, faultsOf: faultsOfDocument },
         document => takeDocument(gate, document),
     );
--- a/packages/daemon/src/takeDocument.ts
+++ b/packages/daemon/src/takeDocument.ts
@@ -1,10 +1,10 @@
 import { readManifestDocument } from "@auburnarch/config/readManifestDocument";
-import type { Gate } from "@auburnarch/gate/Gate";
+import type { Sidecar } from "@auburnarch/gate/Sidecar";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 
 /** Hands a shared document to a gate, which takes it only if it is newer. */
-export function takeDocument(gate: Gate, document: SharedDocument): void {
+export function takeDocument(gate: Sidecar, document: SharedDocument): void {
     const { name, version, value } = document;
     const manifest = name === "manifest" ? readManifestDocument(document) : undefined;
     if (manifest !== undefined) {
--- a/packages/daemon/src/testing/createFedFleet.ts
+++ b/packages/daemon/src/testing/createFedFleet.ts
@@ -9,9 +9,9 @@
 import { ResultError } from "@auburnarch/errors/ResultError";
 import { createFakeObjectStore } from "@auburnarch/fakes/createFakeObjectStore";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
-import { createFedStore } from "@auburnarch/peers/createFedStore";
+import { createFeedBackedStore } from "@auburnarch/peers/createFeedBackedStore";
 import { createFeedHub } from "@auburnarch/peers/createFeedHub";
-import { createOutageEvidence } from "@auburnarch/peers/createOutageEvidence";
+import { createOutageTracker } from "@auburnarch/peers/createOutageTracker";
 import { createRunnerCaller } from "@auburnarch/peers/createRunnerCaller";
 import type { FeedAnswer } from "@auburnarch/peers/FeedAnswer";
 import type { FeedHub } from "@auburnarch/peers/FeedHub";
@@ -112,7 +112,7 @@
                 feeder: avoided => chooseFeeder(self, health.silentMs() === 0, peersOf(), avoided),
                 store: health.store,
                 gatherMsOf: () => 0,
-                storeHeardMs: health.heardMs,
+                sinceStoreAnswerMs: health.heardMs,
                 sinceOutageMs: monitor.sinceOutageMs,
                 clock,
                 logger: silent,
@@ -121,12 +121,12 @@
         if (hub !== undefined) {
             hubs.set(self, hub);
         }
-        const outages = createOutageEvidence({
+        const outages = createOutageTracker({
             storeSilentMs: health.silentMs,
             storeRegainedMs: health.regainedMs,
             clock,
         });
-        const fed = createFedStore({
+        const fed = createFeedBackedStore({
             self,
             inner: health.store,
             hub: () => hub,
--- a/packages/daemon/src/testing/createMemorySystem.ts
+++ b/packages/daemon/src/testing/createMemorySystem.ts
@@ -16,15 +16,15 @@
 import type { FakeEngineControl } from "@auburnarch/fakes/FakeEngineControl";
 import type { FakePlainServiceControl } from "@auburnarch/fakes/FakePlainServiceControl";
 import type { FakeStoreControl } from "@auburnarch/fakes/FakeStoreControl";
-import { createGate } from "@auburnarch/gate/createGate";
-import type { Gate } from "@auburnarch/gate/Gate";
-import { learnWithinMs } from "@auburnarch/gate/learnWithinMs";
+import { createSidecar } from "@auburnarch/gate/createSidecar";
+import { initialConfigWaitMs } from "@auburnarch/gate/initialConfigWaitMs";
+import type { Sidecar } from "@auburnarch/gate/Sidecar";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createReadFencing } from "@auburnarch/lease/createReadFencing";
 import { createLogger } from "@auburnarch/log/createLogger";
 import { createReporter } from "@auburnarch/membership/createReporter";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
-import { createFollower } from "@auburnarch/spread/createFollower";
+import { createDocumentFollower } from "@auburnarch/spread/createDocumentFollower";
 import type { EntryId } from "@auburnarch/types/EntryId";
 import type { EntryRecord } from "@auburnarch/types/EntryRecord";
 import type { Logger } from "@auburnarch/types/Logger";
@@ -43,7 +43,7 @@
 const firstVersion = 0 as WeightVersion;
 
 interface MemorySampler {
-    gate: Gate;
+    gate: Sidecar;
     engine: FakeEngineControl | undefined;
     backend: FakePlainServiceControl | undefined;
 }
@@ -113,7 +113,7 @@
             store,
             vmList,
             scoring,
-            keep: undefined,
+            groupStore: undefined,
             cursorKey: "a cursor key of the memory system",
             seeds: [],
             leaseTtlMs,
@@ -151,7 +151,7 @@
             region,
         };
         vms.add({ ...identity, role: "sidecar", state: "live" });
-        const gate = createGate({
+        const gate = createSidecar({
             ...own,
             identity,
             clock,
@@ -160,10 +160,10 @@
             backend,
             weightStore,
             readFencing: createReadFencing(store),
-            learnWithinMs,
+            initialConfigWaitMs,
         });
         samplers.set(sampler.sampler, { gate, ...controls });
-        const follower = createFollower(
+        const follower = createDocumentFollower(
             { invariants: own.invariants, logger: own.logger, faultsOf: faultsOfDocument },
             document => takeDocument(gate, document),
         );
--- a/packages/daemon/src/watchState.ts
+++ b/packages/daemon/src/watchState.ts
@@ -1,4 +1,4 @@
-import type { Gate } from "@auburnarch/gate/Gate";
+import type { Sidecar } from "@auburnarch/gate/Sidecar";
 import type { Clock } from "@auburnarch/types/Clock";
 
 const everyMs = 250;
@@ -7,7 +7,7 @@
  * Calls `onChange` soon after a gate's state, or what its engine serves, has changed: entries that heard of it only
  * with the next usual report would send it work for seconds that it refuses. The returned function ends that.
  */
-export function watchState(gate: Gate, clock: Clock, onChange: () => void): () => void {
+export function watchState(gate: Sidecar, clock: Clock, onChange: () => void): () => void {
     const stopped = new AbortController();
 
     function describe(): string {
--- a/packages/dispatch/src/Dispatcher.ts
+++ b/packages/dispatch/src/Dispatcher.ts
@@ -12,7 +12,7 @@
     /** Ends tasks whose samples are no longer wanted; their engine time is overhead. */
     withdraw(samples: SampleId[]): void;
     /** What is made of a wanted sample so far; empty for one that is not wanted. */
-    textOf(sample: SampleId): TokenSpan[];
+    spansOf(sample: SampleId): TokenSpan[];
     /** Tells of a newly published version and the oldest version that may still be used from now on. */
     raiseMinVersion(published: WeightVersion, minVersion: WeightVersion): void;
     waiting(): number;
--- a/packages/dispatch/src/DispatcherDeps.ts
+++ b/packages/dispatch/src/DispatcherDeps.ts
@@ -24,16 +24,16 @@
     sidecar: (sampler: SamplerId) => SidecarPort;
     /** False once the lease is lost or lapsed: nothing more is sent. */
     mayAct: () => boolean;
-    onMade: (made: MadeSample) => void;
+    onSampleGenerated: (generated: MadeSample) => void;
     /** True if one more attempt after a failure is within the retry budget; by default one of this dispatcher alone. */
     takeRetry?: () => boolean;
     /**
      * Tokens a second of single generations at a sampler as seen now, over all dispatchers of the process; by default
      * what this dispatcher's ended attempts came to.
      */
-    paceOf?: (sampler: SamplerId) => number | undefined;
+    measuredTokensPerSecond?: (sampler: SamplerId) => number | undefined;
     /** An attempt is given up after this long without a token from a sampler that is suspected down. */
-    stallMs?: number;
+    stallTimeoutMs?: number;
     /** True if the swap roller is about to order this sampler to swap; by default none is. */
     isAboutToSwap?: (sampler: SamplerId) => boolean;
 }
--- a/packages/dispatch/src/MoveRule.ts
+++ b/packages/dispatch/src/MoveRule.ts
@@ -3,7 +3,7 @@
 /** A running attempt as the rule for moves sees it. */
 interface MovableAttempt {
     /** Where it runs; undefined if that sampler is no candidate any more. */
-    here: Candidate | undefined;
+    current: Candidate | undefined;
     leftTokens: number;
     /** Tokens to be read again elsewhere. */
     madeTokens: number;
--- a/packages/dispatch/src/RunningAttempt.ts
+++ b/packages/dispatch/src/RunningAttempt.ts
@@ -1,7 +1,7 @@
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
-import type { Work } from "./Work.js";
+import type { SampleWork } from "./SampleWork.js";
 
 /** Why the dispatcher itself ended an attempt. */
 type EndCause = "withdrawn" | "stale" | "moved" | "stalled" | "lostRace" | "stopped";
@@ -9,11 +9,11 @@
 /** An attempt that was sent and has not ended. */
 export interface RunningAttempt {
     attempt: AttemptId;
-    work: Work;
+    work: SampleWork;
     sampler: SamplerId;
     abort: AbortController;
     /** Spans it continues behind. */
-    resumed: TokenSpan[];
+    resumedSpans: TokenSpan[];
     /** Spans streamed so far, behind those resumed from. */
     spans: TokenSpan[];
     tokens: number;
--- a/packages/dispatch/src/Work.ts
+++ b/packages/dispatch/src/SampleWork.ts
@@ -5,7 +5,7 @@
 import type { RunningAttempt } from "./RunningAttempt.js";
 
 /** A sample that is wanted and not made yet. */
-export interface Work extends WaitingSample {
+export interface SampleWork extends WaitingSample {
     minVersion: WeightVersion;
     /** Spans to continue behind, from attempts that ended early; empty for a fresh start. */
     resume: TokenSpan[];
--- a/packages/dispatch/src/isProven.ts
+++ b/packages/dispatch/src/areSpansReliable.ts
@@ -7,6 +7,6 @@
  * that does not state versions may have had other weights meanwhile: the sidecar notices only at the attempt's end,
  * and a sample continued behind such spans would name versions that did not make it.
  */
-export function isProven(sampler: SamplerView | undefined, code: ResultCode): boolean {
+export function areSpansReliable(sampler: SamplerView | undefined, code: ResultCode): boolean {
     return sampler?.report.stampsVersions === true && code !== resultCodes.incarnationChanged;
 }
--- a/packages/dispatch/src/breakingSample.test.ts
+++ b/packages/dispatch/src/crashInducingSample.test.ts
@@ -17,9 +17,9 @@
 type Outcome = AttemptOutcome<SampleAnswer>;
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
-const killer = "job/0/0/0";
+const crashInducingSample = "job/0/0/0";
 const samplers = ["s1", "s2", "s3", "s4"];
-const killAfterMs = 50;
+const crashAfterMs = 50;
 const runMs = 200;
 const restartMs = 3_000;
 
@@ -84,9 +84,9 @@
                 resolve(outcome);
             };
             running.add(end);
-            if (attempt.sample === killer) {
+            if (attempt.sample === crashInducingSample) {
                 killerRunsAtMs.push(clock.monotonicMs());
-                clock.startTimer(killAfterMs, () => crash(sampler));
+                clock.startTimer(crashAfterMs, () => crash(sampler));
                 return;
             }
             const answer = {
@@ -112,7 +112,7 @@
             runSample: attempt => runSample(sampler, attempt),
         } as Partial<SidecarPort> as SidecarPort),
         mayAct: () => true,
-        onMade: () => madeAtMs.push(clock.monotonicMs()),
+        onSampleGenerated: () => madeAtMs.push(clock.monotonicMs()),
         takeRetry: () => true,
     });
     return { clock, dispatcher, killerRunsAtMs, madeAtMs };
--- a/packages/dispatch/src/createAttemptRunner.ts
+++ b/packages/dispatch/src/createAttemptRunner.ts
@@ -9,13 +9,13 @@
 import type { DispatcherDeps } from "./DispatcherDeps.js";
 import type { DispatchState } from "./DispatchState.js";
 import type { RunningAttempt } from "./RunningAttempt.js";
-import type { Work } from "./Work.js";
+import type { SampleWork } from "./SampleWork.js";
 
 type Picked = Extract<PickDecision, { kind: "picked"; }>;
 
 /** Sends attempts and ends them. */
 interface AttemptRunner {
-    send(work: Work, candidate: Candidate, decision: Picked, nowMs: number): void;
+    send(work: SampleWork, candidate: Candidate, decision: Picked, nowMs: number): void;
     /** Cancels; the outcome still comes. */
     end(attempt: RunningAttempt, cause: NonNullable<RunningAttempt["endCause"]>): void;
     /** Forgets the attempt; true the first time. */
@@ -35,10 +35,10 @@
     onOutcome: (attempt: RunningAttempt, outcome: AttemptOutcome<SampleAnswer>) => void,
 ): AttemptRunner {
     const { clock, logger, metrics } = deps;
-    const awaited = new Set<Promise<void>>();
+    const pendingOutcomes = new Set<Promise<void>>();
 
     function toSampleAttempt(
-        work: Work,
+        work: SampleWork,
         attempt: AttemptId,
         nowMs: number,
         tokensPerSecond: number,
@@ -82,29 +82,29 @@
         metrics.count("dispatch_attempts_total", { job: deps.job().job, reason: decision.reason });
     }
 
-    function note(attempt: RunningAttempt, candidate: Candidate): void {
+    function recordSent(attempt: RunningAttempt, candidate: Candidate): void {
         const { work, sampler } = attempt;
         state.queue.remove(work);
         state.attempts.add(attempt);
         state.attemptsSent++;
-        state.ledger.noteSent(attempt);
-        state.hints.noteSent(work.task.prompt, sampler, attempt.sentAtMs);
+        state.samplerStats.recordSent(attempt);
+        state.prefixHints.recordSent(work.task.prompt, sampler, attempt.sentAtMs);
         work.running.add(attempt);
         work.attemptsSent++;
         candidate.outstanding++;
         candidate.outstandingTokens += work.expectedTokens;
         candidate.sentSinceReport++;
         candidate.room--;
-        candidate.lastSentOrder = state.ledger.record(sampler).lastSentOrder;
+        candidate.lastSentOrder = state.samplerStats.recordOf(sampler).lastSentOrder;
     }
 
-    function send(work: Work, candidate: Candidate, decision: Picked, nowMs: number): void {
+    function send(work: SampleWork, candidate: Candidate, decision: Picked, nowMs: number): void {
         const attempt: RunningAttempt = {
             attempt: deps.random.nextId() as AttemptId,
             work,
             sampler: decision.sampler,
             abort: new AbortController(),
-            resumed: work.resume,
+            resumedSpans: work.resume,
             spans: [],
             tokens: 0,
             expectedTokens: work.expectedTokens,
@@ -114,18 +114,18 @@
             firstSpanTokens: 0,
             endCause: undefined,
         };
-        note(attempt, candidate);
+        recordSent(attempt, candidate);
         logPick(attempt, decision);
         const speed = candidate.observedTokensPerSecond ?? fallbackTokensPerSecond;
         const request = toSampleAttempt(work, attempt.attempt, nowMs, speed);
         const outcome = deps.sidecar(attempt.sampler)
-            .runSample(request, span => takeSpan(attempt, span), attempt.abort.signal);
-        const ended = outcome.then(settled => onOutcome(attempt, settled));
-        awaited.add(ended);
-        void ended.finally(() => awaited.delete(ended));
+            .runSample(request, span => recordSpan(attempt, span), attempt.abort.signal);
+        const handled = outcome.then(settled => onOutcome(attempt, settled));
+        pendingOutcomes.add(handled);
+        void handled.finally(() => pendingOutcomes.delete(handled));
     }
 
-    function takeSpan(attempt: RunningAttempt, span: TokenSpan): void {
+    function recordSpan(attempt: RunningAttempt, span: TokenSpan): void {
         const nowMs = clock.monotonicMs();
         attempt.spans.push(span);
         attempt.tokens += span.tokens;
@@ -152,11 +152,11 @@
                 return false;
             }
             attempt.work.running.delete(attempt);
-            state.ledger.noteEnded(attempt, clock.monotonicMs());
+            state.samplerStats.recordEnded(attempt, clock.monotonicMs());
             return true;
         },
         settled: async () => {
-            await Promise.all(awaited);
+            await Promise.all(pendingOutcomes);
         },
     };
 }
--- a/packages/dispatch/src/createBaselinePolicy.ts
+++ b/packages/dispatch/src/createBaselinePolicy.ts
@@ -2,7 +2,7 @@
 import { orderByArrival } from "@auburnarch/queue/orderByArrival";
 import { createMaxLengthModel } from "./createMaxLengthModel.js";
 import type { DispatchPolicy } from "./DispatchPolicy.js";
-import { hasOutgrown } from "./hasOutgrown.js";
+import { hasExceededExpectedLength } from "./hasExceededExpectedLength.js";
 import { holdNever } from "./holdNever.js";
 import { moveNever } from "./moveNever.js";
 import { priorityFixed } from "./priorityFixed.js";
@@ -18,7 +18,7 @@
         hold: holdNever,
         room: roomUnbounded,
         thin: thinNever,
-        movable: hasOutgrown,
+        movable: hasExceededExpectedLength,
         move: moveNever,
         priority: priorityFixed,
         createLengthModel: createMaxLengthModel,
--- a/packages/dispatch/src/createSendingRound.ts
+++ b/packages/dispatch/src/createDispatchRound.ts
@@ -10,36 +10,39 @@
 import type { RunningAttempt } from "./RunningAttempt.js";
 
 /** One look at the samplers and the queue. */
-interface SendingRound {
+interface DispatchRound {
     run(): void;
 }
 
 /** Waiting samples that one round passes over at most, since looking at each costs time. */
-const maxPassedOver = 256;
+const maxSkipped = 256;
 
 /** Makes the round of one dispatcher: first stragglers are moved, then waiting samples are sent. */
-export function createSendingRound(
+export function createDispatchRound(
     deps: DispatcherDeps,
     state: DispatchState,
     placement: ReturnType<typeof createPlacement>,
     runner: ReturnType<typeof createAttemptRunner>,
-): SendingRound {
+): DispatchRound {
     const { clock, logger } = deps;
 
-    function expectLeft(attempt: RunningAttempt, madeTokens: number): number {
+    function expectRemaining(attempt: RunningAttempt, madeTokens: number): number {
         const { prompt, maxTokens } = attempt.work.task;
-        return state.lengths.expectRemaining(prompt, madeTokens, maxTokens);
+        return state.lengthModel.expectRemaining(prompt, madeTokens, maxTokens);
     }
 
     /** Ends attempts that go on faster elsewhere; their samples come first when the ends are in. */
     function moveStragglers(candidates: Candidate[], nowMs: number): void {
         for (const attempt of findMovable(state)) {
             const { work, sampler } = attempt;
-            const here = candidates.find(({ view }) => view.report.sampler === sampler);
-            const madeTokens = countTokens(attempt.resumed) + attempt.tokens;
-            const leftTokens = expectLeft(attempt, madeTokens);
-            const able = placement.listAble(work, candidates, nowMs);
-            const target = state.policy.move({ here, leftTokens, madeTokens, moves: work.moves }, able);
+            const current = candidates.find(({ view }) => view.report.sampler === sampler);
+            const madeTokens = countTokens(attempt.resumedSpans) + attempt.tokens;
+            const leftTokens = expectRemaining(attempt, madeTokens);
+            const eligible = placement.listEligible(work, candidates, nowMs);
+            const target = state.policy.move(
+                { current, leftTokens, madeTokens, moves: work.moves },
+                eligible,
+            );
             if (target === undefined) {
                 continue;
             }
@@ -59,18 +62,18 @@
     }
 
     function sendWaiting(candidates: Candidate[], nowMs: number): void {
-        let passedOver = 0;
+        let skipped = 0;
         const backlogMs = estimateBacklogMs(state, candidates);
         const oldest = oldestStep(state);
         const { freshnessWeight } = deps.job();
-        const tokensPerMs = state.ledger.meanTokensPerSecond() / 1000;
+        const tokensPerMs = state.samplerStats.meanTokensPerSecond() / 1000;
         for (const work of state.queue.due(nowMs)) {
-            if (passedOver > maxPassedOver || !candidates.some(candidate => candidate.room > 0)) {
+            if (skipped > maxSkipped || !candidates.some(candidate => candidate.room > 0)) {
                 return;
             }
             const { latestStartMs } = work;
             const stepsAhead = work.task.step - oldest;
-            const longRunMs = state.lengths.longTokens(work.task.maxTokens) / tokensPerMs;
+            const longRunMs = state.lengthModel.longTokens(work.task.maxTokens) / tokensPerMs;
             const timing = { stepsAhead, latestStartMs, backlogMs, longRunMs, freshnessWeight, nowMs };
             if (state.policy.hold(timing)) {
                 continue;
@@ -81,7 +84,7 @@
                 runner.send(work, chosen!, decision, nowMs);
                 continue;
             }
-            passedOver++;
+            skipped++;
             if (chosen !== undefined) {
                 chosen.reserved++;
             }
--- a/packages/dispatch/src/createDispatchState.ts
+++ b/packages/dispatch/src/createDispatchState.ts
@@ -1,11 +1,11 @@
 import { createWaitingQueue } from "@auburnarch/queue/createWaitingQueue";
 import { createNeedForecast } from "./createNeedForecast.js";
 import { createPrefixHints } from "./createPrefixHints.js";
-import { createSamplerLedger } from "./createSamplerLedger.js";
+import { createSamplerStats } from "./createSamplerStats.js";
 import type { DispatcherDeps } from "./DispatcherDeps.js";
 import type { DispatchPolicy } from "./DispatchPolicy.js";
 import type { DispatchState } from "./DispatchState.js";
-import type { Work } from "./Work.js";
+import type { SampleWork } from "./SampleWork.js";
 
 /** State of a dispatcher that has nothing to do yet. */
 export function createDispatchState(
@@ -14,13 +14,13 @@
 ): DispatchState {
     return {
         policy,
-        queue: createWaitingQueue<Work>(policy.order),
-        wanted: new Map(),
+        queue: createWaitingQueue<SampleWork>(policy.order),
+        unfinished: new Map(),
         attempts: new Set(),
-        ledger: createSamplerLedger(),
-        lengths: policy.createLengthModel(),
-        needs: createNeedForecast(() => deps.job().stepNeedMs),
-        hints: createPrefixHints(),
+        samplerStats: createSamplerStats(),
+        lengthModel: policy.createLengthModel(),
+        needForecast: createNeedForecast(() => deps.job().stepNeedMs),
+        prefixHints: createPrefixHints(),
         attemptsSent: 0,
         isStopped: false,
     };
--- a/packages/dispatch/src/createDispatcher.test.ts
+++ b/packages/dispatch/src/createDispatcher.test.ts
@@ -92,7 +92,7 @@
         listSamplers: () => views,
         sidecar: sidecarOf,
         mayAct,
-        onMade: sample => made.push(sample),
+        onSampleGenerated: sample => made.push(sample),
     });
     /** Ends what is in flight as sidecars do at a cancel, so that `stop` need not wait. */
     const stop = (): Promise<void> => {
--- a/packages/dispatch/src/createMoveRule.ts
+++ b/packages/dispatch/src/createMoveRule.ts
@@ -4,13 +4,13 @@
 
 interface MoveRuleOptions {
     /** A move pays if it saves this part of the time left, and this much. */
-    leastGainRatio: number;
-    leastGainMs: number;
+    minGainRatio: number;
+    minGainMs: number;
     maxMoves: number;
     /** Tokens are read again this many times faster than they are generated. */
     prefillSpeedup: number;
     /** For cancelling, sending and queueing again. */
-    handOverMs: number;
+    moveOverheadMs: number;
 }
 
 /**
@@ -18,25 +18,26 @@
  * read again there, which costs a small part of making them; a second attempt beside the first would cost all of it.
  */
 export function createMoveRule(options: MoveRuleOptions): MoveRule {
-    const { leastGainRatio, leastGainMs, maxMoves, prefillSpeedup, handOverMs } = options;
-    return ({ here, leftTokens, madeTokens, moves }, candidates) => {
-        if (here === undefined || moves >= maxMoves) {
+    const { minGainRatio, minGainMs, maxMoves, prefillSpeedup, moveOverheadMs } = options;
+    return ({ current, leftTokens, madeTokens, moves }, candidates) => {
+        if (current === undefined || moves >= maxMoves) {
             return undefined;
         }
-        const hereMs = leftTokens / expectedTokensPerSecond(here, correctedLoad(here)) * 1000;
-        let best: typeof here | undefined;
-        let bestMs = Math.min(hereMs * (1 - leastGainRatio), hereMs - leastGainMs);
+        const currentMs = leftTokens / expectedTokensPerSecond(current, correctedLoad(current)) * 1000;
+        let best: typeof current | undefined;
+        let bestMs = Math.min(currentMs * (1 - minGainRatio), currentMs - minGainMs);
         for (const candidate of candidates) {
             if (
-                candidate.room <= 0 || candidate === here || candidate.aboutToSwap || candidate.view.suspected
+                candidate.room <= 0 || candidate === current || candidate.aboutToSwap
+                || candidate.view.suspected
             ) {
                 continue;
             }
             const speed = expectedTokensPerSecond(candidate, correctedLoad(candidate) + 1);
-            const thereMs = handOverMs + (leftTokens + madeTokens / prefillSpeedup) / speed * 1000;
-            if (thereMs < bestMs) {
+            const candidateMs = moveOverheadMs + (leftTokens + madeTokens / prefillSpeedup) / speed * 1000;
+            if (candidateMs < bestMs) {
                 best = candidate;
-                bestMs = thereMs;
+                bestMs = candidateMs;
             }
         }
         return best;
--- a/packages/dispatch/src/createOutcomes.ts
+++ b/packages/dispatch/src/createOutcomeHandler.ts
@@ -4,6 +4,7 @@
 import type { SampleAnswer } from "@auburnarch/types/SampleAnswer";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import { match } from "ts-pattern";
+import { areSpansReliable } from "./areSpansReliable.js";
 import { countTokens } from "./countTokens.js";
 import type { createAttemptRunner } from "./createAttemptRunner.js";
 import { createRetryAllowance } from "./createRetryAllowance.js";
@@ -11,22 +12,21 @@
 import type { DispatchState } from "./DispatchState.js";
 import { findStalled } from "./findStalled.js";
 import { isFruitless } from "./isFruitless.js";
-import { isProven } from "./isProven.js";
 import { joinSpans } from "./joinSpans.js";
 import { pauseAfterFailure } from "./pauseAfterFailure.js";
 import { pauseAfterRefusal } from "./pauseAfterRefusal.js";
 import type { RunningAttempt } from "./RunningAttempt.js";
-import type { Work } from "./Work.js";
+import type { SampleWork } from "./SampleWork.js";
 
 /** Decides what becomes of a sample when an attempt of it ends. */
-interface Outcomes {
-    take(attempt: RunningAttempt, outcome: AttemptOutcome<SampleAnswer>): void;
+interface OutcomeHandler {
+    handle(attempt: RunningAttempt, outcome: AttemptOutcome<SampleAnswer>): void;
     /** Gives up attempts whose sampler has gone silent, and sends their samples elsewhere. */
-    giveUpStalled(): void;
+    abandonStalled(): void;
 }
 
 /** A sidecar that is suspected down may still be heard again within this time. */
-const defaultStallMs = 2_000;
+const defaultStallTimeoutMs = 2_000;
 
 const fieldsOf = (attempt: RunningAttempt): { sample: string; attempt: string; sampler: string; } => ({
     sample: attempt.work.task.sample,
@@ -35,7 +35,7 @@
 });
 
 /** Keeps what an ended attempt made if all of it may still be used and it is more than what is there. */
-function keepSpans(work: Work, spans: TokenSpan[]): void {
+function saveResumeSpans(work: SampleWork, spans: TokenSpan[]): void {
     const isFresh = spans.every(span => span.version >= work.minVersion);
     if (isFresh && countTokens(spans) >= countTokens(work.resume)) {
         work.resume = spans;
@@ -43,28 +43,28 @@
 }
 
 /** Makes the outcome rules of one dispatcher. `enqueue` puts a sample back into the queue after a delay. */
-export function createOutcomes(
+export function createOutcomeHandler(
     deps: DispatcherDeps,
     state: DispatchState,
     runner: () => Pick<ReturnType<typeof createAttemptRunner>, "end" | "release">,
-    enqueue: (work: Work, delayMs: number) => void,
-): Outcomes {
+    enqueue: (work: SampleWork, delayMs: number) => void,
+): OutcomeHandler {
     const { clock, logger } = deps;
     const takeRetry = deps.takeRetry
         ?? createRetryAllowance(() => deps.limits().retryBudgetRatio, () => state.attemptsSent);
 
-    function enqueueIfIdle(work: Work, delayMs: number): void {
+    function enqueueIfIdle(work: SampleWork, delayMs: number): void {
         if (work.running.size === 0) {
             enqueue(work, delayMs);
         }
     }
 
-    function finish(work: Work, answer: SampleAnswer): void {
-        state.wanted.delete(work.task.sample);
+    function finish(work: SampleWork, answer: SampleAnswer): void {
+        state.unfinished.delete(work.task.sample);
         state.queue.remove(work);
         work.running.forEach(other => runner().end(other, "lostRace"));
         const tokens = countTokens(answer.spans);
-        state.lengths.observe(work.task.prompt, tokens);
+        state.lengthModel.observe(work.task.prompt, tokens);
         logger.info("sampleMade", {
             sample: work.task.sample,
             attempt: answer.attempt,
@@ -73,12 +73,12 @@
             spans: answer.spans.length,
             attempts: work.attemptsSent,
         });
-        deps.onMade({ task: work.task, answer });
+        deps.onSampleGenerated({ task: work.task, answer });
     }
 
-    function takeAnswer(attempt: RunningAttempt, answer: SampleAnswer, isFirst: boolean): void {
+    function onAnswer(attempt: RunningAttempt, answer: SampleAnswer, isFirst: boolean): void {
         const { work } = attempt;
-        state.hints.noteFound(work.task.prompt, attempt.sampler, answer.cachedPromptTokens);
+        state.prefixHints.recordCacheResult(work.task.prompt, attempt.sampler, answer.cachedPromptTokens);
         const isFresh = answer.spans.every(span => span.version >= work.minVersion);
         if (answer.complete && isFresh) {
             finish(work, answer);
@@ -88,7 +88,7 @@
             return;
         }
         if (isFresh) {
-            keepSpans(work, joinSpans(answer.spans));
+            saveResumeSpans(work, joinSpans(answer.spans));
         }
         logger.info("sampleRequeued", {
             ...fieldsOf(attempt),
@@ -98,9 +98,9 @@
         enqueueIfIdle(work, 0);
     }
 
-    function takeRefusal(attempt: RunningAttempt, code: ResultCode, retryAfterMs: number | undefined): void {
+    function onRefusal(attempt: RunningAttempt, code: ResultCode, retryAfterMs: number | undefined): void {
         if (code.number !== resultCodes.quarantined.number) {
-            state.ledger.noteRefused(attempt.sampler, retryAfterMs, clock.monotonicMs());
+            state.samplerStats.recordRefused(attempt.sampler, retryAfterMs, clock.monotonicMs());
         }
         logger.info("sampleRefused", {
             ...fieldsOf(attempt),
@@ -114,8 +114,8 @@
     function retry(attempt: RunningAttempt, code: ResultCode): void {
         const { work } = attempt;
         const sampler = deps.listSamplers().find(each => each.report.sampler === attempt.sampler);
-        if (isProven(sampler, code)) {
-            keepSpans(work, joinSpans(attempt.resumed, attempt.spans));
+        if (areSpansReliable(sampler, code)) {
+            saveResumeSpans(work, joinSpans(attempt.resumedSpans, attempt.spans));
         }
         work.failures++;
         work.fruitless = isFruitless(attempt, code) ? work.fruitless + 1 : 0;
@@ -133,23 +133,23 @@
         enqueueIfIdle(work, pauseAfterFailure(code, work, isAllowed));
     }
 
-    function giveUp(attempt: RunningAttempt): void {
+    function abandon(attempt: RunningAttempt): void {
         runner().end(attempt, "stalled");
         runner().release(attempt);
         retry(attempt, resultCodes.connectionBroken);
     }
 
     return {
-        take: (attempt, outcome) => {
+        handle: (attempt, outcome) => {
             const isFirst = runner().release(attempt);
-            if (state.isStopped || state.wanted.get(attempt.work.task.sample) !== attempt.work) {
+            if (state.isStopped || state.unfinished.get(attempt.work.task.sample) !== attempt.work) {
                 return;
             }
             match(outcome)
-                .with({ kind: "ran" }, ran => takeAnswer(attempt, ran.answer, isFirst))
+                .with({ kind: "ran" }, ran => onAnswer(attempt, ran.answer, isFirst))
                 .with({ kind: "notRun" }, notRun => {
                     if (isFirst) {
-                        takeRefusal(attempt, notRun.code, notRun.retryAfterMs);
+                        onRefusal(attempt, notRun.code, notRun.retryAfterMs);
                     }
                 })
                 .with({ kind: "unknown" }, unknown => {
@@ -159,21 +159,21 @@
                 })
                 .exhaustive();
         },
-        giveUpStalled: () => {
+        abandonStalled: () => {
             const nowMs = clock.monotonicMs();
             for (
                 const attempt of findStalled(
                     state.attempts,
                     deps.listSamplers(),
                     nowMs,
-                    deps.stallMs ?? defaultStallMs,
+                    deps.stallTimeoutMs ?? defaultStallTimeoutMs,
                 )
             ) {
                 logger.warn("attemptStalled", {
                     ...fieldsOf(attempt),
                     silentMs: nowMs - (attempt.lastSpanAtMs ?? attempt.sentAtMs),
                 });
-                giveUp(attempt);
+                abandon(attempt);
             }
         },
     };
--- a/packages/dispatch/src/createPlacement.ts
+++ b/packages/dispatch/src/createPlacement.ts
@@ -7,25 +7,25 @@
 import type { SamplerView } from "@auburnarch/types/SamplerView";
 import type { DispatcherDeps } from "./DispatcherDeps.js";
 import type { DispatchState } from "./DispatchState.js";
-import { findCritical } from "./findCritical.js";
-import type { Work } from "./Work.js";
+import { findCriticalSamplers } from "./findCriticalSamplers.js";
+import type { SampleWork } from "./SampleWork.js";
 
 /** Turns views into candidates and a waiting sample into a decision. */
 interface Placement {
     listCandidates(nowMs: number): Candidate[];
     /** Those of the candidates that are able to run it. */
-    listAble(work: Work, candidates: Candidate[], nowMs: number): Candidate[];
-    decide(work: Work, candidates: Candidate[], nowMs: number): PickDecision;
+    listEligible(work: SampleWork, candidates: Candidate[], nowMs: number): Candidate[];
+    decide(work: SampleWork, candidates: Candidate[], nowMs: number): PickDecision;
 }
 
 const charsPerToken = 4;
 
 /** Makes the placement of one dispatcher. */
 export function createPlacement(deps: DispatcherDeps, state: DispatchState): Placement {
-    const { ledger, hints, policy } = state;
+    const { samplerStats, prefixHints, policy } = state;
 
     function toCandidate(view: SamplerView, critical: ReadonlySet<SamplerId>, nowMs: number): Candidate {
-        const record = ledger.record(view.report.sampler);
+        const record = samplerStats.recordOf(view.report.sampler);
         let outstandingTokens = 0;
         let started = 0;
         for (const attempt of record.running) {
@@ -36,15 +36,16 @@
             view,
             outstanding: record.running.size,
             outstandingTokens,
-            sentSinceReport: ledger.sentSinceReport(view, nowMs),
+            sentSinceReport: samplerStats.sentSinceReport(view, nowMs),
             room: 0,
             reserved: 0,
             cachedPromptTokens: 0,
-            observedTokensPerSecond: deps.paceOf?.(view.report.sampler) ?? record.tokensPerSecond,
+            observedTokensPerSecond: deps.measuredTokensPerSecond?.(view.report.sampler)
+                ?? record.tokensPerSecond,
             aboutToSwap: deps.isAboutToSwap?.(view.report.sampler) ?? false,
             lastSentOrder: record.lastSentOrder,
         };
-        if (record.coolUntilMs <= nowMs) {
+        if (record.pausedUntilMs <= nowMs) {
             const { outstanding } = candidate;
             const { limit: reported } = view.report;
             const limit = critical.has(view.report.sampler) ? policy.thin(reported) : reported;
@@ -54,7 +55,7 @@
         return candidate;
     }
 
-    function toRequest(work: Work, candidates: Candidate[], nowMs: number): PickRequest {
+    function toRequest(work: SampleWork, candidates: Candidate[], nowMs: number): PickRequest {
         const { task } = work;
         const isSuspect = candidates.some(candidate =>
             candidate.view.report.suspects.some(suspect => suspect.digest === task.digest)
@@ -72,28 +73,38 @@
         };
     }
 
-    function noteHints(able: Candidate[], prompt: string, promptTokens: number, nowMs: number): void {
-        for (const candidate of able) {
+    function applyPrefixHints(
+        eligible: Candidate[],
+        prompt: string,
+        promptTokens: number,
+        nowMs: number,
+    ): void {
+        for (const candidate of eligible) {
             const sampler = candidate.view.report.sampler;
-            candidate.cachedPromptTokens = hints.expectCachedTokens(prompt, sampler, promptTokens, nowMs);
+            candidate.cachedPromptTokens = prefixHints.expectCachedTokens(
+                prompt,
+                sampler,
+                promptTokens,
+                nowMs,
+            );
         }
     }
 
     return {
         listCandidates: nowMs => {
-            const critical = findCritical(state, nowMs);
+            const critical = findCriticalSamplers(state, nowMs);
             return deps.listSamplers().map(view => toCandidate(view, critical, nowMs));
         },
-        listAble: (work, candidates, nowMs) =>
+        listEligible: (work, candidates, nowMs) =>
             selectCandidates(candidates, toRequest(work, candidates, nowMs)),
         decide: (work, candidates, nowMs) => {
             const request = toRequest(work, candidates, nowMs);
-            const able = selectCandidates(candidates, request);
-            if (able.length === 0) {
+            const eligible = selectCandidates(candidates, request);
+            if (eligible.length === 0) {
                 return { kind: "none", reason: "noneAble", candidates: 0 };
             }
-            noteHints(able, work.task.prompt, request.promptTokens, nowMs);
-            return policy.pick(able, request, deps.random);
+            applyPrefixHints(eligible, work.task.prompt, request.promptTokens, nowMs);
+            return policy.pick(eligible, request, deps.random);
         },
     };
 }
--- a/packages/dispatch/src/createPrefixHints.ts
+++ b/packages/dispatch/src/createPrefixHints.ts
@@ -3,14 +3,14 @@
 /** Guesses of which prompts are in which sampler's prefix cache. */
 interface PrefixHints {
     /** A prompt was sent to a sampler, so that its cache holds it for some time. */
-    noteSent(prompt: string, sampler: SamplerId, nowMs: number): void;
+    recordSent(prompt: string, sampler: SamplerId, nowMs: number): void;
     /** What the engine said it found: corrects a hint that was wrong. */
-    noteFound(prompt: string, sampler: SamplerId, cachedTokens: number): void;
+    recordCacheResult(prompt: string, sampler: SamplerId, cachedTokens: number): void;
     expectCachedTokens(prompt: string, sampler: SamplerId, promptTokens: number, nowMs: number): number;
 }
 
 const halfLifeMs = 30_000;
-const promptsKept = 4_096;
+const maxPrompts = 4_096;
 
 /**
  * Remembers where prompts went. Caches are limited and their events late and lossy, so a hint loses half its
@@ -19,15 +19,15 @@
 export function createPrefixHints(): PrefixHints {
     const prompts = new Map<string, Map<SamplerId, number>>();
     return {
-        noteSent: (prompt, sampler, nowMs) => {
+        recordSent: (prompt, sampler, nowMs) => {
             const sent = prompts.get(prompt) ?? new Map<SamplerId, number>();
             prompts.delete(prompt);
             prompts.set(prompt, sent.set(sampler, nowMs));
-            if (prompts.size > promptsKept) {
+            if (prompts.size > maxPrompts) {
                 prompts.delete(prompts.keys().next().value!);
             }
         },
-        noteFound: (prompt, sampler, cachedTokens) => {
+        recordCacheResult: (prompt, sampler, cachedTokens) => {
             if (cachedTokens === 0) {
                 prompts.get(prompt)?.delete(sampler);
             }
--- a/packages/dispatch/src/createPromptLengthModel.ts
+++ b/packages/dispatch/src/createPromptLengthModel.ts
@@ -2,8 +2,8 @@
 
 const historySize = 512;
 /** Observations between two looks for the long length. */
-const longEvery = 32;
-const promptsKept = 8_192;
+const longTokensInterval = 32;
+const maxPrompts = 8_192;
 /** Weight of the job's mean against the samples of the prompt seen so far. */
 const priorWeight = 2;
 
@@ -16,25 +16,25 @@
 export function createPromptLengthModel(): LengthModel {
     const history: number[] = [];
     const prompts = new Map<string, { sum: number; count: number; }>();
-    let next = 0;
+    let nextIndex = 0;
     let historySum = 0;
     let longTokens = 0;
-    let observedSinceLong = longEvery;
+    let observedSinceUpdate = longTokensInterval;
 
-    function noteHistory(tokens: number): void {
-        observedSinceLong++;
-        historySum += tokens - (history[next] ?? 0);
-        history[next] = tokens;
-        next = (next + 1) % historySize;
+    function recordHistory(tokens: number): void {
+        observedSinceUpdate++;
+        historySum += tokens - (history[nextIndex] ?? 0);
+        history[nextIndex] = tokens;
+        nextIndex = (nextIndex + 1) % historySize;
     }
 
-    function notePrompt(prompt: string, tokens: number): void {
+    function recordPrompt(prompt: string, tokens: number): void {
         const known = prompts.get(prompt) ?? { sum: 0, count: 0 };
         known.sum += tokens;
         known.count++;
         prompts.delete(prompt);
         prompts.set(prompt, known);
-        if (prompts.size > promptsKept) {
+        if (prompts.size > maxPrompts) {
             prompts.delete(prompts.keys().next().value!);
         }
     }
@@ -62,25 +62,25 @@
 
     return {
         observe: (prompt, tokens) => {
-            noteHistory(tokens);
-            notePrompt(prompt, tokens);
+            recordHistory(tokens);
+            recordPrompt(prompt, tokens);
         },
         longTokens: maxTokens => {
-            if (history.length < longEvery) {
+            if (history.length < longTokensInterval) {
                 return maxTokens;
             }
-            if (observedSinceLong >= longEvery) {
-                observedSinceLong = 0;
+            if (observedSinceUpdate >= longTokensInterval) {
+                observedSinceUpdate = 0;
                 const sorted = [...history].sort((a, b) => b - a);
                 longTokens = sorted[Math.floor(history.length / 100)]!;
             }
             return longTokens;
         },
         expectRemaining: (prompt, produced, maxTokens) => {
-            const fresh = expectTotal(prompt, maxTokens);
+            const expectedTotal = expectTotal(prompt, maxTokens);
             const remaining = produced === 0
-                ? fresh
-                : Math.max(fresh - produced, meanExcess(produced, maxTokens));
+                ? expectedTotal
+                : Math.max(expectedTotal - produced, meanExcess(produced, maxTokens));
             return Math.max(1, Math.min(remaining, maxTokens - produced));
         },
     };
--- a/packages/dispatch/src/createSamplerLedger.ts
+++ b/packages/dispatch/src/createSamplerStats.ts
@@ -8,30 +8,30 @@
     ended: { sentAtMs: number; endedAtMs: number; }[];
     tokensPerSecond: number | undefined;
     lastSentOrder: number;
-    coolUntilMs: number;
+    pausedUntilMs: number;
     refusals: number;
 }
 
 /** What one dispatcher knows of samplers by its own traffic. */
-interface SamplerLedger {
-    record(sampler: SamplerId): Readonly<SamplerRecord>;
-    noteSent(attempt: RunningAttempt): void;
-    noteEnded(attempt: RunningAttempt, nowMs: number): void;
+interface SamplerStats {
+    recordOf(sampler: SamplerId): Readonly<SamplerRecord>;
+    recordSent(attempt: RunningAttempt): void;
+    recordEnded(attempt: RunningAttempt, nowMs: number): void;
     /** The sampler refused: no more is sent there until `retryAfterMs`, or a doubling backoff, has passed. */
-    noteRefused(sampler: SamplerId, retryAfterMs: number | undefined, nowMs: number): void;
+    recordRefused(sampler: SamplerId, retryAfterMs: number | undefined, nowMs: number): void;
     /** Attempts sent after the report was made less those of its time that have ended since. */
     sentSinceReport(view: SamplerView, nowMs: number): number;
     /** Tokens a second of single generations over all samplers lately. */
     meanTokensPerSecond(): number;
 }
 
-const endsKept = 256;
+const maxEndedAttempts = 256;
 const speedSmoothing = 0.2;
 const meanSpeedSmoothing = 0.05;
 /** Speed assumed until the first one is measured. */
 const assumedTokensPerSecond = 50;
-const firstCoolMs = 50;
-const maxCoolMs = 2_000;
+const firstPauseMs = 50;
+const maxPauseMs = 2_000;
 
 /** Tokens a second between the first and the last span; undefined where too little was streamed to tell. */
 const measuredSpeed = (attempt: RunningAttempt): number | undefined => {
@@ -43,12 +43,12 @@
 };
 
 /** Makes an empty ledger. */
-export function createSamplerLedger(): SamplerLedger {
+export function createSamplerStats(): SamplerStats {
     const records = new Map<SamplerId, SamplerRecord>();
     let sentOrder = 0;
     let meanSpeed = assumedTokensPerSecond;
 
-    function record(sampler: SamplerId): SamplerRecord {
+    function recordOf(sampler: SamplerId): SamplerRecord {
         let known = records.get(sampler);
         if (known === undefined) {
             known = {
@@ -56,7 +56,7 @@
                 ended: [],
                 tokensPerSecond: undefined,
                 lastSentOrder: 0,
-                coolUntilMs: 0,
+                pausedUntilMs: 0,
                 refusals: 0,
             };
             records.set(sampler, known);
@@ -64,12 +64,12 @@
         return known;
     }
 
-    function noteEnded(attempt: RunningAttempt, nowMs: number): void {
-        const known = record(attempt.sampler);
+    function recordEnded(attempt: RunningAttempt, nowMs: number): void {
+        const known = recordOf(attempt.sampler);
         known.running.delete(attempt);
         known.ended.push({ sentAtMs: attempt.sentAtMs, endedAtMs: nowMs });
-        if (known.ended.length > 2 * endsKept) {
-            known.ended.splice(0, endsKept);
+        if (known.ended.length > 2 * maxEndedAttempts) {
+            known.ended.splice(0, maxEndedAttempts);
         }
         const speed = measuredSpeed(attempt);
         if (speed !== undefined) {
@@ -80,15 +80,15 @@
         }
     }
 
-    function noteRefused(sampler: SamplerId, retryAfterMs: number | undefined, nowMs: number): void {
-        const known = record(sampler);
-        const backoffMs = Math.min(maxCoolMs, firstCoolMs * 2 ** known.refusals);
+    function recordRefused(sampler: SamplerId, retryAfterMs: number | undefined, nowMs: number): void {
+        const known = recordOf(sampler);
+        const backoffMs = Math.min(maxPauseMs, firstPauseMs * 2 ** known.refusals);
         known.refusals = Math.min(known.refusals + 1, 10);
-        known.coolUntilMs = nowMs + (retryAfterMs ?? backoffMs);
+        known.pausedUntilMs = nowMs + (retryAfterMs ?? backoffMs);
     }
 
     function sentSinceReport(view: SamplerView, nowMs: number): number {
-        const known = record(view.report.sampler);
+        const known = recordOf(view.report.sampler);
         const reportedAtMs = nowMs - view.reportAgeMs;
         let sent = 0;
         for (const attempt of known.running) {
@@ -102,14 +102,14 @@
     }
 
     return {
-        record,
-        noteSent: attempt => {
-            const known = record(attempt.sampler);
+        recordOf,
+        recordSent: attempt => {
+            const known = recordOf(attempt.sampler);
             known.running.add(attempt);
             known.lastSentOrder = ++sentOrder;
         },
-        noteEnded,
-        noteRefused,
+        recordEnded,
+        recordRefused,
         sentSinceReport,
         meanTokensPerSecond: () => meanSpeed,
     };
--- a/packages/dispatch/src/defaultDispatchPolicy.ts
+++ b/packages/dispatch/src/defaultDispatchPolicy.ts
@@ -2,7 +2,7 @@
 import { orderByLatestStart } from "@auburnarch/queue/orderByLatestStart";
 import { createPromptLengthModel } from "./createPromptLengthModel.js";
 import type { DispatchPolicy } from "./DispatchPolicy.js";
-import { hasOutgrown } from "./hasOutgrown.js";
+import { hasExceededExpectedLength } from "./hasExceededExpectedLength.js";
 import { holdForFreshness } from "./holdForFreshness.js";
 import { moveToFaster } from "./moveToFaster.js";
 import { priorityFixed } from "./priorityFixed.js";
@@ -17,7 +17,7 @@
     hold: holdForFreshness,
     room: roomBesideOthers,
     thin: thinForStraggler,
-    movable: hasOutgrown,
+    movable: hasExceededExpectedLength,
     move: moveToFaster,
     priority: priorityFixed,
     createLengthModel: createPromptLengthModel,
--- a/packages/dispatch/src/findCritical.ts
+++ b/packages/dispatch/src/findCriticalSamplers.ts
@@ -6,7 +6,7 @@
 /** What is needed sooner than this counts as waited for. */
 const leadMs = 5_000;
 /** An attempt counts as a straggler once it has outgrown its expected length by this factor. */
-const outgrownFactor = 2;
+const stragglerFactor = 2;
 
 const hasWaiting = (state: DispatchState, step: number): boolean => {
     for (const work of state.queue.all()) {
@@ -21,12 +21,12 @@
  * Samplers that run a straggler the trainer waits for: nothing of the oldest step waits to be sent any more, and
  * its need date has come or is near.
  */
-export function findCritical(state: DispatchState, nowMs: number): Set<SamplerId> {
+export function findCriticalSamplers(state: DispatchState, nowMs: number): Set<SamplerId> {
     const oldest = oldestStep(state);
     const isCritical = ({ work, tokens, expectedTokens }: RunningAttempt): boolean =>
         work.task.step === oldest
         && work.task.needAtMs < nowMs + leadMs
-        && tokens > outgrownFactor * expectedTokens;
+        && tokens > stragglerFactor * expectedTokens;
     const critical = [...state.attempts].filter(isCritical);
     const samplers = critical.length === 0 || hasWaiting(state, oldest) ? [] : critical;
     return new Set(samplers.map(attempt => attempt.sampler));
--- a/packages/dispatch/src/holdForFreshness.ts
+++ b/packages/dispatch/src/holdForFreshness.ts
@@ -3,7 +3,7 @@
 /** Jobs that do not weigh freshness above idle time hold nothing. */
 const neutralWeight = 0.5;
 /** Backlogs that are kept in hand at freshness weight 1; one more at 0. */
-const backlogsInHand = 1.2;
+const reservedBacklogs = 1.2;
 
 /**
  * Holds samples of later steps until they have to start to be in time, less the time for all that waits and for
@@ -15,6 +15,6 @@
     if (stepsAhead <= 0 || freshnessWeight <= neutralWeight) {
         return false;
     }
-    const inHandMs = backlogMs * (backlogsInHand + 1 - freshnessWeight);
-    return nowMs < latestStartMs - inHandMs - longRunMs;
+    const reserveMs = backlogMs * (reservedBacklogs + 1 - freshnessWeight);
+    return nowMs < latestStartMs - reserveMs - longRunMs;
 };
--- a/packages/dispatch/src/oldestStep.ts
+++ b/packages/dispatch/src/oldestStep.ts
@@ -3,7 +3,7 @@
 /** The oldest step that is not whole yet; 0 if nothing is wanted. */
 export function oldestStep(state: DispatchState): number {
     let oldest = Infinity;
-    for (const work of state.wanted.values()) {
+    for (const work of state.unfinished.values()) {
         oldest = Math.min(oldest, work.task.step);
     }
     return Number.isFinite(oldest) ? oldest : 0;
--- a/packages/dispatch/src/pauseAfterFailure.ts
+++ b/packages/dispatch/src/pauseAfterFailure.ts
@@ -16,7 +16,7 @@
 
 /** How long a sample waits before its next attempt after one that ended without an answer. */
 export function pauseAfterFailure(code: ResultCode, work: FailedWork, isWithinBudget: boolean): number {
-    const isKiller = code === resultCodes.engineCrashed && work.failures >= maxCrashes;
-    const pauseMs = Math.max(isKiller ? crashPauseMs : 0, pauseAfterBreaks(work.fruitless));
+    const isCrashInducing = code === resultCodes.engineCrashed && work.failures >= maxCrashes;
+    const pauseMs = Math.max(isCrashInducing ? crashPauseMs : 0, pauseAfterBreaks(work.fruitless));
     return isWithinBudget ? pauseMs : Math.max(pauseMs, budgetPauseMs);
 }
--- a/packages/dispatch/src/pauseAfterRefusal.ts
+++ b/packages/dispatch/src/pauseAfterRefusal.ts
@@ -11,6 +11,6 @@
     if (code.number !== resultCodes.quarantined.number) {
         return 0;
     }
-    const toldMs = Math.max(minQuarantinePauseMs, retryAfterMs ?? quarantinePauseMs);
-    return Math.min(quarantinePauseMs, toldMs);
+    const requestedMs = Math.max(minQuarantinePauseMs, retryAfterMs ?? quarantinePauseMs);
+    return Math.min(quarantinePauseMs, requestedMs);
 }
--- a/packages/dispatch/src/priorityByNeed.ts
+++ b/packages/dispatch/src/priorityByNeed.ts
@@ -1,6 +1,6 @@
 import type { PriorityRule } from "./PriorityRule.js";
 
-const perJobPriority = 5;
+const priorityStep = 5;
 const urgencySpan = 40;
 
 /**
@@ -11,5 +11,5 @@
     const spareMs = needAtMs - nowMs - expectedRunMs;
     const comfortMs = Math.max(1, 2 * expectedRunMs);
     const urgency = Math.min(1, Math.max(0, 1 - spareMs / comfortMs));
-    return Math.min(99, Math.round(jobPriority * perJobPriority + urgency * urgencySpan));
+    return Math.min(99, Math.round(jobPriority * priorityStep + urgency * urgencySpan));
 };
--- a/packages/dispatch/src/rules.test.ts
+++ b/packages/dispatch/src/rules.test.ts
@@ -1,4 +1,4 @@
-import { toCandidate } from "@auburnarch/pick/testing/toCandidate";
+import { createTestCandidate } from "@auburnarch/pick/testing/createTestCandidate";
 import { createWaitingQueue } from "@auburnarch/queue/createWaitingQueue";
 import { orderByLatestStart } from "@auburnarch/queue/orderByLatestStart";
 import type { WaitingSample } from "@auburnarch/queue/WaitingSample";
@@ -9,22 +9,22 @@
 import { createPrefixHints } from "./createPrefixHints.js";
 import { createPromptLengthModel } from "./createPromptLengthModel.js";
 import { defaultDispatchPolicy } from "./defaultDispatchPolicy.js";
-import { findCritical } from "./findCritical.js";
+import { findCriticalSamplers } from "./findCriticalSamplers.js";
 import { holdForFreshness } from "./holdForFreshness.js";
 import { joinSpans } from "./joinSpans.js";
 import { moveToFaster } from "./moveToFaster.js";
 import { priorityByNeed } from "./priorityByNeed.js";
 import { roomBesideOthers } from "./roomBesideOthers.js";
 import type { RunningAttempt } from "./RunningAttempt.js";
+import type { SampleWork } from "./SampleWork.js";
 import { thinForStraggler } from "./thinForStraggler.js";
-import type { Work } from "./Work.js";
 
 type Span = Parameters<typeof joinSpans>[0][number];
 const span = (
     version: number,
     tokens: number,
 ): Span => ({ version, tokens, text: "x".repeat(tokens) } as Span);
-const sampler = "a" as Parameters<ReturnType<typeof createPrefixHints>["noteSent"]>[1];
+const sampler = "a" as Parameters<ReturnType<typeof createPrefixHints>["recordSent"]>[1];
 
 test("room: the free places, and two ahead only where others hold some", () => {
     const room = (limit: number, load: number, outstanding: number, started: number): number =>
@@ -111,32 +111,32 @@
 test("need: steps opened in one burst are not all due at once", () => {
     // Guards against: samples of the next step run while the trainer waits for this one.
     const needs = createNeedForecast(() => 20_000);
-    needs.noteOpened(0, 0);
-    needs.noteOpened(1, 0);
+    needs.recordOpened(0, 0);
+    needs.recordOpened(1, 0);
     expect([needs.needAtMs(0, 20_000, 0, 0), needs.needAtMs(1, 20_000, 0, 5_000)]).toEqual([20_000, 25_000]);
-    needs.noteOpened(2, 30_000);
+    needs.recordOpened(2, 30_000);
     expect(needs.needAtMs(2, 50_000, 1, 30_000)).toBe(60_000);
 });
 
 test("a prefix hint decays, and is dropped when the engine found nothing", () => {
     const hints = createPrefixHints();
-    hints.noteSent("prompt", sampler, 0);
+    hints.recordSent("prompt", sampler, 0);
     const at = (nowMs: number): number => hints.expectCachedTokens("prompt", sampler, 800, nowMs);
     expect([at(0), at(30_000), at(60_000)]).toEqual([800, 400, 200]);
-    hints.noteFound("prompt", sampler, 0);
+    hints.recordCacheResult("prompt", sampler, 0);
     expect(at(0)).toBe(0);
 });
 
 test("a straggler moves to a much faster sampler with a free place, twice at most", () => {
-    const slow = toCandidate("slow", { observedTokensPerSecond: 40 });
-    const fast = toCandidate("fast", { observedTokensPerSecond: 150 });
-    const full = toCandidate("full", { observedTokensPerSecond: 300, room: 0 });
+    const slow = createTestCandidate("slow", { observedTokensPerSecond: 40 });
+    const fast = createTestCandidate("fast", { observedTokensPerSecond: 150 });
+    const full = createTestCandidate("full", { observedTokensPerSecond: 300, room: 0 });
     const target = (leftTokens: number, moves = 0): string | undefined =>
-        moveToFaster({ here: slow, leftTokens, madeTokens: 500, moves }, [slow, fast, full])?.view.report
+        moveToFaster({ current: slow, leftTokens, madeTokens: 500, moves }, [slow, fast, full])?.view.report
             .sampler;
     expect([target(800), target(20), target(800, 2)]).toEqual(["fast", undefined, undefined]);
-    const same = toCandidate("same", { observedTokensPerSecond: 40 });
-    expect(moveToFaster({ here: slow, leftTokens: 800, madeTokens: 0, moves: 0 }, [slow, same]))
+    const same = createTestCandidate("same", { observedTokensPerSecond: 40 });
+    expect(moveToFaster({ current: slow, leftTokens: 800, madeTokens: 0, moves: 0 }, [slow, same]))
         .toBeUndefined();
 });
 
@@ -208,13 +208,13 @@
     const work = (
         step: number,
         name: string,
-    ): Work => ({
+    ): SampleWork => ({
         task: { step, sample: name, needAtMs: 20_000 },
         running: new Set(),
         latestStartMs: 0,
-    } as unknown as Work);
-    const run = (of: Work, on: string, tokens: number): void => {
-        state.wanted.set(of.task.sample, of);
+    } as unknown as SampleWork);
+    const run = (of: SampleWork, on: string, tokens: number): void => {
+        state.unfinished.set(of.task.sample, of);
         state.attempts.add(
             { work: of, sampler: on, tokens, expectedTokens: 100 } as unknown as RunningAttempt,
         );
@@ -222,11 +222,11 @@
     run(work(0, "straggler"), "a", 500);
     run(work(0, "ordinary"), "b", 50);
     run(work(1, "next"), "c", 500);
-    expect([...findCritical(state, 1_000)]).toEqual([]);
-    expect([...findCritical(state, 16_000)]).toEqual(["a"]);
+    expect([...findCriticalSamplers(state, 1_000)]).toEqual([]);
+    expect([...findCriticalSamplers(state, 16_000)]).toEqual(["a"]);
     const waiting = work(0, "waiting");
-    state.wanted.set(waiting.task.sample, waiting);
+    state.unfinished.set(waiting.task.sample, waiting);
     state.queue.add(waiting);
-    expect([...findCritical(state, 16_000)]).toEqual([]);
+    expect([...findCriticalSamplers(state, 16_000)]).toEqual([]);
     expect([thinForStraggler(8), thinForStraggler(2)]).toEqual([3, 2]);
 });
--- a/packages/dispatch/src/estimateWork.ts
+++ b/packages/dispatch/src/updateEstimates.ts
@@ -1,19 +1,24 @@
 import { countTokens } from "./countTokens.js";
 import type { DispatchState } from "./DispatchState.js";
-import type { Work } from "./Work.js";
+import type { SampleWork } from "./SampleWork.js";
 
 /** Part by which the expected run time is exceeded often enough to be planned for. */
 const runTimeMargin = 1.5;
 
 /** Brings the expected length and the latest start of a waiting sample up to date. */
-export function estimateWork(state: DispatchState, work: Work, oldestStep: number, nowMs: number): void {
+export function updateEstimates(
+    state: DispatchState,
+    work: SampleWork,
+    oldestStep: number,
+    nowMs: number,
+): void {
     const { task } = work;
-    work.expectedTokens = state.lengths.expectRemaining(
+    work.expectedTokens = state.lengthModel.expectRemaining(
         task.prompt,
         countTokens(work.resume),
         task.maxTokens,
     );
-    const needAtMs = state.needs.needAtMs(task.step, task.needAtMs, oldestStep, nowMs);
-    const runMs = work.expectedTokens / state.ledger.meanTokensPerSecond() * 1000;
+    const needAtMs = state.needForecast.needAtMs(task.step, task.needAtMs, oldestStep, nowMs);
+    const runMs = work.expectedTokens / state.samplerStats.meanTokensPerSecond() * 1000;
     work.latestStartMs = needAtMs - runTimeMargin * runMs;
 }
--- a/packages/entry/src/BodyBudget.ts
+++ b/packages/entry/src/BodyBudget.ts
@@ -1,7 +1,7 @@
 /** What one request may take of the memory for bodies. */
 export interface BodyBudget {
     /** Throws `overloaded` where all requests together would hold too much. */
-    take(bodyBytes: number): void;
+    reserve(bodyBytes: number): void;
     /** Gives everything back that this request took. */
     release(): void;
 }
--- a/packages/entry/src/Entry.ts
+++ b/packages/entry/src/Entry.ts
@@ -10,7 +10,7 @@
     maxBodyBytes(): number;
     call(request: CallerRequest, signal: AbortSignal): Promise<PlainAnswer>;
     /** Runs at the owner, wherever that is. `forwarded` keeps two entries from passing a call back and forth. */
-    train(team: TeamId, call: TrainerCall, forwarded: boolean): Promise<unknown>;
+    handleTrainerCall(team: TeamId, call: TrainerCall, forwarded: boolean): Promise<unknown>;
     teamUsage(team: TeamId): Promise<unknown>;
     /** `action` is method and path below `/operator/`. */
     operate(action: string, query: URLSearchParams, body: unknown): Promise<unknown>;
--- a/packages/entry/src/EntryDeps.ts
+++ b/packages/entry/src/EntryDeps.ts
@@ -27,7 +27,7 @@
     store: ObjectStore;
     vmList: VmList;
     scoring: ScoringPort;
-    keep: GroupKeep | undefined;
+    groupStore: GroupKeep | undefined;
     cursorKey: string;
     /** Addresses of entries to ask first. */
     seeds: string[];
--- a/packages/entry/src/EntryGuards.ts
+++ b/packages/entry/src/EntryGuards.ts
@@ -4,14 +4,14 @@
 import type { OwnerGuards } from "@auburnarch/own/OwnerGuards";
 import type { OwnerParts } from "@auburnarch/own/OwnerParts";
 import type { SendGuards } from "@auburnarch/send/SendGuards";
-import type { SpreadGuards } from "@auburnarch/spread/SpreadGuards";
+import type { DocumentSyncGuards } from "@auburnarch/spread/DocumentSyncGuards";
 
 /** Checks and parts that a bench may replace one at a time; each has its default. */
 export interface EntryGuards {
     owner?: OwnerGuards;
     ownerParts?: OwnerParts;
     lease?: LeaseGuards;
-    spread?: SpreadGuards;
+    spread?: DocumentSyncGuards;
     send?: SendGuards;
     keyRange?: KeyRangeGuards;
     isConvicted?: QuarantineDeps["isConvicted"];
--- a/packages/entry/src/Fleet.ts
+++ b/packages/entry/src/Fleet.ts
@@ -1,5 +1,5 @@
 import type { Membership } from "@auburnarch/membership/Membership";
-import type { Spread } from "@auburnarch/spread/Spread";
+import type { DocumentSync } from "@auburnarch/spread/DocumentSync";
 import type { EntryId } from "@auburnarch/types/EntryId";
 import type { ManifestView } from "./ManifestView.js";
 import type { SamplerViews } from "./SamplerViews.js";
@@ -7,7 +7,7 @@
 /** What an entry knows of the others: who is there, what all share, what each sampler is doing. */
 export interface Fleet {
     membership: Membership;
-    spread: Spread;
+    spread: DocumentSync;
     manifest: ManifestView;
     views: SamplerViews;
     /** Entries believed alive and staying, this one included. */
--- a/packages/entry/src/Keeper.ts
+++ b/packages/entry/src/GroupStoreHost.ts
@@ -1,5 +1,5 @@
 /** An entry with a data folder that keeps groups for all. */
-export interface Keeper {
+export interface GroupStoreHost {
     entry: string;
     address: string;
 }
--- a/packages/entry/src/ManifestRaced.ts
+++ b/packages/entry/src/ManifestConflictError.ts
@@ -3,7 +3,7 @@
 import type { StoredObject } from "@auburnarch/types/StoredObject";
 
 /** A manifest that lost against another change, with what stands published now. */
-export class ManifestRaced extends ResultError {
+export class ManifestConflictError extends ResultError {
     readonly current: StoredObject | undefined;
 
     constructor(current: StoredObject | undefined) {
--- a/packages/entry/src/ManifestFaults.ts
+++ b/packages/entry/src/ManifestInvalidError.ts
@@ -3,7 +3,7 @@
 import type { ConfigFault } from "@auburnarch/types/ConfigFault";
 
 /** A manifest refused whole, with every fault named. */
-export class ManifestFaults extends ResultError {
+export class ManifestInvalidError extends ResultError {
     readonly faults: ConfigFault[];
 
     constructor(faults: ConfigFault[]) {
--- a/packages/entry/src/SamplerViewsDeps.ts
+++ b/packages/entry/src/SamplerViewsDeps.ts
@@ -12,7 +12,7 @@
     /** Connects to the sidecar that made a report. */
     connect: (report: SamplerReport) => SidecarPort;
     /** Evidence of an attempt: whether the sidecar was reached. */
-    noteSampler: (sampler: SamplerId, reached: boolean) => void;
+    recordSamplerContact: (sampler: SamplerId, isReachable: boolean) => void;
     /** Wraps a sidecar with what is asked of every attempt. */
     wrapSidecar: (port: SidecarPort) => SidecarPort;
     /** A sample of this content ended cleanly. */
--- a/packages/entry/src/LeaseTaker.ts
+++ b/packages/entry/src/TryAcquireLease.ts
@@ -4,4 +4,4 @@
  * Tries to take a lease: resolves with it, or with undefined while another holds it. Remembers between calls
  * since when it has seen the present holder's last renewal.
  */
-export type LeaseTaker = (key: string) => Promise<Lease | undefined>;
+export type TryAcquireLease = (key: string) => Promise<Lease | undefined>;
--- a/packages/entry/src/UsageCollector.ts
+++ b/packages/entry/src/UsageCollector.ts
@@ -11,5 +11,5 @@
     /** Every entry's durable counters merged with the latest of this one; rejects while the object API is down. */
     readAll(): Promise<UsageCounter[]>;
     /** What this entry has gathered itself. */
-    gathered(): UsageCounter[];
+    listCollected(): UsageCounter[];
 }
--- a/packages/entry/src/answerClientErrors.ts
+++ b/packages/entry/src/answerClientErrors.ts
@@ -6,7 +6,7 @@
 import type { Duplex } from "node:stream";
 import { sendFailure } from "./sendFailure.js";
 
-function codeOfFault({ code }: NodeJS.ErrnoException): ResultError {
+function toClientError({ code }: NodeJS.ErrnoException): ResultError {
     if (code === "ERR_HTTP_REQUEST_TIMEOUT") {
         return new ResultError(resultCodes.requestTimeout);
     }
@@ -47,17 +47,17 @@
         sendFailure(response, new ResultError(resultCodes.badRequest, "expect: only 100-continue"));
     });
     server.on("clientError", (error: NodeJS.ErrnoException, socket: Duplex) => {
-        const open = exchanges.get(socket);
-        if (!socket.writable || (open !== undefined && !isUnread(open))) {
+        const exchange = exchanges.get(socket);
+        if (!socket.writable || (exchange !== undefined && !isUnread(exchange))) {
             socket.destroy();
             return;
         }
-        const response = open?.response ?? new ServerResponse(new IncomingMessage(new Socket()));
-        if (open === undefined) {
+        const response = exchange?.response ?? new ServerResponse(new IncomingMessage(new Socket()));
+        if (exchange === undefined) {
             response.assignSocket(socket as Socket);
         }
         response.shouldKeepAlive = false;
         response.once("finish", () => (socket as Socket).destroySoon());
-        sendFailure(response, codeOfFault(error));
+        sendFailure(response, toClientError(error));
     });
 }
--- a/packages/entry/src/choosePlainSampler.test.ts
+++ b/packages/entry/src/choosePlainSampler.test.ts
@@ -6,7 +6,7 @@
 
 const lugo = "Lugo" as FailureDomain;
 
-interface Given {
+interface ViewOptions {
     domain?: string;
     state?: string;
     running?: number;
@@ -15,8 +15,9 @@
     suspected?: boolean;
 }
 
-function view(sampler: string, given: Given = {}): SamplerView {
-    const { domain = "Lugo", state = "ready", running = 0, limit = 10, sent = 0, suspected = false } = given;
+function view(sampler: string, options: ViewOptions = {}): SamplerView {
+    const { domain = "Lugo", state = "ready", running = 0, limit = 10, sent = 0, suspected = false } =
+        options;
     const report = { sampler, failureDomain: domain, state, running, waiting: 0, limit };
     return {
         report: report as unknown as SamplerView["report"],
--- a/packages/entry/src/choosePlainSampler.ts
+++ b/packages/entry/src/choosePlainSampler.ts
@@ -23,21 +23,23 @@
 export function choosePlainSampler(
     views: readonly SamplerView[],
     tried: readonly SamplerId[],
-    own: FailureDomain,
+    ownFailureDomain: FailureDomain,
     draw: () => number,
 ): PlainChoice | undefined {
-    const able = views.filter(({ report }) =>
+    const eligible = views.filter(({ report }) =>
         (report.state === "ready" || report.state === "swapping") && !tried.includes(report.sampler)
     );
-    const trusted = able.filter(view => !view.suspected);
-    const candidates = trusted.length > 0 ? trusted : able;
+    const unsuspected = eligible.filter(view => !view.suspected);
+    const candidates = unsuspected.length > 0 ? unsuspected : eligible;
     const ranked = candidates.map(view => ({
         view,
         load: loadRatio(view),
-        near: view.report.failureDomain === own,
+        isNearby: view.report.failureDomain === ownFailureDomain,
         tieBreak: draw(),
     }));
-    ranked.sort((a, b) => a.load - b.load || Number(b.near) - Number(a.near) || a.tieBreak - b.tieBreak);
+    ranked.sort((a, b) =>
+        a.load - b.load || Number(b.isNearby) - Number(a.isNearby) || a.tieBreak - b.tieBreak
+    );
     const best = ranked[0];
     if (best === undefined) {
         return undefined;
@@ -45,7 +47,7 @@
     return {
         sampler: best.view.report.sampler,
         candidates: candidates.length,
-        reason: best.near ? "leastLoadNearby" : "leastLoad",
+        reason: best.isNearby ? "leastLoadNearby" : "leastLoad",
         loadRatio: best.load,
     };
 }
--- a/packages/entry/src/createAdmission.ts
+++ b/packages/entry/src/createAdmission.ts
@@ -7,16 +7,16 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { TeamId } from "@auburnarch/types/TeamId";
-import { createDeathWatch } from "./createDeathWatch.js";
-import { createKeyedDesk } from "./createKeyedDesk.js";
+import { createKeyedRequestHandler } from "./createKeyedRequestHandler.js";
 import { createLeaseScan } from "./createLeaseScan.js";
 import { createRangeOwnership } from "./createRangeOwnership.js";
+import { createSidecarCrashDetector } from "./createSidecarCrashDetector.js";
 import type { EntryDeps } from "./EntryDeps.js";
 import type { Fleet } from "./Fleet.js";
 import type { OwnerDirectory } from "./OwnerDirectory.js";
 
 const defaultMaxQueued = 100;
-const reportsEveryMs = 500;
+const reportPollMs = 500;
 /** 32 leases renewed three times a term: at 10 s 10 writes a second for the whole fleet, whoever holds them. */
 const minRangeTtlMs = 10_000;
 const rangePrefix = "leases/range/";
@@ -33,10 +33,10 @@
     start(): void;
     stop(): void;
     quarantine: Quarantine;
-    takePlace(team: TeamId): () => void;
-    runKeyed: ReturnType<typeof createKeyedDesk>;
+    acquireTeamSlot(team: TeamId): () => void;
+    runKeyed: ReturnType<typeof createKeyedRequestHandler>;
     /** An attempt of this content broke off at the incarnation that made the report. */
-    noteLost(report: SamplerReport, digest: ContentDigest): void;
+    recordInterrupted(report: SamplerReport, digest: ContentDigest): void;
     ownedRanges(): number;
     /** Gives the key ranges up, so that other entries take them over at once. */
     release(): Promise<void>;
@@ -55,8 +55,8 @@
         isConvicted: deps.guards?.isConvicted,
         isTrialDue: deps.guards?.isTrialDue,
     });
-    const deaths = createDeathWatch(clock, quarantine.noteDeath);
-    const places = createTeamLimit({
+    const crashDetector = createSidecarCrashDetector(clock, quarantine.recordCrash);
+    const teamLimit = createTeamLimit({
         maxPerTeam: () => fleet.manifest()?.manifest.limits.maxQueuedPerTeam ?? defaultMaxQueued,
     });
     const rangeTtlMs = Math.max(minRangeTtlMs, deps.leaseTtlMs);
@@ -77,26 +77,31 @@
         invariants: deps.invariants,
         guards: deps.guards?.keyRange,
         listEntries: fleet.listLiveEntries,
-        takeLease: rangeLeases.tryAcquire,
-        scan: createLeaseScan({ store, leases: rangeLeases, prefix: rangePrefix, ttlMs: rangeTtlMs }),
+        tryAcquireLease: rangeLeases.tryAcquire,
+        findAcquirableLeases: createLeaseScan({
+            store,
+            leases: rangeLeases,
+            prefix: rangePrefix,
+            ttlMs: rangeTtlMs,
+        }),
         announce: directory.announceRange,
     });
-    const runKeyed = createKeyedDesk({
+    const runKeyed = createKeyedRequestHandler({
         clock,
         logger,
         selfAddress: self.address,
         findRange: ranges.get,
-        findOwner: directory.findRange,
+        findOwnerAddress: directory.findRange,
         forward: deps.forwardPlain,
     });
 
-    async function readReports(): Promise<void> {
+    async function processReports(): Promise<void> {
         while (!stopped.signal.aborted) {
             for (const { report } of fleet.views.listAll()) {
-                deaths.noteReport(report);
-                quarantine.noteReport(report);
+                crashDetector.recordReport(report);
+                quarantine.recordSuspects(report);
             }
-            await clock.sleep(reportsEveryMs, stopped.signal);
+            await clock.sleep(reportPollMs, stopped.signal);
         }
     }
 
@@ -108,7 +113,7 @@
                 }
             });
             void quarantine.run(stopped.signal, spread.offer);
-            void readReports();
+            void processReports();
             ranges.start();
         },
         stop: () => {
@@ -116,9 +121,9 @@
             ranges.stop();
         },
         quarantine,
-        takePlace: places.enter,
+        acquireTeamSlot: teamLimit.acquire,
         runKeyed,
-        noteLost: deaths.noteLost,
+        recordInterrupted: crashDetector.recordInterrupted,
         ownedRanges: ranges.owned,
         release: rangeLeases.releaseAll,
     };
--- a/packages/entry/src/createBodyPool.ts
+++ b/packages/entry/src/createBodyPool.ts
@@ -9,34 +9,34 @@
  * of it. Each body has its own bound, but a few hundred large ones at once would end the process.
  */
 export function createBodyPool(maxBytes: number, maxOwnerBytes: number): (owner: string) => BodyBudget {
-    const heldBytes = new Map<string, number>();
+    const bytesByOwner = new Map<string, number>();
     let totalBytes = 0;
 
-    function add(owner: string, bodyBytes: number): void {
-        const nextBytes = (heldBytes.get(owner) ?? 0) + bodyBytes;
+    function adjust(owner: string, bodyBytes: number): void {
+        const nextBytes = (bytesByOwner.get(owner) ?? 0) + bodyBytes;
         totalBytes += bodyBytes;
         if (nextBytes === 0) {
-            heldBytes.delete(owner);
+            bytesByOwner.delete(owner);
         }
         else {
-            heldBytes.set(owner, nextBytes);
+            bytesByOwner.set(owner, nextBytes);
         }
     }
 
     return owner => {
-        let ownBytes = 0;
+        let reservedBytes = 0;
         return {
-            take: bodyBytes => {
-                const ownerBytes = (heldBytes.get(owner) ?? 0) + bodyBytes;
+            reserve: bodyBytes => {
+                const ownerBytes = (bytesByOwner.get(owner) ?? 0) + bodyBytes;
                 if (totalBytes + bodyBytes > maxBytes || ownerBytes > maxOwnerBytes) {
                     throw new ResultError(resultCodes.overloaded, "request bodies in flight", retryAfterMs);
                 }
-                add(owner, bodyBytes);
-                ownBytes += bodyBytes;
+                adjust(owner, bodyBytes);
+                reservedBytes += bodyBytes;
             },
             release: () => {
-                add(owner, -ownBytes);
-                ownBytes = 0;
+                adjust(owner, -reservedBytes);
+                reservedBytes = 0;
             },
         };
     };
--- a/packages/entry/src/createCountedSidecar.ts
+++ b/packages/entry/src/createCountedSidecar.ts
@@ -14,7 +14,7 @@
 ]);
 
 /** Only a missing connection is sure to have sent nothing; any other fault leaves it open whether it ran. */
-function failed(error: unknown): AttemptOutcome<never> {
+function toFailedOutcome(error: unknown): AttemptOutcome<never> {
     const code = codeOf(error);
     return code === resultCodes.sidecarUnreachable
         ? { kind: "notRun", code, retryAfterMs: undefined }
@@ -30,14 +30,14 @@
     connect: () => SidecarPort,
     observer: AttemptObserver,
 ): SidecarPort {
-    function observe(outcome: AttemptOutcome<unknown>, digest: ContentDigest): void {
-        observer.noteReached(outcome.kind === "ran" || !unreachableCodes.has(outcome.code.number));
+    function reportOutcome(outcome: AttemptOutcome<unknown>, digest: ContentDigest): void {
+        observer.recordContact(outcome.kind === "ran" || !unreachableCodes.has(outcome.code.number));
         if (outcome.kind === "unknown" && unreachableCodes.has(outcome.code.number)) {
-            observer.noteLost(digest);
+            observer.recordInterrupted(digest);
         }
     }
 
-    async function counted<Answer>(
+    async function runCounted<Answer>(
         digest: ContentDigest,
         expectedTokens: number,
         run: (port: SidecarPort, progress: (tokens: number) => void) => Promise<AttemptOutcome<Answer>>,
@@ -45,12 +45,12 @@
         const send = counter.begin(expectedTokens);
         try {
             const outcome = await run(connect(), send.progress);
-            observe(outcome, digest);
+            reportOutcome(outcome, digest);
             return outcome;
         }
         catch (error) {
-            observer.noteReached(false);
-            return failed(error);
+            observer.recordContact(false);
+            return toFailedOutcome(error);
         }
         finally {
             send.end();
@@ -59,18 +59,19 @@
 
     return {
         runSample: (attempt, onSpan, signal) =>
-            counted(attempt.digest, attempt.maxTokens, async (port, progress) => {
+            runCounted(attempt.digest, attempt.maxTokens, async (port, progress) => {
                 const forward: typeof onSpan = span => {
                     progress(span.tokens);
                     onSpan(span);
                 };
                 const outcome = await port.runSample(attempt, forward, signal);
                 if (outcome.kind === "ran" && outcome.answer.complete) {
-                    observer.noteCleanFinish(attempt.digest);
+                    observer.recordCleanFinish(attempt.digest);
                 }
                 return outcome;
             }),
-        callPlain: (request, signal) => counted(request.digest, 0, port => port.callPlain(request, signal)),
+        callPlain: (request, signal) =>
+            runCounted(request.digest, 0, port => port.callPlain(request, signal)),
         queryAttempt: async attempt => connect().queryAttempt(attempt),
         order: async order => connect().order(order),
         readReport: async () => connect().readReport(),
--- a/packages/entry/src/createDecisionBook.test.ts
+++ b/packages/entry/src/createDecisionStore.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
-import { createDecisionBook } from "./createDecisionBook.js";
+import { createDecisionStore } from "./createDecisionStore.js";
 import { createTestBench } from "./testing/createTestBench.js";
 
 test("a sample leads to its attempts and back, through bound fields too", () => {
     const { logger, clock, lines } = createTestBench();
-    const book = createDecisionBook(logger, clock);
+    const book = createDecisionStore(logger, clock);
     const bound = book.logger.child({ sample: "forecast/1/0/0" });
     bound.info("samplePlaced", { attempt: "a1", sampler: "rollout-1" });
     bound.warn("attemptFailed", { attempt: "a1" });
@@ -21,7 +21,7 @@
 test("only the latest events are kept", () => {
     const { clock } = createTestBench();
     const silent = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
-    const book = createDecisionBook(silent, clock);
+    const book = createDecisionStore(silent, clock);
     const kept = 8_192;
     for (let request = 0; request < kept + 2; request++) {
         book.logger.info("requestPlaced", { request: `r${request}` });
