--- a/packages/entry/src/createDecisionBook.ts
+++ b/packages/entry/src/createDecisionStore.ts
@@ -2,39 +2,39 @@
 import type { LogFields } from "@auburnarch/types/LogFields";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { OperatorExplain } from "@auburnarch/types/OperatorExplain";
-import type { DecisionBook } from "./DecisionBook.js";
+import type { DecisionStore } from "./DecisionStore.js";
 
 /** Bounds the memory: an event takes about 400 bytes, all kept ones under 4 MB. */
-const keptEvents = 8_192;
+const maxEvents = 8_192;
 const idFields = ["sample", "attempt", "request", "key"] as const;
 
-type Kept = OperatorExplain["decisions"][number];
+type Decision = OperatorExplain["decisions"][number];
 
 const idsOf = (fields: LogFields): string[] =>
     idFields.map(name => fields[name]).filter((value): value is string => typeof value === "string");
 
 /** Makes a book over `sink`. Attempts lead to their sample: asking for one also finds what names the other. */
-export function createDecisionBook(sink: Logger, clock: Clock): DecisionBook {
-    const ring: (Kept | undefined)[] = new Array<Kept | undefined>(keptEvents).fill(undefined);
+export function createDecisionStore(sink: Logger, clock: Clock): DecisionStore {
+    const ring: (Decision | undefined)[] = new Array<Decision | undefined>(maxEvents).fill(undefined);
     let next = 0;
 
-    function keep(event: string, fields: LogFields): void {
+    function record(event: string, fields: LogFields): void {
         if (idsOf(fields).length === 0) {
             return;
         }
         ring[next] = { atMs: clock.wallMs(), event, fields };
-        next = (next + 1) % keptEvents;
+        next = (next + 1) % maxEvents;
     }
 
-    function oldestFirst(): Kept[] {
-        return [...ring.slice(next), ...ring.slice(0, next)].filter((each): each is Kept =>
+    function oldestFirst(): Decision[] {
+        return [...ring.slice(next), ...ring.slice(0, next)].filter((each): each is Decision =>
             each !== undefined
         );
     }
 
     function bind(target: Logger, bound: LogFields): Logger {
         const write = (level: "info" | "warn" | "error") => (event: string, fields: LogFields): void => {
-            keep(event, { ...bound, ...fields });
+            record(event, { ...bound, ...fields });
             target[level](event, fields);
         };
         return {
@@ -48,15 +48,17 @@
     return {
         logger: bind(sink, {}),
         explain: id => {
-            const kept = oldestFirst();
+            const decisionsInOrder = oldestFirst();
             const related = new Set([id]);
-            for (const { fields } of kept) {
+            for (const { fields } of decisionsInOrder) {
                 const ids = idsOf(fields);
                 if (ids.includes(id)) {
                     ids.forEach(each => related.add(each));
                 }
             }
-            const decisions = kept.filter(({ fields }) => idsOf(fields).some(each => related.has(each)));
+            const decisions = decisionsInOrder.filter(({ fields }) =>
+                idsOf(fields).some(each => related.has(each))
+            );
             return { id, decisions };
         },
     };
--- a/packages/entry/src/createEntry.ts
+++ b/packages/entry/src/createEntry.ts
@@ -3,18 +3,18 @@
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import { createAdmission } from "./createAdmission.js";
-import { createDecisionBook } from "./createDecisionBook.js";
+import { createDecisionStore } from "./createDecisionStore.js";
 import { createFleet } from "./createFleet.js";
-import { createLeavingWatch } from "./createLeavingWatch.js";
+import { createLeavingVmWatcher } from "./createLeavingVmWatcher.js";
 import { createManifestPublisher } from "./createManifestPublisher.js";
+import { createMonitoredStore } from "./createMonitoredStore.js";
 import { createOperations } from "./createOperations.js";
 import { createOwnership } from "./createOwnership.js";
-import { createPeerDesk } from "./createPeerDesk.js";
-import { createQuickStart } from "./createQuickStart.js";
+import { createPeerHandler } from "./createPeerHandler.js";
 import { createRankCache } from "./createRankCache.js";
-import { createServiceDesk } from "./createServiceDesk.js";
-import { createStoreWatch } from "./createStoreWatch.js";
-import { createTrainerDesk } from "./createTrainerDesk.js";
+import { createServiceHandler } from "./createServiceHandler.js";
+import { createSnapshotRestore } from "./createSnapshotRestore.js";
+import { createTrainerCallHandler } from "./createTrainerCallHandler.js";
 import { createTrialSidecar } from "./createTrialSidecar.js";
 import { createUsageCollector } from "./createUsageCollector.js";
 import type { Entry } from "./Entry.js";
@@ -28,17 +28,17 @@
 /** Makes an entry. Its loops start at once; it is ready once it knows a manifest and has caught up with its peers. */
 export function createEntry(deps: EntryDeps): Entry {
     const { self, clock, random, metrics, callPeer } = deps;
-    const book = createDecisionBook(deps.logger, clock);
-    const { logger } = book;
-    const storeWatch = createStoreWatch(deps.store);
-    const { store, isReachable } = storeWatch;
+    const decisionStore = createDecisionStore(deps.logger, clock);
+    const { logger } = decisionStore;
+    const monitoredStore = createMonitoredStore(deps.store);
+    const { store, isReachable } = monitoredStore;
     const fleet = createFleet(
         deps,
         logger,
-        storeWatch,
+        monitoredStore,
         {
-            noteCleanFinish: digest => admission.quarantine.noteCleanFinish(digest),
-            noteLost: (report, digest) => admission.noteLost(report, digest),
+            noteCleanFinish: digest => admission.quarantine.recordCleanFinish(digest),
+            noteLost: (report, digest) => admission.recordInterrupted(report, digest),
             wrapSidecar: port =>
                 createTrialSidecar(port, { quarantine: admission.quarantine, logger, metrics }),
         },
@@ -48,15 +48,15 @@
     const manifest = () => fleet.manifest()?.manifest;
     const calls = trackCalls();
 
-    const rank = createRankCache();
+    const rankEntries = createRankCache();
     const isCollectorOf = (sampler: SamplerId): boolean =>
-        rank(sampler, fleet.listLiveEntries())[0] === self.entry;
+        rankEntries(sampler, fleet.listLiveEntries())[0] === self.entry;
     const usage = createUsageCollector({
         self: self.entry,
         clock,
         logger,
         store,
-        listOwn: () => views.listAll().map(each => each.report.sampler).filter(isCollectorOf),
+        listAssignedSamplers: () => views.listAll().map(each => each.report.sampler).filter(isCollectorOf),
         sidecar: views.sidecar,
     });
     const publisher = createManifestPublisher({
@@ -67,14 +67,14 @@
         onPublished: (version, value) => void spread.offer({ name: "manifest", version, value }),
     });
     const admission = createAdmission({ deps, fleet, directory, logger, store });
-    const train = createTrainerDesk({
+    const handleTrainerCall = createTrainerCallHandler({
         manifest,
         jobs,
         findOwner: directory.findJob,
         selfAddress: self.address,
         callPeer,
     });
-    const call = createServiceDesk({
+    const handleServiceCall = createServiceHandler({
         self,
         clock,
         random: random.fork(),
@@ -83,19 +83,19 @@
         manifest,
         views,
         quarantine: admission.quarantine,
-        takePlace: admission.takePlace,
+        acquireTeamSlot: admission.acquireTeamSlot,
         runKeyed: admission.runKeyed,
         guards: deps.guards?.send,
     });
-    const quickStart = createQuickStart({
+    const snapshotRestore = createSnapshotRestore({
         fleet,
         clock,
         logger,
         snapshot: deps.startSnapshot,
         save: deps.saveSnapshot,
     });
-    const isSettled = () => spread.isCaughtUp() || quickStart.maySettle();
-    const isReady = () => !calls.isClosed() && isSettled() && manifest() !== undefined;
+    const mayServeManifest = () => spread.isCaughtUp() || snapshotRestore.mayServeSnapshot();
+    const isReady = () => !calls.isClosed() && mayServeManifest() && manifest() !== undefined;
     const operations = createOperations({
         deps,
         fleet,
@@ -108,23 +108,23 @@
         callsInFlight: calls.running,
         isStoreReachable: isReachable,
         isReady,
-        book,
+        decisionStore,
     });
-    const receive = createPeerDesk({
+    const receive = createPeerHandler({
         fleet,
         jobs,
-        train,
+        handleTrainerCall,
         describeHere: operations.describeHere,
-        keep: deps.keep,
+        groupStore: deps.groupStore,
     });
 
-    const leaving = createLeavingWatch({ fleet, vmList: deps.vmList, clock, logger });
-    const parts = [quickStart, fleet, leaving, usage, publisher, admission];
-    parts.forEach(part => part.start());
+    const leavingVmWatcher = createLeavingVmWatcher({ fleet, vmList: deps.vmList, clock, logger });
+    const components = [snapshotRestore, fleet, leavingVmWatcher, usage, publisher, admission];
+    components.forEach(part => part.start());
     jobs.start();
     logger.info("entryStarted", { entry: self.entry, address: self.address });
 
-    function demandManifest(): NonNullable<ReturnType<typeof manifest>> {
+    function requireManifest(): NonNullable<ReturnType<typeof manifest>> {
         const present = manifest();
         if (present === undefined) {
             throw new ResultError(resultCodes.notReady, "no manifest yet", notReadyRetryMs);
@@ -133,16 +133,20 @@
     }
 
     return {
-        authenticate: token => authenticate(token, demandManifest().teams),
+        authenticate: token => authenticate(token, requireManifest().teams),
         maxBodyBytes: () => manifest()?.limits.maxBodyBytes ?? defaultMaxBodyBytes,
-        call: (request, signal) => calls.track(() => call(request, signal)),
-        train: (team, trainerCall, forwarded) => calls.track(() => train(team, trainerCall, forwarded)),
+        call: (request, signal) => calls.track(() => handleServiceCall(request, signal)),
+        handleTrainerCall: (team, trainerCall, forwarded) =>
+            calls.track(() => handleTrainerCall(team, trainerCall, forwarded)),
         teamUsage: team => calls.track(() => operations.readTeamUsage(team)),
         operate: operations.operate,
         receive,
         isReady,
         renderMetrics: operations.renderMetrics,
         shutdown: deadlineMs =>
-            shutdownEntry({ calls, membership, jobs, admission, usage, parts, clock, logger }, deadlineMs),
+            shutdownEntry(
+                { calls, membership, jobs, admission, usage, components, clock, logger },
+                deadlineMs,
+            ),
     };
 }
--- a/packages/entry/src/createFleet.ts
+++ b/packages/entry/src/createFleet.ts
@@ -1,13 +1,13 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
 import { createMembership } from "@auburnarch/membership/createMembership";
-import { createSpread } from "@auburnarch/spread/createSpread";
+import { createDocumentSync } from "@auburnarch/spread/createDocumentSync";
 import type { Logger } from "@auburnarch/types/Logger";
 import { createManifestView } from "./createManifestView.js";
 import { createSamplerViews } from "./createSamplerViews.js";
 import type { EntryDeps } from "./EntryDeps.js";
 import type { Fleet } from "./Fleet.js";
+import type { MonitoredStore } from "./MonitoredStore.js";
 import type { SamplerViewsDeps } from "./SamplerViewsDeps.js";
-import type { StoreWatch } from "./StoreWatch.js";
 
 const exchangeTimeoutMs = 1_500;
 
@@ -15,7 +15,7 @@
 export function createFleet(
     deps: EntryDeps,
     logger: Logger,
-    { store, isReachable }: StoreWatch,
+    { store, isReachable }: MonitoredStore,
     observer: Pick<SamplerViewsDeps, "noteCleanFinish" | "noteLost" | "wrapSidecar">,
 ): Fleet {
     const { self, clock, random, callPeer } = deps;
@@ -29,10 +29,10 @@
         exchange: (address, message) => callPeer(address, "gossip", message, exchangeTimeoutMs),
         newerDocuments: theirs => spread.transfersFor(theirs),
         absentDocuments: theirs => spread.absentFrom(theirs),
-        takeDocuments: documents => spread.takeAbsent(documents),
+        acceptDocuments: documents => spread.applyAbsent(documents),
         timing: deps.timing,
     });
-    const spread = createSpread({
+    const spread = createDocumentSync({
         clock,
         random: random.fork(),
         logger,
@@ -53,7 +53,7 @@
             clock,
             listReports: membership.listReports,
             connect: deps.connectSidecar,
-            noteSampler: membership.noteSampler,
+            recordSamplerContact: membership.recordSamplerContact,
             ...observer,
         }),
         listLiveEntries: () => {
--- a/packages/entry/src/createForwardPlain.ts
+++ b/packages/entry/src/createForwardPlain.ts
@@ -54,19 +54,19 @@
 
     /** An answer that is not the owner's word on the request leaves it open whether it ran. */
     async function readRefusal(body: AsyncIterable<Uint8Array>): Promise<AttemptOutcome<PlainAnswer>> {
-        const unclear = { kind: "unknown", code: resultCodes.connectionBroken } as const;
+        const unknownOutcome = { kind: "unknown", code: resultCodes.connectionBroken } as const;
         try {
             const refusal = JSON.parse((await readWhole(body, maxRefusalBytes)).toString()) as Refusal;
             const code = codeByNumber(refusal.code);
             if (code === resultCodes.internal) {
-                return unclear;
+                return unknownOutcome;
             }
             return refusal.outcome === "notRun"
                 ? { kind: "notRun", code, retryAfterMs: refusal.retryAfterMs }
                 : { kind: "unknown", code };
         }
         catch {
-            return unclear;
+            return unknownOutcome;
         }
     }
 
--- a/packages/entry/src/createGauges.ts
+++ b/packages/entry/src/createGauges.ts
@@ -16,7 +16,7 @@
 export function createGauges(deps: GaugesDeps): () => void {
     const { metrics, fleet, jobs } = deps;
 
-    function setFleet(): void {
+    function setFleetGauges(): void {
         const samplers = fleet.views.listAll();
         const suspected = samplers.filter(view => view.suspected).length;
         metrics.set("samplers", { standing: "trusted" }, samplers.length - suspected);
@@ -25,7 +25,7 @@
         metrics.set("config_version", {}, fleet.manifest()?.version ?? 0);
     }
 
-    function setJobs(): void {
+    function setJobGauges(): void {
         metrics.set("jobs_owned", {}, jobs.list().length);
         for (const { job, owner } of jobs.list()) {
             const status = owner.status();
@@ -39,8 +39,8 @@
     }
 
     return () => {
-        setFleet();
-        setJobs();
+        setFleetGauges();
+        setJobGauges();
         metrics.set("key_ranges_owned", {}, deps.ownedRanges());
         metrics.set("calls_in_flight", {}, deps.callsInFlight());
         metrics.set("store_reachable", {}, deps.isStoreReachable() ? 1 : 0);
--- a/packages/entry/src/createKeeperDirectory.ts
+++ b/packages/entry/src/createGroupStoreDirectory.ts
@@ -2,24 +2,28 @@
 import type { EntryRecord } from "@auburnarch/types/EntryRecord";
 import { z } from "zod";
 import type { Fleet } from "./Fleet.js";
-import type { Keeper } from "./Keeper.js";
+import type { GroupStoreHost } from "./GroupStoreHost.js";
 
 const prefix = "keeper/";
-const keeperSchema = z.object({ entry: z.string(), address: z.string() });
+const hostSchema = z.object({ entry: z.string(), address: z.string() });
 
-interface KeeperDirectory {
+interface GroupStoreDirectory {
     /** Tells the other entries that this one has a data folder. */
     announce(): void;
     /** Entries with a data folder that are believed alive. */
-    list(): Keeper[];
+    list(): GroupStoreHost[];
 }
 
 /** Makes the directory of entries with a data folder, spread as shared documents. */
-export function createKeeperDirectory(self: EntryRecord, fleet: Fleet, clock: Clock): KeeperDirectory {
+export function createGroupStoreDirectory(
+    self: EntryRecord,
+    fleet: Fleet,
+    clock: Clock,
+): GroupStoreDirectory {
     const { spread } = fleet;
 
-    function read(name: string): Keeper[] {
-        const parsed = keeperSchema.safeParse(spread.get(name)?.value);
+    function read(name: string): GroupStoreHost[] {
+        const parsed = hostSchema.safeParse(spread.get(name)?.value);
         return parsed.success ? [parsed.data] : [];
     }
 
@@ -30,9 +34,9 @@
             spread.offer({ name: prefix + self.entry, version: clock.wallMs(), value });
         },
         list: () => {
-            const live = new Set<string>(fleet.listLiveEntries());
+            const liveEntries = new Set<string>(fleet.listLiveEntries());
             const names = Object.keys(spread.digest()).filter(name => name.startsWith(prefix));
-            return names.flatMap(read).filter(keeper => live.has(keeper.entry));
+            return names.flatMap(read).filter(keeper => liveEntries.has(keeper.entry));
         },
     };
 }
--- a/packages/entry/src/createKeepDesk.ts
+++ b/packages/entry/src/createGroupStoreMethods.ts
@@ -3,18 +3,20 @@
 import type { GroupKeep } from "@auburnarch/types/GroupKeep";
 import { z } from "zod";
 
-const place = { job: z.string().min(1).max(512), step: z.int().nonnegative() };
+const stepFields = { job: z.string().min(1).max(512), step: z.int().nonnegative() };
 const saveParams = z.object({
-    ...place,
+    ...stepFields,
     group: z.int().nonnegative(),
     fencing: z.int().nonnegative(),
     body: z.string(),
 });
-const loadParams = z.object(place);
-const dropParams = z.object({ ...place, groups: z.array(z.int().nonnegative()).max(65_536) });
+const loadParams = z.object(stepFields);
+const dropParams = z.object({ ...stepFields, groups: z.array(z.int().nonnegative()).max(65_536) });
 
 /** Methods by which other entries use this entry's data folder; none where it has no folder. */
-export function createKeepDesk(local: GroupKeep | undefined): Record<string, (params: unknown) => unknown> {
+export function createGroupStoreMethods(
+    local: GroupKeep | undefined,
+): Record<string, (params: unknown) => unknown> {
     if (local === undefined) {
         return {};
     }
--- a/packages/entry/src/createJobOwnership.test.ts
+++ b/packages/entry/src/createJobOwnership.test.ts
@@ -10,7 +10,7 @@
 const entries = ["entry-1", "entry-2", "entry-3"] as EntryId[];
 
 /** A world of one lease a job, held by at most one entry at a time. */
-function createBed() {
+function createFixture() {
     const bench = createTestBench();
     const holders = new Map<string, { self: EntryId; lost: AbortController; }>();
     const doings: string[] = [];
@@ -45,7 +45,7 @@
             self,
             listEntries: () => entries,
             listJobs: () => jobs,
-            takeLease: async key => leaseOf(self, key),
+            tryAcquireLease: async key => leaseOf(self, key),
             createOwner: async (job, lease) => {
                 await startOwner();
                 doings.push(`${self} owns ${job.job} ${lease.fencing}`);
@@ -79,7 +79,7 @@
 }
 
 test("one of two standbys owns the job, and the other takes over when it hands it on", async () => {
-    const { clock, owners, doings } = createBed();
+    const { clock, owners, doings } = createFixture();
     await clock.advance(3_000);
     const [first, ...more] = owners();
     expect(more).toEqual([]);
@@ -100,7 +100,7 @@
 
 test("a lease is lost, and an owner ends by itself", async () => {
     // Guards against: a job has no owner though every entry is well.
-    const { clock, owners, holders, doings } = createBed();
+    const { clock, owners, holders, doings } = createFixture();
     await clock.advance(3_000);
     const [first] = owners();
     const { lost } = holders.get("leases/job/forecast")!;
@@ -116,7 +116,7 @@
 
 test("the lease is lost while its owner starts", async () => {
     // Guards against: a job stands still for good.
-    const { clock, owners, holders, doings, setStart } = createBed();
+    const { clock, owners, holders, doings, setStart } = createFixture();
     setStart(async () => {
         setStart(async () => undefined);
         const { lost } = holders.get("leases/job/forecast")!;
@@ -131,7 +131,7 @@
 
 test("a shutdown comes while an owner starts", async () => {
     // Guards against: after a planned restart a job waits for a whole lease.
-    const { clock, owners, running, holders, setStart } = createBed();
+    const { clock, owners, running, holders, setStart } = createFixture();
     setStart(() => clock.sleep(1_000));
     await clock.advance(500);
     await Promise.all(running.map(each => each.release()));
@@ -141,7 +141,7 @@
 });
 
 test("a job changes in the manifest, then leaves it", async () => {
-    const { clock, owners, holders, doings, setJobs } = createBed();
+    const { clock, owners, holders, doings, setJobs } = createFixture();
     await clock.advance(3_000);
     setJobs([{ ...forecast, priority: 9 }]);
     await clock.advance(2_000);
--- a/packages/entry/src/createJobOwnership.ts
+++ b/packages/entry/src/createJobOwnership.ts
@@ -8,13 +8,13 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import { createRankCache } from "./createRankCache.js";
 import type { JobOwnership } from "./JobOwnership.js";
-import type { LeaseTaker } from "./LeaseTaker.js";
 import type { OwnedJob } from "./OwnedJob.js";
+import type { TryAcquireLease } from "./TryAcquireLease.js";
 
 /** How often an entry looks for jobs without an owner. */
-const tickMs = 1_000;
+const pollMs = 1_000;
 /** Entries that stand by for a job: the first by rendezvous and one behind it. */
-const standbys = 2;
+const standbyCount = 2;
 
 interface JobOwnershipDeps {
     self: EntryId;
@@ -23,7 +23,7 @@
     /** Entries believed alive, this one included. */
     listEntries: () => EntryId[];
     listJobs: () => JobManifest[];
-    takeLease: LeaseTaker;
+    tryAcquireLease: TryAcquireLease;
     createOwner: (job: JobManifest, lease: Lease) => Promise<Owner>;
     /** Tells the other entries who owns the job. */
     announce: (job: JobId, lease: Lease) => void;
@@ -36,12 +36,12 @@
 export function createJobOwnership(deps: JobOwnershipDeps): JobOwnership {
     const { clock, logger, self } = deps;
     const owned = new Map<JobId, OwnedJob>();
-    const taking = new Set<JobId>();
+    const acquiring = new Set<JobId>();
     const stopped = new AbortController();
     const rank = createRankCache();
 
-    function standsBy(job: JobId): boolean {
-        return rank(job, deps.listEntries()).slice(0, standbys).includes(self);
+    function isStandby(job: JobId): boolean {
+        return rank(job, deps.listEntries()).slice(0, standbyCount).includes(self);
     }
 
     async function drop({ job, lease, owner }: OwnedJob, reason: string): Promise<void> {
@@ -54,8 +54,8 @@
         await lease.release().catch(() => undefined);
     }
 
-    async function take(job: JobManifest): Promise<void> {
-        const lease = await deps.takeLease(`leases/job/${job.job}`);
+    async function acquire(job: JobManifest): Promise<void> {
+        const lease = await deps.tryAcquireLease(`leases/job/${job.job}`);
         if (lease === undefined) {
             return;
         }
@@ -68,58 +68,58 @@
             await lease.release().catch(() => undefined);
             throw error;
         });
-        const entry: OwnedJob = { job, lease, owner };
-        owned.set(job.job, entry);
+        const ownedJob: OwnedJob = { job, lease, owner };
+        owned.set(job.job, ownedJob);
         // A signal that was aborted while the owner started calls no listener any more: without this the job would
         // stay here for good under a lease that is lost, or be left running behind a shutdown.
         if (lease.lost.aborted || owner.ended?.aborted === true || stopped.signal.aborted) {
-            await drop(entry, "endedAtStart");
+            await drop(ownedJob, "endedAtStart");
             return;
         }
-        lease.lost.addEventListener("abort", () => void drop(entry, "leaseLost"), { once: true });
-        owner.ended?.addEventListener("abort", () => void drop(entry, "ownerEnded"), { once: true });
+        lease.lost.addEventListener("abort", () => void drop(ownedJob, "leaseLost"), { once: true });
+        owner.ended?.addEventListener("abort", () => void drop(ownedJob, "ownerEnded"), { once: true });
         deps.announce(job.job, lease);
     }
 
-    function tryTake(job: JobManifest): void {
-        if (taking.has(job.job) || !standsBy(job.job)) {
+    function tryAcquire(job: JobManifest): void {
+        if (acquiring.has(job.job) || !isStandby(job.job)) {
             return;
         }
-        taking.add(job.job);
-        take(job)
+        acquiring.add(job.job);
+        acquire(job)
             .catch(error => logger.warn("jobNotTaken", { job: job.job, code: codeOf(error).name }))
-            .finally(() => taking.delete(job.job));
+            .finally(() => acquiring.delete(job.job));
     }
 
-    function follow(entry: OwnedJob, job: JobManifest): void {
-        if (JSON.stringify(entry.job) !== JSON.stringify(job)) {
-            entry.job = job;
-            entry.owner.updateJob(job);
+    function updateJob(ownedJob: OwnedJob, job: JobManifest): void {
+        if (JSON.stringify(ownedJob.job) !== JSON.stringify(job)) {
+            ownedJob.job = job;
+            ownedJob.owner.updateJob(job);
             logger.info("jobUpdated", { job: job.job });
         }
     }
 
-    function tick(): void {
+    function updateOwnership(): void {
         const jobs = deps.listJobs();
-        const wanted = new Set(jobs.map(each => each.job));
+        const listedJobs = new Set(jobs.map(each => each.job));
         [...owned.values()]
-            .filter(each => !wanted.has(each.job.job))
+            .filter(each => !listedJobs.has(each.job.job))
             .forEach(each => void drop(each, "removedFromManifest"));
         for (const job of jobs) {
-            const entry = owned.get(job.job);
-            if (entry === undefined) {
-                tryTake(job);
+            const ownedJob = owned.get(job.job);
+            if (ownedJob === undefined) {
+                tryAcquire(job);
             }
             else {
-                follow(entry, job);
+                updateJob(ownedJob, job);
             }
         }
     }
 
     async function loop(): Promise<void> {
         while (!stopped.signal.aborted) {
-            tick();
-            await clock.sleep(tickMs, stopped.signal);
+            updateOwnership();
+            await clock.sleep(pollMs, stopped.signal);
         }
     }
 
--- a/packages/entry/src/createJobReader.ts
+++ b/packages/entry/src/createJobReader.ts
@@ -28,8 +28,8 @@
         if (document === undefined || document.entry === deps.self) {
             return { job, owner: undefined, status: undefined };
         }
-        const asked = deps.callPeer(document.address, "jobStatus", { job: job.job }, statusTimeoutMs);
-        const status = await asked.catch(() => undefined) as OwnerStatus | undefined;
+        const pendingStatus = deps.callPeer(document.address, "jobStatus", { job: job.job }, statusTimeoutMs);
+        const status = await pendingStatus.catch(() => undefined) as OwnerStatus | undefined;
         return { job, owner: document.entry, status };
     }
 
--- a/packages/entry/src/createKeyedDesk.test.ts
+++ b/packages/entry/src/createKeyedRequestHandler.test.ts
@@ -6,7 +6,7 @@
 import { v7 as newKey } from "uuid";
 import { expect, test } from "vitest";
 import type { CallerRequest } from "./CallerRequest.js";
-import { createKeyedDesk } from "./createKeyedDesk.js";
+import { createKeyedRequestHandler } from "./createKeyedRequestHandler.js";
 import { createTestBench } from "./testing/createTestBench.js";
 
 type Outcome = AttemptOutcome<PlainAnswer>;
@@ -18,7 +18,7 @@
 const noOwner: Outcome = { kind: "notRun", code: resultCodes.notOwner, retryAfterMs: 1_000 };
 const ran = { kind: "ran", answer: { status: 200 } } as Outcome;
 
-function createDesk(
+function createFixture(
     answers: Outcome[],
     range?: Partial<KeyRange>,
     onForward: (count: number) => void = () => undefined,
@@ -27,11 +27,11 @@
     const passedOn: CallerRequest[] = [];
     const caller = new AbortController();
     let executed = 0;
-    const desk = createKeyedDesk({
+    const handleRequest = createKeyedRequestHandler({
         ...bench,
         selfAddress: "http://entry-1",
         findRange: () => range as KeyRange | undefined,
-        findOwner: () => "http://entry-2",
+        findOwnerAddress: () => "http://entry-2",
         forward: async (_address, request) => {
             passedOn.push(request);
             onForward(passedOn.length);
@@ -48,13 +48,13 @@
         executed: () => executed,
         call: (change: Partial<CallerRequest> = {}) => {
             const request = { idempotencyKey: key, forwarded: false, ...change } as CallerRequest;
-            return desk(request, digest, 1_000, execute, caller.signal);
+            return handleRequest(request, digest, 1_000, execute, caller.signal);
         },
     };
 }
 
 test("an owner elsewhere gets the request, and it never runs here", async () => {
-    const { call, passedOn, executed } = createDesk([ran]);
+    const { call, passedOn, executed } = createFixture([ran]);
     expect(await call()).toBe(ran);
     expect(passedOn.map(each => each.budgetMs)).toEqual([1_000]);
     expect(executed()).toBe(0);
@@ -63,7 +63,7 @@
 test("the connection to the owner breaks, and the second sending is refused", async () => {
     // Guards against: a caller hears "not run", sends an alert anew under another key, and it goes out twice.
     for (const refusal of [noOwner, noConnection]) {
-        const { call, passedOn } = createDesk([broken, refusal]);
+        const { call, passedOn } = createFixture([broken, refusal]);
         expect(await call()).toBe(broken);
         expect(passedOn).toHaveLength(2);
     }
@@ -71,7 +71,7 @@
 
 test("the caller goes away during the second sending", async () => {
     // Guards against: the request counts as not run.
-    const { call, caller, passedOn } = createDesk([broken, noConnection], undefined, count => {
+    const { call, caller, passedOn } = createFixture([broken, noConnection], undefined, count => {
         if (count === 2) {
             caller.abort();
         }
@@ -82,20 +82,20 @@
 
 test("a request already passed on is not passed on again", async () => {
     // Guards against: two entries send a request back and forth until its deadline.
-    const { call, passedOn } = createDesk([]);
+    const { call, passedOn } = createFixture([]);
     expect(await call({ forwarded: true })).toEqual(noOwner);
     expect(passedOn).toEqual([]);
 });
 
 test("a key that tells no time is refused, and nothing runs", async () => {
-    const { call, executed } = createDesk([]);
+    const { call, executed } = createFixture([]);
     const random = "7b1f1d7e-5c0c-4d1f-9c37-0d9d3f3f8f01";
     expect(await call({ idempotencyKey: random })).toMatchObject({ code: resultCodes.keyNotUuidV7 });
     expect(executed()).toBe(0);
 });
 
 test("the caller of a run here hangs up, and the run goes on for those who send the key again", async () => {
-    const { call, caller, executed } = createDesk([], { run: (_request, execute) => execute() });
+    const { call, caller, executed } = createFixture([], { run: (_request, execute) => execute() });
     caller.abort();
     expect(await call()).toBe(ran);
     expect(executed()).toBe(1);
--- a/packages/entry/src/createKeyedDesk.ts
+++ b/packages/entry/src/createKeyedRequestHandler.ts
@@ -16,13 +16,13 @@
 
 type Outcome = AttemptOutcome<PlainAnswer>;
 
-interface KeyedDeskDeps {
+interface KeyedRequestHandlerDeps {
     clock: Clock;
     logger: Logger;
     selfAddress: string;
     findRange: (range: number) => KeyRange | undefined;
     /** Address of the entry that owns a range, as last heard. */
-    findOwner: (range: number) => string | undefined;
+    findOwnerAddress: (range: number) => string | undefined;
     forward: ForwardPlain;
 }
 
@@ -36,8 +36,8 @@
  * Runs a non-idempotent request with a key: here if this entry owns the key's range, else at the owner. The same
  * key may be passed on again after a broken connection, since the owner's memory keeps it from running twice.
  */
-export function createKeyedDesk(
-    deps: KeyedDeskDeps,
+export function createKeyedRequestHandler(
+    deps: KeyedRequestHandlerDeps,
 ): (
     request: CallerRequest,
     digest: ContentDigest,
@@ -47,7 +47,7 @@
 ) => Promise<Outcome> {
     const { clock, logger } = deps;
 
-    async function pass(
+    async function forwardToOwner(
         request: CallerRequest,
         range: number,
         budgetMs: number,
@@ -56,19 +56,19 @@
         const deadlineMs = clock.monotonicMs() + budgetMs;
         let outcome: Outcome = notRun(resultCodes.notOwner);
         for (let tries = 0; tries < maxForwards; tries++) {
-            const address = deps.findOwner(range);
+            const address = deps.findOwnerAddress(range);
             const leftMs = deadlineMs - clock.monotonicMs();
             if (address === undefined || address === deps.selfAddress || leftMs <= 0) {
                 return outcome;
             }
             logger.info("requestPassedOn", { key: request.idempotencyKey, range, address, tries });
-            const next = await deps.forward(address, { ...request, budgetMs: Math.ceil(leftMs) }, signal);
-            if (next.kind === "ran") {
-                return next;
+            const latest = await deps.forward(address, { ...request, budgetMs: Math.ceil(leftMs) }, signal);
+            if (latest.kind === "ran") {
+                return latest;
             }
             // Once it may have run, a later "not run" speaks only of the later sending.
-            outcome = outcome.kind === "unknown" ? outcome : next;
-            if (signal.aborted || (next.kind === "notRun" && next.code !== resultCodes.connectFailed)) {
+            outcome = outcome.kind === "unknown" ? outcome : latest;
+            if (signal.aborted || (latest.kind === "notRun" && latest.code !== resultCodes.connectFailed)) {
                 return outcome;
             }
         }
@@ -86,6 +86,8 @@
             // The run belongs to the key, not to the caller that happened to start it: that one may go away.
             return here.run({ team: request.team, key, digest }, () => execute(new AbortController().signal));
         }
-        return request.forwarded ? notRun(resultCodes.notOwner) : pass(request, range, budgetMs, signal);
+        return request.forwarded
+            ? notRun(resultCodes.notOwner)
+            : forwardToOwner(request, range, budgetMs, signal);
     };
 }
--- a/packages/entry/src/createLeaseScan.ts
+++ b/packages/entry/src/createLeaseScan.ts
@@ -2,7 +2,7 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 
 /** From so many leases on, one list costs less than a read of each. */
-const listFrom = 8;
+const minKeysToList = 8;
 
 interface LeaseScanDeps {
     store: Pick<ObjectStore, "list">;
@@ -20,15 +20,15 @@
     const { leases, ttlMs } = deps;
 
     return async keys => {
-        if (keys.length < listFrom) {
+        if (keys.length < minKeysToList) {
             return keys;
         }
         const { objects } = await deps.store.list(deps.prefix);
-        const present = new Set(objects.map(object => object.key));
+        const existingKeys = new Set(objects.map(object => object.key));
         objects.forEach(leases.observe);
         return keys.filter(key => {
             const seen = leases.lastSeen(key);
-            return !present.has(key) || seen?.holder === undefined || seen.unchangedMs >= ttlMs;
+            return !existingKeys.has(key) || seen?.holder === undefined || seen.unchangedMs >= ttlMs;
         });
     };
 }
--- a/packages/entry/src/createLeavingWatch.ts
+++ b/packages/entry/src/createLeavingVmWatcher.ts
@@ -8,17 +8,17 @@
 import type { Fleet } from "./Fleet.js";
 
 const documentName = "leaving";
-const everyMs = 1_000;
+const pollMs = 1_000;
 const leavingSchema = z.object({ vms: z.array(z.string()) });
 
-interface LeavingWatchDeps {
+interface LeavingVmWatcherDeps {
     fleet: Fleet;
     vmList: VmList;
     clock: Clock;
     logger: Logger;
 }
 
-interface LeavingWatch {
+interface LeavingVmWatcher {
     start(): void;
     stop(): void;
 }
@@ -28,18 +28,18 @@
  * and spread the leaving VMs as a shared document; an entry that a leaving sampler reports to orders its sidecar to
  * take no new work. If every process read the list that often, it would see thousands of calls a second.
  */
-export function createLeavingWatch(deps: LeavingWatchDeps): LeavingWatch {
+export function createLeavingVmWatcher(deps: LeavingVmWatcherDeps): LeavingVmWatcher {
     const { fleet, clock, logger } = deps;
     const { spread, membership, views } = fleet;
     const stopped = new AbortController();
-    const ordered = new Set<IncarnationId>();
+    const orderedIncarnations = new Set<IncarnationId>();
 
     function leavingVms(): string[] {
         const parsed = leavingSchema.safeParse(spread.get(documentName)?.value);
         return parsed.success ? parsed.data.vms : [];
     }
 
-    async function readList(): Promise<void> {
+    async function publishLeavingVms(): Promise<void> {
         const listed = await deps.vmList();
         const vms = listed.filter(record => record.state === "leaving").map(record => record.vm).sort();
         if (JSON.stringify(vms) !== JSON.stringify(leavingVms())) {
@@ -52,40 +52,42 @@
         }
     }
 
-    async function orderOut({ report }: SamplerView): Promise<void> {
-        ordered.add(report.incarnation);
+    async function orderToLeave({ report }: SamplerView): Promise<void> {
+        orderedIncarnations.add(report.incarnation);
         try {
             const sidecar = views.sidecar(report.sampler);
             await sidecar.beginLeaving?.();
-            membership.takeReport(await sidecar.readReport());
+            membership.acceptReport(await sidecar.readReport());
             logger.info("samplerOrderedOut", { sampler: report.sampler, vm: report.vm });
         }
         catch (error) {
-            ordered.delete(report.incarnation);
+            orderedIncarnations.delete(report.incarnation);
             logger.warn("samplerNotOrderedOut", { sampler: report.sampler, code: codeOf(error).name });
         }
     }
 
-    function orderAllOut(): void {
+    function orderAllToLeave(): void {
         const leaving = new Set(leavingVms());
         views.listAll()
-            .filter(view => leaving.has(view.report.vm) && !ordered.has(view.report.incarnation))
-            .forEach(view => void orderOut(view));
+            .filter(view => leaving.has(view.report.vm) && !orderedIncarnations.has(view.report.incarnation))
+            .forEach(view => void orderToLeave(view));
     }
 
     async function loop(): Promise<void> {
         while (!stopped.signal.aborted) {
             if (membership.isRelay()) {
-                await readList().catch(error => logger.warn("vmListFailed", { code: codeOf(error).name }));
+                await publishLeavingVms().catch(error =>
+                    logger.warn("vmListFailed", { code: codeOf(error).name })
+                );
             }
-            orderAllOut();
-            await clock.sleep(everyMs, stopped.signal);
+            orderAllToLeave();
+            await clock.sleep(pollMs, stopped.signal);
         }
     }
 
     return {
         start: () => {
-            spread.onChange(document => document.name === documentName && orderAllOut());
+            spread.onChange(document => document.name === documentName && orderAllToLeave());
             void loop();
         },
         stop: () => stopped.abort(),
--- a/packages/entry/src/createManifestPublisher.test.ts
+++ b/packages/entry/src/createManifestPublisher.test.ts
@@ -8,7 +8,7 @@
 const digests = { plume: "1".repeat(64), ridge: "2".repeat(64) };
 const manifest = (name: string): unknown => testManifest(name, digests);
 
-function createBed() {
+function createFixture() {
     const bench = createTestBench();
     const { store, control } = bench;
     const start = (text?: () => string) => {
@@ -26,7 +26,7 @@
 
 test("the answer to a publication is lost", async () => {
     // Guards against: an operator is told that the store failed, applies again and is refused.
-    const { start, control, settle, standing } = createBed();
+    const { start, control, settle, standing } = createFixture();
     const publisher = start();
     control.loseAnswers(1);
     expect(await settle(publisher.publish(manifest("first"), 0))).toEqual({ version: 1, changed: true });
@@ -36,7 +36,7 @@
 
 test("two operators publish against the same version", async () => {
     // Guards against: one operator's change vanishes though both were told it was accepted.
-    const { start, settle, standing } = createBed();
+    const { start, settle, standing } = createFixture();
     const publisher = start();
     await settle(publisher.publish(manifest("first"), 0));
     await settle(publisher.publish(manifest("winner"), 1));
@@ -50,7 +50,7 @@
 
 test("an entry starts with a file that was published before", async () => {
     // Guards against: an operator's change is undone by itself.
-    const { start, store, settle, clock, standing } = createBed();
+    const { start, store, settle, clock, standing } = createFixture();
     const text = JSON.stringify(manifest("file"));
     const publisher = start(() => text);
     await clock.advance(3_000);
@@ -65,7 +65,7 @@
 
 test("the store fails between the two writes of a publication", async () => {
     // Guards against: an operator's change is undone a second after it.
-    const { start, store, clock, standing } = createBed();
+    const { start, store, clock, standing } = createFixture();
     const { write } = store;
     let writes = 0;
     store.write = async (key, value, expected) => {
@@ -85,7 +85,7 @@
 
 test("a changed file that loses a race is published over the winner", async () => {
     // Guards against: the pipeline's change never takes effect.
-    const { start, store, clock, standing } = createBed();
+    const { start, store, clock, standing } = createFixture();
     const write = store.write;
     store.write = async (key, value, expected) => {
         if (key === "config/manifest" && expected === 0) {
@@ -100,7 +100,7 @@
 });
 
 test("a file with faults changes nothing, and its next text is taken", async () => {
-    const { start, clock, lines, standing } = createBed();
+    const { start, clock, lines, standing } = createFixture();
     let text = JSON.stringify(manifest("first"));
     start(() => text);
     await clock.advance(3_000);
--- a/packages/entry/src/createManifestPublisher.ts
+++ b/packages/entry/src/createManifestPublisher.ts
@@ -13,13 +13,13 @@
 import type { StoredObject } from "@auburnarch/types/StoredObject";
 import { createHash } from "node:crypto";
 import { z } from "zod";
-import { ManifestFaults } from "./ManifestFaults.js";
-import { ManifestRaced } from "./ManifestRaced.js";
+import { ManifestConflictError } from "./ManifestConflictError.js";
+import { ManifestInvalidError } from "./ManifestInvalidError.js";
 
 const manifestKey = "config/manifest";
 const sourceKey = "sources/manifest-file";
-const fileEveryMs = 1_000;
-const maxFileTries = 3;
+const filePollMs = 1_000;
+const maxFileAttempts = 3;
 const noObject = 0 as ObjectVersion;
 
 interface ManifestPublisherDeps {
@@ -52,44 +52,44 @@
     const stopped = new AbortController();
     let publishedText: string | undefined;
 
-    function settle(stored: StoredObject, changed: boolean): OperatorApplied {
+    function acceptPublished(stored: StoredObject, changed: boolean): OperatorApplied {
         const version = stored.version as number as ConfigVersion;
         deps.onPublished(version, stored.value);
         return { version, changed };
     }
 
     /** The answer was lost: what stands there now tells whether our manifest is it. */
-    async function readBack(manifest: unknown, error: unknown): Promise<OperatorApplied> {
-        const standing = codeOf(error) === resultCodes.storeUnavailable
+    async function confirmPublished(manifest: unknown, error: unknown): Promise<OperatorApplied> {
+        const current = codeOf(error) === resultCodes.storeUnavailable
             ? await store.read(manifestKey)
             : undefined;
-        if (standing === undefined || !sameValue(standing.value, manifest)) {
+        if (current === undefined || !sameValue(current.value, manifest)) {
             throw error;
         }
-        return settle(standing, true);
+        return acceptPublished(current, true);
     }
 
     async function publish(manifest: unknown, expectedVersion: number): Promise<OperatorApplied> {
         const checked = validateManifest(manifest);
         if (checked.kind === "invalid") {
-            throw new ManifestFaults(checked.faults);
+            throw new ManifestInvalidError(checked.faults);
         }
         const value = checked.manifest;
-        const standing = await store.read(manifestKey);
-        if (standing !== undefined && sameValue(standing.value, value)) {
-            return settle(standing, false);
+        const current = await store.read(manifestKey);
+        if (current !== undefined && sameValue(current.value, value)) {
+            return acceptPublished(current, false);
         }
         try {
             const outcome = await store.write(manifestKey, value, expectedVersion as ObjectVersion);
             if (outcome.kind === "conflict") {
-                throw new ManifestRaced(outcome.current);
+                throw new ManifestConflictError(outcome.current);
             }
             logger.info("manifestPublished", { configVersion: outcome.version, name: value.name });
-            return settle({ key: manifestKey, version: outcome.version, value }, true);
+            return acceptPublished({ key: manifestKey, version: outcome.version, value }, true);
         }
         catch (error) {
-            if (error instanceof ResultError && !(error instanceof ManifestRaced)) {
-                return readBack(value, error);
+            if (error instanceof ResultError && !(error instanceof ManifestConflictError)) {
+                return confirmPublished(value, error);
             }
             throw error;
         }
@@ -116,49 +116,54 @@
     async function publishText(text: string): Promise<void> {
         const digest = createHash("sha256").update(text).digest("hex");
         const source = await store.read(sourceKey);
-        const standing = await store.read(manifestKey);
-        const version = standing?.version ?? noObject;
+        const current = await store.read(manifestKey);
+        const version = current?.version ?? noObject;
         const intent = sourceSchema.safeParse(source?.value).data;
-        const isNoted = intent?.digest === digest;
-        if (isNoted && version > intent.baseVersion) {
+        const isIntentStored = intent?.digest === digest;
+        if (isIntentStored && version > intent.baseVersion) {
             return;
         }
         const manifest = parseFile(text);
         if (manifest === undefined) {
             return;
         }
-        await publishNoted({ digest, baseVersion: version }, manifest, source?.version ?? noObject, isNoted);
+        await publishWithIntent(
+            { digest, baseVersion: version },
+            manifest,
+            source?.version ?? noObject,
+            isIntentStored,
+        );
     }
 
     /** Another change that came first is a reason to try again: this one surely did not take effect. */
-    async function publishNoted(
-        first: z.infer<typeof sourceSchema>,
+    async function publishWithIntent(
+        intent: z.infer<typeof sourceSchema>,
         manifest: Manifest,
-        firstNote: ObjectVersion,
-        isNoted: boolean,
+        firstIntentVersion: ObjectVersion,
+        isIntentStored: boolean,
     ): Promise<void> {
-        let { baseVersion } = first;
-        let note = firstNote;
-        for (let tries = 0; tries < maxFileTries; tries++) {
-            if (!isNoted || tries > 0) {
-                const noted = await store.write(sourceKey, { ...first, baseVersion }, note);
-                if (noted.kind === "conflict") {
+        let { baseVersion } = intent;
+        let intentVersion = firstIntentVersion;
+        for (let attempt = 0; attempt < maxFileAttempts; attempt++) {
+            if (!isIntentStored || attempt > 0) {
+                const written = await store.write(sourceKey, { ...intent, baseVersion }, intentVersion);
+                if (written.kind === "conflict") {
                     throw new ResultError(resultCodes.manifestRaced, "another entry publishes a file");
                 }
-                note = noted.version;
+                intentVersion = written.version;
             }
             try {
                 await publish(manifest, baseVersion);
                 return;
             }
             catch (error) {
-                if (!(error instanceof ManifestRaced)) {
+                if (!(error instanceof ManifestConflictError)) {
                     throw error;
                 }
                 baseVersion = error.current?.version ?? noObject;
             }
         }
-        throw new ResultError(resultCodes.manifestRaced, `${maxFileTries} times`);
+        throw new ResultError(resultCodes.manifestRaced, `${maxFileAttempts} times`);
     }
 
     async function followFile(readFile: () => Promise<string>): Promise<void> {
@@ -173,7 +178,7 @@
             catch (error) {
                 logger.warn("manifestFileNotPublished", { code: codeOf(error).name, fault: String(error) });
             }
-            await clock.sleep(fileEveryMs, stopped.signal);
+            await clock.sleep(filePollMs, stopped.signal);
         }
     }
 
--- a/packages/entry/src/createManifestView.ts
+++ b/packages/entry/src/createManifestView.ts
@@ -5,12 +5,12 @@
 
 /** Reads the manifest out of the shared documents, with its defaults; those were checked before they were taken. */
 export function createManifestView(get: (name: string) => SharedDocument | undefined): ManifestView {
-    let taken: SharedDocument | undefined;
+    let lastDocument: SharedDocument | undefined;
     let view: VersionedManifest | undefined;
     return () => {
         const document = get("manifest");
-        if (document !== undefined && document !== taken) {
-            taken = document;
+        if (document !== undefined && document !== lastDocument) {
+            lastDocument = document;
             view = readManifestDocument(document);
         }
         return view;
--- a/packages/entry/src/createMemberReader.ts
+++ b/packages/entry/src/createMemberReader.ts
@@ -52,7 +52,7 @@
     };
 }
 
-const isFresher = (member: OperatorMember, than: OperatorMember | undefined): boolean =>
+const isNewer = (member: OperatorMember, than: OperatorMember | undefined): boolean =>
     than === undefined
     || member.configVersion > than.configVersion
     || (member.configVersion === than.configVersion && member.ageMs < than.ageMs);
@@ -65,25 +65,25 @@
         return [{ ...self, configVersion: version }, ...deps.listSamplers().map(describeSampler)];
     }
 
-    async function ask(view: EntryView): Promise<OperatorMember[]> {
-        const standing = view.suspected ? "suspected" : "ready";
-        const known = describeRecord(view.record, view.leaving ? "leaving" : standing, view.ageMs);
-        const asked = deps.callPeer(view.record.address, "describe", {}, describeTimeoutMs);
-        const told = await asked.catch(() => []) as OperatorMember[];
+    async function fetchMembers(view: EntryView): Promise<OperatorMember[]> {
+        const presentState = view.suspected ? "suspected" : "ready";
+        const known = describeRecord(view.record, view.leaving ? "leaving" : presentState, view.ageMs);
+        const pendingMembers = deps.callPeer(view.record.address, "describe", {}, describeTimeoutMs);
+        const received = await pendingMembers.catch(() => []) as OperatorMember[];
         return [
             known,
-            ...told.map(each => each.name === known.name ? { ...each, state: known.state } : each),
+            ...received.map(each => each.name === known.name ? { ...each, state: known.state } : each),
         ];
     }
 
     return {
         describeHere,
         readAll: async () => {
-            const told = await Promise.all(deps.listEntries().map(ask));
+            const received = await Promise.all(deps.listEntries().map(fetchMembers));
             const byName = new Map<string, OperatorMember>();
-            for (const member of [describeHere(), ...told].flat()) {
+            for (const member of [describeHere(), ...received].flat()) {
                 const key = `${member.role}/${member.name}`;
-                if (isFresher(member, byName.get(key))) {
+                if (isNewer(member, byName.get(key))) {
                     byName.set(key, member);
                 }
             }
--- a/packages/entry/src/createOperations.ts
+++ b/packages/entry/src/createOperations.ts
@@ -7,8 +7,8 @@
 import { createGauges } from "./createGauges.js";
 import { createJobReader } from "./createJobReader.js";
 import { createMemberReader } from "./createMemberReader.js";
-import { createOperatorDesk } from "./createOperatorDesk.js";
-import type { DecisionBook } from "./DecisionBook.js";
+import { createOperatorHandler } from "./createOperatorHandler.js";
+import type { DecisionStore } from "./DecisionStore.js";
 import type { EntryDeps } from "./EntryDeps.js";
 import type { Fleet } from "./Fleet.js";
 import type { JobOwnership } from "./JobOwnership.js";
@@ -27,7 +27,7 @@
     callsInFlight: () => number;
     isStoreReachable: () => boolean;
     isReady: () => boolean;
-    book: DecisionBook;
+    decisionStore: DecisionStore;
 }
 
 interface Operations {
@@ -56,7 +56,7 @@
         findOwner: directory.findJob,
         callPeer,
     });
-    const desk = createOperatorDesk({
+    const operatorHandler = createOperatorHandler({
         self,
         clock: deps.clock,
         manifest: fleet.manifest,
@@ -66,15 +66,15 @@
         views,
         drain: createDrainer({
             sidecar: views.sidecar,
-            takeReport: fleet.membership.takeReport,
-            logger: parts.book.logger,
+            takeReport: fleet.membership.acceptReport,
+            logger: parts.decisionStore.logger,
         }),
         publish: parts.publish,
         readJobs,
         usage: parts.usage,
         listQuarantine: quarantine.list,
         liftQuarantine: quarantine.lift,
-        explain: parts.book.explain,
+        explain: parts.decisionStore.explain,
     });
     const setGauges = createGauges({
         metrics,
@@ -86,8 +86,8 @@
         isReady,
     });
     return {
-        operate: desk.run,
-        readTeamUsage: desk.readTeamUsage,
+        operate: operatorHandler.run,
+        readTeamUsage: operatorHandler.readTeamUsage,
         describeHere: members.describeHere,
         renderMetrics: () => {
             setGauges();
--- a/packages/entry/src/createOperatorDesk.ts
+++ b/packages/entry/src/createOperatorHandler.ts
@@ -16,7 +16,7 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { VersionedManifest } from "@auburnarch/types/VersionedManifest";
 import { z } from "zod";
-import type { DecisionBook } from "./DecisionBook.js";
+import type { DecisionStore } from "./DecisionStore.js";
 import type { JobReport } from "./JobReport.js";
 import type { SamplerViews } from "./SamplerViews.js";
 import type { UsageCollector } from "./UsageCollector.js";
@@ -25,7 +25,7 @@
 const drainBody = z.strictObject({ sampler: z.string().min(1) });
 const liftBody = z.strictObject({ digest: z.string().min(1) });
 
-interface OperatorDeskDeps {
+interface OperatorHandlerDeps {
     self: EntryRecord;
     clock: Clock;
     manifest: () => VersionedManifest | undefined;
@@ -40,7 +40,7 @@
     usage: UsageCollector;
     listQuarantine: () => QuarantineRecord[];
     liftQuarantine: (digest: ContentDigest) => Promise<void>;
-    explain: DecisionBook["explain"];
+    explain: DecisionStore["explain"];
 }
 
 const emptyUsage = (team: TeamId): OperatorTeamUsage => ({
@@ -65,14 +65,14 @@
     return parsed.data;
 }
 
-interface OperatorDesk {
+interface OperatorHandler {
     /** `action` is method and path below `/operator/`; rejects with `notFound` for any other. */
     run(action: string, query: URLSearchParams, body: unknown): Promise<unknown>;
     readTeamUsage(team: TeamId): Promise<OperatorTeamUsage>;
 }
 
 /** Answers the operators' interface. */
-export function createOperatorDesk(deps: OperatorDeskDeps): OperatorDesk {
+export function createOperatorHandler(deps: OperatorHandlerDeps): OperatorHandler {
     const noVersion = 0 as ConfigVersion;
 
     async function status(): Promise<OperatorStatus> {
@@ -104,7 +104,7 @@
 
     async function usage(): Promise<OperatorUsage> {
         const unreadSamplers = await deps.usage.collect();
-        const counters = await deps.usage.readAll().catch(() => deps.usage.gathered());
+        const counters = await deps.usage.readAll().catch(() => deps.usage.listCollected());
         const jobs = await deps.readJobs();
         const rows = summarizeUsage(
             counters,
--- a/packages/entry/src/createOwnership.ts
+++ b/packages/entry/src/createOwnership.ts
@@ -5,10 +5,10 @@
 import type { Lease } from "@auburnarch/types/Lease";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
+import { createGroupStoreDirectory } from "./createGroupStoreDirectory.js";
 import { createJobOwnership } from "./createJobOwnership.js";
-import { createKeeperDirectory } from "./createKeeperDirectory.js";
 import { createOwnerDirectory } from "./createOwnerDirectory.js";
-import { createSharedKeep } from "./createSharedKeep.js";
+import { createReplicatedGroupStore } from "./createReplicatedGroupStore.js";
 import type { EntryDeps } from "./EntryDeps.js";
 import type { Fleet } from "./Fleet.js";
 import type { JobOwnership } from "./JobOwnership.js";
@@ -38,16 +38,16 @@
         ttlMs: deps.leaseTtlMs,
         guards: guards?.lease,
     });
-    const keepers = createKeeperDirectory(self, fleet, clock);
-    const keep = createSharedKeep({
+    const groupStoreDirectory = createGroupStoreDirectory(self, fleet, clock);
+    const groupStore = createReplicatedGroupStore({
         self: self.entry,
-        local: deps.keep,
-        listKeepers: keepers.list,
+        local: deps.groupStore,
+        listHosts: groupStoreDirectory.list,
         callPeer: deps.callPeer,
         logger,
     });
-    if (deps.keep !== undefined) {
-        keepers.announce();
+    if (deps.groupStore !== undefined) {
+        groupStoreDirectory.announce();
     }
     const directory = createOwnerDirectory({ self, get: spread.get, offer: spread.offer });
 
@@ -65,7 +65,7 @@
             listSamplers: () => views.list(job.service),
             sidecar: views.sidecar,
             scoring: deps.scoring,
-            keep,
+            keep: groupStore,
             cursorKey: deps.cursorKey,
         };
         return createOwner(ownerDeps, guards?.owner, guards?.ownerParts);
@@ -77,7 +77,7 @@
         logger,
         listEntries: fleet.listLiveEntries,
         listJobs: () => fleet.manifest()?.manifest.jobs ?? [],
-        takeLease: leases.tryAcquire,
+        tryAcquireLease: leases.tryAcquire,
         createOwner: startOwner,
         announce: directory.announceJob,
     });
--- a/packages/entry/src/createPeerCall.ts
+++ b/packages/entry/src/createPeerCall.ts
@@ -65,13 +65,13 @@
             },
         };
         return new Promise((resolve, reject) => {
-            const sent = startRequest(url, options, answer => {
+            const request = startRequest(url, options, answer => {
                 const chunks: Buffer[] = [];
                 let answerBytes = 0;
                 answer.on("data", (chunk: Buffer) => {
                     answerBytes += chunk.byteLength;
                     if (answerBytes > maxAnswerBytes) {
-                        sent.destroy(new Error("answer too large"));
+                        request.destroy(new Error("answer too large"));
                         return;
                     }
                     chunks.push(chunk);
@@ -86,9 +86,9 @@
                     }
                 });
             });
-            sent.on("timeout", () => sent.destroy(new Error(`no answer within ${timeoutMs} ms`)));
-            sent.on("error", reject);
-            sent.end(body);
+            request.on("timeout", () => request.destroy(new Error(`no answer within ${timeoutMs} ms`)));
+            request.on("error", reject);
+            request.end(body);
         });
     }
 
--- a/packages/entry/src/createPeerDesk.ts
+++ b/packages/entry/src/createPeerHandler.ts
@@ -5,7 +5,7 @@
 import type { OperatorMember } from "@auburnarch/types/OperatorMember";
 import type { TeamId } from "@auburnarch/types/TeamId";
 import { z } from "zod";
-import { createKeepDesk } from "./createKeepDesk.js";
+import { createGroupStoreMethods } from "./createGroupStoreMethods.js";
 import type { Fleet } from "./Fleet.js";
 import type { JobOwnership } from "./JobOwnership.js";
 import { stepSchema } from "./stepSchema.js";
@@ -31,12 +31,12 @@
 });
 const jobParams = z.object({ job });
 
-interface PeerDeskDeps {
+interface PeerHandlerDeps {
     fleet: Fleet;
     jobs: JobOwnership;
-    train: (team: TeamId, call: TrainerCall, forwarded: boolean) => Promise<unknown>;
+    handleTrainerCall: (team: TeamId, call: TrainerCall, forwarded: boolean) => Promise<unknown>;
     describeHere: () => OperatorMember[];
-    keep: GroupKeep | undefined;
+    groupStore: GroupKeep | undefined;
 }
 
 function parse<T>(schema: z.ZodType<T>, params: unknown): T {
@@ -48,12 +48,14 @@
 }
 
 /** Answers calls of other processes: `gossip`, `spread`, `report`, `train`, `jobStatus`, `describe`, and those of its data folder. */
-export function createPeerDesk(deps: PeerDeskDeps): (method: string, params: unknown) => Promise<unknown> {
+export function createPeerHandler(
+    deps: PeerHandlerDeps,
+): (method: string, params: unknown) => Promise<unknown> {
     const { fleet, jobs } = deps;
 
     async function train(params: unknown): Promise<unknown> {
         const { team, call } = parse(trainParams, params);
-        return deps.train(team as TeamId, call as unknown as TrainerCall, true);
+        return deps.handleTrainerCall(team as TeamId, call as unknown as TrainerCall, true);
     }
 
     function jobStatus(params: unknown): unknown {
@@ -72,7 +74,7 @@
         train,
         jobStatus,
         describe: deps.describeHere,
-        ...createKeepDesk(deps.keep),
+        ...createGroupStoreMethods(deps.groupStore),
     }));
 
     return async (method, params) => {
--- a/packages/entry/src/createRangeOwnership.ts
+++ b/packages/entry/src/createRangeOwnership.ts
@@ -1,4 +1,4 @@
-import { createAnswerMemory } from "@auburnarch/admit/createAnswerMemory";
+import { createAnswerCacheBudget } from "@auburnarch/admit/createAnswerCacheBudget";
 import { createKeyRange } from "@auburnarch/admit/createKeyRange";
 import type { KeyRange } from "@auburnarch/admit/KeyRange";
 import type { KeyRangeGuards } from "@auburnarch/admit/KeyRangeGuards";
@@ -11,15 +11,15 @@
 import type { Lease } from "@auburnarch/types/Lease";
 import type { Logger } from "@auburnarch/types/Logger";
 import { createRankCache } from "./createRankCache.js";
-import type { LeaseTaker } from "./LeaseTaker.js";
 import type { RangeOwnership } from "./RangeOwnership.js";
+import type { TryAcquireLease } from "./TryAcquireLease.js";
 
 /** Two standbys for each of 32 ranges: 21 reads a second for the whole fleet, whatever its size. */
-const tickMs = 3_000;
-const standbys = 2;
+const pollMs = 3_000;
+const standbyCount = 2;
 const allRanges = Array.from({ length: rangeCount }, (_, range) => range);
 /** The others are heard of first, so that the first entry to start does not take every range. */
-const settleMs = 2_000;
+const startDelayMs = 2_000;
 
 interface RangeOwnershipDeps {
     self: EntryId;
@@ -28,9 +28,9 @@
     invariants: Invariants;
     guards: KeyRangeGuards | undefined;
     listEntries: () => EntryId[];
-    takeLease: LeaseTaker;
+    tryAcquireLease: TryAcquireLease;
     /** Of these lease keys, those worth a try. */
-    scan: (keys: string[]) => Promise<string[]>;
+    findAcquirableLeases: (keys: string[]) => Promise<string[]>;
     announce: (range: number, lease: Lease) => void;
 }
 
@@ -41,13 +41,13 @@
 export function createRangeOwnership(deps: RangeOwnershipDeps): RangeOwnership {
     const { clock, logger, invariants } = deps;
     const owned = new Map<number, KeyRange>();
-    const taking = new Set<number>();
+    const acquiring = new Set<number>();
     const stopped = new AbortController();
-    const answers = createAnswerMemory();
+    const answers = createAnswerCacheBudget();
     const rank = createRankCache();
 
-    async function take(range: number): Promise<void> {
-        const lease = await deps.takeLease(rangeLeaseKey(range));
+    async function acquire(range: number): Promise<void> {
+        const lease = await deps.tryAcquireLease(rangeLeaseKey(range));
         if (lease === undefined || owned.has(range)) {
             return;
         }
@@ -64,7 +64,7 @@
                 clock,
                 logger,
                 invariants,
-                answers,
+                answerBudget: answers,
                 guards: deps.guards,
             }),
         );
@@ -72,32 +72,34 @@
         deps.announce(range, lease);
     }
 
-    function listWanted(): number[] {
+    function listWantedRanges(): number[] {
         const entries = deps.listEntries();
         return allRanges.filter(range => {
-            const standsBy = rank(rangeLeaseKey(range), entries).slice(0, standbys).includes(deps.self);
-            return standsBy && !owned.has(range) && !taking.has(range);
+            const isStandby = rank(rangeLeaseKey(range), entries).slice(0, standbyCount).includes(deps.self);
+            return isStandby && !owned.has(range) && !acquiring.has(range);
         });
     }
 
-    function tryTake(range: number): void {
-        taking.add(range);
-        take(range)
+    function tryAcquire(range: number): void {
+        acquiring.add(range);
+        acquire(range)
             .catch(error => logger.warn("rangeNotTaken", { range, code: codeOf(error).name }))
-            .finally(() => taking.delete(range));
+            .finally(() => acquiring.delete(range));
     }
 
-    async function tick(): Promise<void> {
-        const wanted = listWanted();
-        const worthATry = new Set(await deps.scan(wanted.map(rangeLeaseKey)));
-        wanted.filter(range => worthATry.has(rangeLeaseKey(range))).forEach(tryTake);
+    async function acquireWantedRanges(): Promise<void> {
+        const wanted = listWantedRanges();
+        const acquirableLeases = new Set(await deps.findAcquirableLeases(wanted.map(rangeLeaseKey)));
+        wanted.filter(range => acquirableLeases.has(rangeLeaseKey(range))).forEach(tryAcquire);
     }
 
     async function loop(): Promise<void> {
-        await clock.sleep(settleMs, stopped.signal);
+        await clock.sleep(startDelayMs, stopped.signal);
         while (!stopped.signal.aborted) {
-            await tick().catch(error => logger.warn("rangesNotScanned", { code: codeOf(error).name }));
-            await clock.sleep(tickMs, stopped.signal);
+            await acquireWantedRanges().catch(error =>
+                logger.warn("rangesNotScanned", { code: codeOf(error).name })
+            );
+            await clock.sleep(pollMs, stopped.signal);
         }
     }
 
--- a/packages/entry/src/createSharedKeep.test.ts
+++ b/packages/entry/src/createReplicatedGroupStore.test.ts
@@ -1,14 +1,14 @@
 import type { GroupKeep } from "@auburnarch/types/GroupKeep";
 import { expect, test } from "vitest";
-import { createKeepDesk } from "./createKeepDesk.js";
-import { createSharedKeep } from "./createSharedKeep.js";
-import type { Keeper } from "./Keeper.js";
+import { createGroupStoreMethods } from "./createGroupStoreMethods.js";
+import { createReplicatedGroupStore } from "./createReplicatedGroupStore.js";
+import type { GroupStoreHost } from "./GroupStoreHost.js";
 import { createTestBench } from "./testing/createTestBench.js";
 
-type KeepRecord = Parameters<GroupKeep["save"]>[0];
+type StoredGroup = Parameters<GroupKeep["save"]>[0];
 
-function createMemoryKeep(): GroupKeep {
-    let records: KeepRecord[] = [];
+function createMemoryGroupStore(): GroupKeep {
+    let records: StoredGroup[] = [];
     return {
         save: async record => void records.push(record),
         load: async (job, step) => records.filter(each => each.job === job && each.step === step),
@@ -18,8 +18,8 @@
     };
 }
 
-const keeper = (entry: string): Keeper => ({ entry, address: `http://${entry}` });
-const record = (group: number, fencing: number, body: string): KeepRecord => ({
+const hostOf = (entry: string): GroupStoreHost => ({ entry, address: `http://${entry}` });
+const record = (group: number, fencing: number, body: string): StoredGroup => ({
     job: "forecast",
     step: 1,
     group,
@@ -27,20 +27,20 @@
     body,
 });
 
-function createBed(names: string[]) {
+function createFixture(names: string[]) {
     const bench = createTestBench();
     const gone = new Set<string>();
-    const keeps = new Map(names.map(name => [name, createMemoryKeep()]));
-    const shared = createSharedKeep({
+    const keeps = new Map(names.map(name => [name, createMemoryGroupStore()]));
+    const shared = createReplicatedGroupStore({
         self: "owner",
         local: undefined,
-        listKeepers: () => names.filter(name => !gone.has(name)).map(keeper),
+        listHosts: () => names.filter(name => !gone.has(name)).map(hostOf),
         callPeer: async (address, method, params) => {
             const name = address.slice("http://".length);
             if (gone.has(name)) {
                 throw new Error("no connection");
             }
-            return createKeepDesk(keeps.get(name))[method]!(JSON.parse(JSON.stringify(params)));
+            return createGroupStoreMethods(keeps.get(name))[method]!(JSON.parse(JSON.stringify(params)));
         },
         logger: bench.logger,
     });
@@ -49,7 +49,7 @@
 
 test("one of two keepers vanishes together with the owner", async () => {
     // Guards against: a whole step is generated again.
-    const { shared, gone, lines } = createBed(["a", "b", "c"]);
+    const { shared, gone, lines } = createFixture(["a", "b", "c"]);
     await shared.save(record(0, 3, "zero"));
     await shared.save(record(1, 3, "one"));
     for (const name of ["a", "b", "c"]) {
@@ -62,14 +62,14 @@
 
 test("of two copies of a group the one with the higher fencing number counts", async () => {
     // Guards against: a trainer gets samples that the owner never verified.
-    const { shared, keeps } = createBed(["a", "b"]);
+    const { shared, keeps } = createFixture(["a", "b"]);
     await keeps.get("a")!.save(record(0, 4, "successor"));
     await keeps.get("b")!.save(record(0, 3, "lapsed"));
     expect(await shared.load("forecast", 1)).toMatchObject([{ group: 0, fencing: 4, body: "successor" }]);
 });
 
 test("keepers fail: the lost copies are logged and nothing rejects", async () => {
-    const { shared, keeps, lines } = createBed(["a", "b"]);
+    const { shared, keeps, lines } = createFixture(["a", "b"]);
     const fail = () => Promise.reject(new Error("disk full"));
     keeps.forEach(keep => Object.assign(keep, { save: fail, load: fail, drop: fail }));
     await shared.save(record(7, 1, "seven"));
--- a/packages/entry/src/createSharedKeep.ts
+++ b/packages/entry/src/createReplicatedGroupStore.ts
@@ -2,22 +2,22 @@
 import type { GroupKeep } from "@auburnarch/types/GroupKeep";
 import type { Logger } from "@auburnarch/types/Logger";
 import { z } from "zod";
-import type { Keeper } from "./Keeper.js";
+import type { GroupStoreHost } from "./GroupStoreHost.js";
 import type { PeerCall } from "./PeerCall.js";
 
-type KeepRecord = Parameters<GroupKeep["save"]>[0];
+type StoredGroup = Parameters<GroupKeep["save"]>[0];
 
 const callTimeoutMs = 2_000;
 /** Copies of each group: one VM with a data folder may vanish together with the owner. */
-const copies = 2;
+const copyCount = 2;
 
 const recordsSchema = z.array(z.object({ group: z.number(), fencing: z.number(), body: z.string() }));
 
-interface SharedKeepDeps {
+interface ReplicatedGroupStoreDeps {
     self: string;
     local: GroupKeep | undefined;
     /** Entries with a data folder believed alive, this one included if it has one. */
-    listKeepers: () => Keeper[];
+    listHosts: () => GroupStoreHost[];
     callPeer: PeerCall;
     logger: Logger;
 }
@@ -26,32 +26,32 @@
  * Keeps groups on the VMs with a data folder, wherever the owner runs, so that an owner that takes over need not
  * make them again. Losing a copy costs work and never truth: a failed save is logged and the step goes on.
  */
-export function createSharedKeep(deps: SharedKeepDeps): GroupKeep {
+export function createReplicatedGroupStore(deps: ReplicatedGroupStoreDeps): GroupKeep {
     const { self, local, callPeer, logger } = deps;
 
-    function chosen(job: string, step: number): Keeper[] {
-        return rankByRendezvous(`${job}/${step}`, deps.listKeepers(), keeper => keeper.entry).slice(
+    function selectHosts(job: string, step: number): GroupStoreHost[] {
+        return rankByRendezvous(`${job}/${step}`, deps.listHosts(), keeper => keeper.entry).slice(
             0,
-            copies,
+            copyCount,
         );
     }
 
     function call<T>(
-        keeper: Keeper,
+        host: GroupStoreHost,
         method: string,
         params: unknown,
-        here: (keep: GroupKeep) => Promise<T>,
+        callLocal: (keep: GroupKeep) => Promise<T>,
     ): Promise<unknown> {
-        if (keeper.entry === self) {
-            return local === undefined ? Promise.reject(new Error("no data folder")) : here(local);
+        if (host.entry === self) {
+            return local === undefined ? Promise.reject(new Error("no data folder")) : callLocal(local);
         }
-        return callPeer(keeper.address, method, params, callTimeoutMs);
+        return callPeer(host.address, method, params, callTimeoutMs);
     }
 
-    async function save(record: KeepRecord): Promise<void> {
-        const keepers = chosen(record.job, record.step);
+    async function save(record: StoredGroup): Promise<void> {
+        const keepers = selectHosts(record.job, record.step);
         const saved = await Promise.allSettled(
-            keepers.map(keeper => call(keeper, "keepSave", record, keep => keep.save(record))),
+            keepers.map(host => call(host, "keepSave", record, keep => keep.save(record))),
         );
         if (keepers.length > 0 && !saved.some(each => each.status === "fulfilled")) {
             logger.warn("groupNotKept", {
@@ -63,8 +63,8 @@
         }
     }
 
-    async function loadFrom(keeper: Keeper, job: string, step: number): ReturnType<GroupKeep["load"]> {
-        const loaded = await call(keeper, "keepLoad", { job, step }, keep => keep.load(job, step)).catch(
+    async function loadFrom(host: GroupStoreHost, job: string, step: number): ReturnType<GroupKeep["load"]> {
+        const loaded = await call(host, "keepLoad", { job, step }, keep => keep.load(job, step)).catch(
             () => [],
         );
         const parsed = recordsSchema.safeParse(loaded);
@@ -73,7 +73,7 @@
 
     /** Every keeper is asked: who was chosen at the time of the save may differ from who would be now. */
     async function load(job: string, step: number): ReturnType<GroupKeep["load"]> {
-        const loaded = await Promise.all(deps.listKeepers().map(keeper => loadFrom(keeper, job, step)));
+        const loaded = await Promise.all(deps.listHosts().map(keeper => loadFrom(keeper, job, step)));
         const newest = new Map<number, Awaited<ReturnType<GroupKeep["load"]>>[number]>();
         for (const record of loaded.flat()) {
             const known = newest.get(record.group);
@@ -87,7 +87,7 @@
     async function drop(job: string, step: number, groups: number[]): Promise<void> {
         const params = { job, step, groups };
         await Promise.allSettled(
-            chosen(job, step).map(keeper =>
+            selectHosts(job, step).map(keeper =>
                 call(keeper, "keepDrop", params, keep => keep.drop(job, step, groups))
             ),
         );
--- a/packages/entry/src/createSamplerViews.ts
+++ b/packages/entry/src/createSamplerViews.ts
@@ -11,51 +11,51 @@
 import type { SamplerViewsDeps } from "./SamplerViewsDeps.js";
 import type { SendCounter } from "./SendCounter.js";
 
-interface Connected {
+interface SamplerConnection {
     counter: SendCounter;
     port: SidecarPort;
     /** The report at the latest attempt. */
     report: SamplerReport | undefined;
-    raw: SidecarPort | undefined;
+    sidecar: SidecarPort | undefined;
 }
 
 /** Joins reports, which lag, with what this entry sent since. */
 export function createSamplerViews(deps: SamplerViewsDeps): SamplerViews {
     const { clock } = deps;
-    const connected = new Map<SamplerId, Connected>();
+    const connections = new Map<SamplerId, SamplerConnection>();
 
     /** A sampler that comes back on another VM has another address: its connection is made anew. */
-    function connect(sampler: SamplerId, entry: Connected): SidecarPort {
+    function connect(sampler: SamplerId, connection: SamplerConnection): SidecarPort {
         const report = deps.listReports().find(each => each.report.sampler === sampler)?.report;
-        if (report !== undefined && report.address !== entry.report?.address) {
-            entry.raw = deps.connect(report);
+        if (report !== undefined && report.address !== connection.report?.address) {
+            connection.sidecar = deps.connect(report);
         }
-        entry.report = report ?? entry.report;
-        if (entry.raw === undefined) {
+        connection.report = report ?? connection.report;
+        if (connection.sidecar === undefined) {
             throw new ResultError(resultCodes.sidecarUnreachable, `no report of ${sampler}`);
         }
-        return entry.raw;
+        return connection.sidecar;
     }
 
-    function entryOf(sampler: SamplerId): Connected {
-        const present = connected.get(sampler);
+    function connectionOf(sampler: SamplerId): SamplerConnection {
+        const present = connections.get(sampler);
         if (present !== undefined) {
             return present;
         }
         const counter = createSendCounter(clock);
-        const counted = createCountedSidecar(counter, () => connect(sampler, entry), {
-            noteReached: reached => deps.noteSampler(sampler, reached),
-            noteCleanFinish: deps.noteCleanFinish,
-            noteLost: digest => entry.report && deps.noteLost(entry.report, digest),
+        const counted = createCountedSidecar(counter, () => connect(sampler, connection), {
+            recordContact: reached => deps.recordSamplerContact(sampler, reached),
+            recordCleanFinish: deps.noteCleanFinish,
+            recordInterrupted: digest => connection.report && deps.noteLost(connection.report, digest),
         });
         const port = deps.wrapSidecar(counted);
-        const entry: Connected = { counter, port, report: undefined, raw: undefined };
-        connected.set(sampler, entry);
-        return entry;
+        const connection: SamplerConnection = { counter, port, report: undefined, sidecar: undefined };
+        connections.set(sampler, connection);
+        return connection;
     }
 
     function view({ report, ageMs, suspected }: ReportedSampler): SamplerView {
-        const { counter } = entryOf(report.sampler);
+        const { counter } = connectionOf(report.sampler);
         return {
             report,
             reportAgeMs: ageMs,
@@ -72,7 +72,7 @@
                 .filter(each => each.report.service === service && each.report.state !== "leaving")
                 .map(view),
         listAll: () => deps.listReports().map(view),
-        sidecar: sampler => entryOf(sampler).port,
-        inFlight: () => [...connected.values()].reduce((sum, each) => sum + each.counter.attempts(), 0),
+        sidecar: sampler => connectionOf(sampler).port,
+        inFlight: () => [...connections.values()].reduce((sum, each) => sum + each.counter.attempts(), 0),
     };
 }
--- a/packages/entry/src/createSendCounter.ts
+++ b/packages/entry/src/createSendCounter.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { SendCounter } from "./SendCounter.js";
 
-const keptSends = 512;
+const maxSendTimes = 512;
 
 /** Counts what is in flight and what was sent lately; the memory is bounded by `keptSends` times. */
 export function createSendCounter(clock: Clock): SendCounter {
@@ -10,23 +10,23 @@
     const sentAtMs: number[] = [];
 
     function begin(expectedTokens: number): ReturnType<SendCounter["begin"]> {
-        let leftTokens = expectedTokens;
+        let remainingTokens = expectedTokens;
         attempts++;
-        tokens += leftTokens;
+        tokens += remainingTokens;
         sentAtMs.push(clock.monotonicMs());
-        if (sentAtMs.length > keptSends) {
+        if (sentAtMs.length > maxSendTimes) {
             sentAtMs.shift();
         }
-        const take = (count: number): void => {
-            const taken = Math.min(leftTokens, count);
-            leftTokens -= taken;
+        const subtractTokens = (count: number): void => {
+            const taken = Math.min(remainingTokens, count);
+            remainingTokens -= taken;
             tokens -= taken;
         };
         return {
-            progress: take,
+            progress: subtractTokens,
             end: () => {
                 attempts--;
-                take(leftTokens);
+                subtractTokens(remainingTokens);
             },
         };
     }
@@ -37,7 +37,7 @@
         sentWithin: ageMs => {
             const sinceMs = clock.monotonicMs() - ageMs;
             let count = 0;
-            for (let at = sentAtMs.length - 1; at >= 0 && sentAtMs[at]! > sinceMs; at--) {
+            for (let index = sentAtMs.length - 1; index >= 0 && sentAtMs[index]! > sinceMs; index--) {
                 count++;
             }
             return count;
--- a/packages/entry/src/createServiceDesk.ts
+++ b/packages/entry/src/createServiceHandler.ts
@@ -22,17 +22,17 @@
 import { choosePlainSampler } from "./choosePlainSampler.js";
 import { digestRequest } from "./digestRequest.js";
 import { isRepeatable } from "./isRepeatable.js";
-import { noteCleanEnd } from "./noteCleanEnd.js";
+import { notifyOnCleanEnd } from "./notifyOnCleanEnd.js";
 import type { SamplerViews } from "./SamplerViews.js";
 
 /** First attempt and two more; each further one finds the same trouble at growing cost. */
 const maxAttempts = 3;
-const defaultRatio = 0.1;
+const defaultRetryBudgetRatio = 0.1;
 const notReadyRetryMs = 1_000;
 
 type Execute = (signal: AbortSignal) => Promise<AttemptOutcome<PlainAnswer>>;
 
-interface ServiceDeskDeps {
+interface ServiceHandlerDeps {
     self: EntryRecord;
     clock: Clock;
     random: Random;
@@ -40,9 +40,9 @@
     metrics: Metrics;
     manifest: () => Manifest | undefined;
     views: SamplerViews;
-    quarantine: Pick<Quarantine, "isRefused" | "isSuspect" | "noteCleanFinish" | "trialDueInMs">;
+    quarantine: Pick<Quarantine, "isRefused" | "isSuspect" | "recordCleanFinish" | "trialDueInMs">;
     /** Takes a place for a team's request, rejecting with `queueFull`; the function given back frees it. */
-    takePlace: (team: TeamId) => () => void;
+    acquireTeamSlot: (team: TeamId) => () => void;
     guards?: SendGuards;
     /** Runs a non-idempotent request with a key at most once, here or at the entry that owns the key's range. */
     runKeyed: (
@@ -63,16 +63,16 @@
 }
 
 /** Serves callers' requests: refuses what cannot run, keeps to at most once where asked, and sends the rest. */
-export function createServiceDesk(
-    deps: ServiceDeskDeps,
+export function createServiceHandler(
+    deps: ServiceHandlerDeps,
 ): (request: CallerRequest, signal: AbortSignal) => Promise<PlainAnswer> {
     const { clock, logger, metrics, random } = deps;
     const retryBudget = createRetryBudget({
         clock,
-        ratio: () => deps.manifest()?.limits.retryBudgetRatio ?? defaultRatio,
+        ratio: () => deps.manifest()?.limits.retryBudgetRatio ?? defaultRetryBudgetRatio,
     });
 
-    function demandService(request: CallerRequest): ServiceManifest {
+    function requireService(request: CallerRequest): ServiceManifest {
         const manifest = deps.manifest();
         if (manifest === undefined) {
             throw new ResultError(resultCodes.notReady, "no manifest yet", notReadyRetryMs);
@@ -114,7 +114,7 @@
         budgetMs: number,
     ): Execute {
         const id = random.nextId();
-        const plain: Omit<PlainRequest, "attempt"> = {
+        const plainRequest: Omit<PlainRequest, "attempt"> = {
             service: request.service,
             team: request.team,
             method: request.method,
@@ -137,7 +137,7 @@
             logger,
             guards: deps.guards,
         };
-        return async signal => (await sendPlain(plain, plainDeps, signal)).outcome;
+        return async signal => (await sendPlain(plainRequest, plainDeps, signal)).outcome;
     }
 
     /** Content that was in flight at a death and ends cleanly this time was a bystander. */
@@ -145,11 +145,14 @@
         if (!deps.quarantine.isSuspect(digest)) {
             return answer;
         }
-        return { ...answer, body: noteCleanEnd(answer.body, () => deps.quarantine.noteCleanFinish(digest)) };
+        return {
+            ...answer,
+            body: notifyOnCleanEnd(answer.body, () => deps.quarantine.recordCleanFinish(digest)),
+        };
     }
 
     return async (request, signal) => {
-        const service = demandService(request);
+        const service = requireService(request);
         const digest = digestRequest(request);
         const dueInMs = deps.quarantine.isRefused(digest)
             ? deps.quarantine.trialDueInMs(digest, "request")
@@ -159,19 +162,19 @@
         }
         const budgetMs = request.budgetMs ?? deps.manifest()!.limits.defaultDeadlineMs;
         const idempotent = request.idempotent ?? isRepeatable(service, request.method, request.path);
-        const leave = deps.takePlace(request.team);
+        const releaseSlot = deps.acquireTeamSlot(request.team);
         const startedAtMs = clock.monotonicMs();
         try {
             const execute = createExecute(request, idempotent, digest, budgetMs);
-            const keyed = !idempotent && request.idempotencyKey !== undefined;
-            const outcome = keyed
+            const isKeyed = !idempotent && request.idempotencyKey !== undefined;
+            const outcome = isKeyed
                 ? await deps.runKeyed(request, digest, budgetMs, execute, signal)
                 : await execute(signal);
             metrics.count("requests_total", { service: request.service, outcome: outcome.kind });
             return clearSuspect(toAnswer(outcome), digest);
         }
         finally {
-            leave();
+            releaseSlot();
             metrics.observeMs("request_ms", { service: request.service }, clock.monotonicMs() - startedAtMs);
         }
     };
--- /dev/null
+++ b/packages/entry/src/createSidecarCrashDetector.ts
@@ -0,0 +1,64 @@
+import type { Clock } from "@auburnarch/types/Clock";
+import type { ContentDigest } from "@auburnarch/types/ContentDigest";
+import type { IncarnationId } from "@auburnarch/types/IncarnationId";
+import type { SamplerId } from "@auburnarch/types/SamplerId";
+import type { SamplerReport } from "@auburnarch/types/SamplerReport";
+import type { VmId } from "@auburnarch/types/VmId";
+
+/** A sidecar that has not come back as another by then did not die: its connections broke. */
+const maxWaitMs = 60_000;
+
+interface InterruptedAttempts {
+    incarnation: IncarnationId;
+    vm: VmId;
+    atMs: number;
+    digests: Set<ContentDigest>;
+}
+
+interface SidecarCrashDetector {
+    /** An attempt of this content ended without an answer at the incarnation that made `report`. */
+    recordInterrupted(report: SamplerReport, digest: ContentDigest): void;
+    /** Takes a later report of the sampler. */
+    recordReport(report: SamplerReport): void;
+}
+
+/**
+ * Notices sidecars that die together with what they ran, as when a content takes the whole VM down: such a sidecar
+ * cannot tell what was in flight. An attempt that broke off and a new incarnation afterwards are the evidence.
+ */
+export function createSidecarCrashDetector(
+    clock: Clock,
+    recordCrash: (vm: VmId, incarnation: IncarnationId, digests: ContentDigest[]) => void,
+): SidecarCrashDetector {
+    const interruptedBySampler = new Map<SamplerId, InterruptedAttempts>();
+
+    return {
+        recordInterrupted: (report, digest) => {
+            const known = interruptedBySampler.get(report.sampler);
+            const interrupted = known?.incarnation === report.incarnation
+                ? known
+                : {
+                    incarnation: report.incarnation,
+                    vm: report.vm,
+                    atMs: 0,
+                    digests: new Set<ContentDigest>(),
+                };
+            interrupted.atMs = clock.monotonicMs();
+            interrupted.digests.add(digest);
+            interruptedBySampler.set(report.sampler, interrupted);
+        },
+        recordReport: report => {
+            const interrupted = interruptedBySampler.get(report.sampler);
+            if (interrupted === undefined) {
+                return;
+            }
+            if (report.incarnation !== interrupted.incarnation) {
+                interruptedBySampler.delete(report.sampler);
+                recordCrash(interrupted.vm, interrupted.incarnation, [...interrupted.digests]);
+            }
+            else if (clock.monotonicMs() - interrupted.atMs > maxWaitMs) {
+                interruptedBySampler.delete(report.sampler);
+            }
+        },
+    };
+}
--- a/packages/entry/src/createQuickStart.test.ts
+++ b/packages/entry/src/createSnapshotRestore.test.ts
@@ -2,12 +2,12 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
 import { validateManifest } from "@auburnarch/config/validateManifest";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
-import { createSpread } from "@auburnarch/spread/createSpread";
+import { createDocumentSync } from "@auburnarch/spread/createDocumentSync";
 import type { ObjectVersion } from "@auburnarch/types/ObjectVersion";
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import { expect, test } from "vitest";
 import { createManifestView } from "./createManifestView.js";
-import { createQuickStart } from "./createQuickStart.js";
+import { createSnapshotRestore } from "./createSnapshotRestore.js";
 import type { Fleet } from "./Fleet.js";
 import type { StartSnapshot } from "./StartSnapshot.js";
 import { createTestBench } from "./testing/createTestBench.js";
@@ -20,11 +20,11 @@
     return { name: "manifest", version, value: checked.kind === "valid" ? checked.manifest : checked.faults };
 }
 
-function createBed(snapshot: StartSnapshot | undefined) {
+function createFixture(snapshot: StartSnapshot | undefined) {
     const bench = createTestBench();
     const { clock, store, logger } = bench;
     const saved: StartSnapshot[] = [];
-    const spread = createSpread({
+    const documentSync = createDocumentSync({
         clock,
         random: createRandom(1),
         logger,
@@ -36,25 +36,25 @@
         faultsOf: faultsOfDocument,
     });
     const fleet = {
-        spread,
+        spread: documentSync,
         membership: { listPeers: () => [{ address: "http://peer" }] },
     } as unknown as Fleet;
     const save = async (value: StartSnapshot): Promise<void> => void saved.push(value);
-    const quickStart = createQuickStart({ fleet, clock, logger, snapshot, save });
-    const manifest = createManifestView(spread.get);
+    const quickStart = createSnapshotRestore({ fleet, clock, logger, snapshot, save });
+    const manifest = createManifestView(documentSync.get);
     return {
         ...bench,
-        spread,
+        spread: documentSync,
         quickStart,
         saved,
         inForce: () => `${manifest()?.manifest.name} ${manifest()?.version}`,
-        isSettled: () => spread.isCaughtUp() || quickStart.maySettle(),
+        isSettled: () => documentSync.isCaughtUp() || quickStart.mayServeSnapshot(),
     };
 }
 
 test("an entry restarts while the object API and every peer are down", async () => {
     // Guards against: all calls are refused for the whole outage.
-    const { clock, control, spread, quickStart, inForce, isSettled } = createBed({
+    const { clock, control, spread, quickStart, inForce, isSettled } = createFixture({
         documents: [documentOf("kept", 7)],
         peers: [],
     });
@@ -70,7 +70,7 @@
 
 test("the snapshot is older than what stands published", async () => {
     // Guards against: an entry serves a manifest of last week.
-    const { clock, store, spread, quickStart, inForce, settle, saved } = createBed({
+    const { clock, store, spread, quickStart, inForce, settle, saved } = createFixture({
         documents: [documentOf("kept", 1)],
         peers: [],
     });
@@ -89,7 +89,7 @@
 test("a snapshot with a faulty manifest is not taken, and without one nothing is served early", async () => {
     const broken = { ...documentOf("kept", 7), value: { name: "kept", teams: "none" } };
     for (const snapshot of [{ documents: [broken], peers: [] }, undefined]) {
-        const { clock, control, quickStart, inForce, isSettled } = createBed(snapshot);
+        const { clock, control, quickStart, inForce, isSettled } = createFixture(snapshot);
         control.setOutage(true);
         quickStart.start();
         await clock.advance(10_000);
--- a/packages/entry/src/createQuickStart.ts
+++ b/packages/entry/src/createSnapshotRestore.ts
@@ -6,9 +6,9 @@
 /** Documents come in bursts; the file is written once for each. */
 const saveAfterMs = 1_000;
 /** How long a start waits for a newer word than the snapshot's before it serves from that. */
-const waitForNewerMs = 5_000;
+const maxWaitForNewerMs = 5_000;
 
-interface QuickStartDeps {
+interface SnapshotRestoreDeps {
     fleet: Fleet;
     clock: Clock;
     logger: Logger;
@@ -16,11 +16,11 @@
     save: ((snapshot: StartSnapshot) => Promise<void>) | undefined;
 }
 
-interface QuickStart {
+interface SnapshotRestore {
     start(): void;
     stop(): void;
     /** True where neither a peer nor the object API has answered, and the snapshot's manifest may be served from. */
-    maySettle(): boolean;
+    mayServeSnapshot(): boolean;
 }
 
 /**
@@ -28,7 +28,7 @@
  * other entries with it, would have no manifest and refuse every call. Documents of the snapshot are taken like
  * any others: a newer version replaces them, an older one never.
  */
-export function createQuickStart(deps: QuickStartDeps): QuickStart {
+export function createSnapshotRestore(deps: SnapshotRestoreDeps): SnapshotRestore {
     const { fleet, clock, logger, snapshot, save } = deps;
     const { spread, membership } = fleet;
     const startedAtMs = clock.monotonicMs();
@@ -51,13 +51,14 @@
 
     return {
         start: () => {
-            const taken = snapshot?.documents.filter(document => spread.offer(document)) ?? [];
+            const accepted = snapshot?.documents.filter(document => spread.offer(document)) ?? [];
             if (snapshot !== undefined) {
-                logger.info("snapshotTaken", { documents: taken.length, peers: snapshot.peers.length });
+                logger.info("snapshotTaken", { documents: accepted.length, peers: snapshot.peers.length });
             }
             spread.onChange(scheduleSave);
         },
         stop: () => cancelSave?.(),
-        maySettle: () => snapshot !== undefined && clock.monotonicMs() - startedAtMs >= waitForNewerMs,
+        mayServeSnapshot: () =>
+            snapshot !== undefined && clock.monotonicMs() - startedAtMs >= maxWaitForNewerMs,
     };
 }
--- a/packages/entry/src/createTrainerDesk.ts
+++ b/packages/entry/src/createTrainerCallHandler.ts
@@ -13,7 +13,7 @@
 const ownerTimeoutMs = 45_000;
 const retryAfterMs = 1_000;
 
-interface TrainerDeskDeps {
+interface TrainerCallHandlerDeps {
     manifest: () => Manifest | undefined;
     jobs: JobOwnership;
     /** Where the job's owner is, as last heard. */
@@ -39,10 +39,10 @@
 }
 
 /** Takes trainers' calls: proves that the job is the team's, then runs the call here or at the job's owner. */
-export function createTrainerDesk(
-    deps: TrainerDeskDeps,
+export function createTrainerCallHandler(
+    deps: TrainerCallHandlerDeps,
 ): (team: TeamId, call: TrainerCall, forwarded: boolean) => Promise<unknown> {
-    function demandOwnJob(team: TeamId, job: JobId): void {
+    function requireJobOfTeam(team: TeamId, job: JobId): void {
         const found = deps.manifest()?.jobs.find(each => each.job === job);
         if (found === undefined) {
             throw new ResultError(resultCodes.unknownJob, job);
@@ -53,7 +53,7 @@
     }
 
     return async (team, call, forwarded) => {
-        demandOwnJob(team, call.job);
+        requireJobOfTeam(team, call.job);
         const owned = deps.jobs.get(call.job);
         if (owned !== undefined) {
             return callOwner(owned.owner, call);
--- a/packages/entry/src/createTrialSidecar.ts
+++ b/packages/entry/src/createTrialSidecar.ts
@@ -8,7 +8,7 @@
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { TrialId } from "@auburnarch/types/TrialId";
 
-interface Tried {
+interface TrialContent {
     digest: ContentDigest;
     kind: TrialKind;
 }
@@ -27,8 +27,8 @@
     const { quarantine, logger, metrics } = deps;
 
     /** A refusal that says when a trial may be had; senders come back then. */
-    function withDue<Answer>(
-        { digest, kind }: Tried,
+    function withTrialDelay<Answer>(
+        { digest, kind }: TrialContent,
         outcome: AttemptOutcome<Answer>,
     ): AttemptOutcome<Answer> {
         return outcome.kind === "notRun" && outcome.code === resultCodes.quarantined
@@ -36,7 +36,7 @@
             : outcome;
     }
 
-    function noteEnd(digest: ContentDigest, trial: TrialId, outcome: AttemptOutcome<unknown>): void {
+    function recordTrialEnd(digest: ContentDigest, trial: TrialId, outcome: AttemptOutcome<unknown>): void {
         const result = outcome.kind === "ran" ? "ran" : outcome.code.name;
         logger.warn("contentTrialEnded", { digest, trial, outcome: outcome.kind, result });
         metrics.count("content_trials_total", { outcome: outcome.kind });
@@ -46,23 +46,23 @@
     }
 
     async function run<Answer>(
-        tried: Tried,
+        content: TrialContent,
         send: (isTrial: boolean) => Promise<AttemptOutcome<Answer>>,
     ): Promise<AttemptOutcome<Answer>> {
-        const { digest, kind } = tried;
+        const { digest, kind } = content;
         if (!quarantine.isRefused(digest)) {
-            return withDue(tried, await send(false));
+            return withTrialDelay(content, await send(false));
         }
         const trial = await quarantine.takeTrial(digest, kind);
         if (trial === undefined) {
-            return withDue(tried, {
+            return withTrialDelay(content, {
                 kind: "notRun",
                 code: resultCodes.quarantined,
                 retryAfterMs: undefined,
             });
         }
         const outcome = await send(true);
-        noteEnd(digest, trial, outcome);
+        recordTrialEnd(digest, trial, outcome);
         return outcome;
     }
 
--- a/packages/entry/src/createUsageCollector.test.ts
+++ b/packages/entry/src/createUsageCollector.test.ts
@@ -19,17 +19,17 @@
         requests: 1,
     }) as never;
 
-function createBed() {
+function createFixture() {
     const bench = createTestBench();
     let counters: UsageCounter[] = [];
-    let reachable = true;
+    let isReachable = true;
     const start = (self = "entry-1") => {
         const collector = createUsageCollector({
             ...bench,
             self: self as EntryId,
-            listOwn: () => [sampler],
+            listAssignedSamplers: () => [sampler],
             sidecar: () => ({
-                readUsage: () => reachable ? Promise.resolve(counters) : Promise.reject(new Error("down")),
+                readUsage: () => isReachable ? Promise.resolve(counters) : Promise.reject(new Error("down")),
             }),
         });
         collector.start();
@@ -42,7 +42,7 @@
             counters = next;
         },
         setReachable: (next: boolean) => {
-            reachable = next;
+            isReachable = next;
         },
     };
 }
@@ -50,7 +50,7 @@
 const total = (counters: UsageCounter[]): number => counters.reduce((sum, each) => sum + each.engineMs, 0);
 
 test("a counter read many times, by two entries, counts once", async () => {
-    const { clock, start, setCounters, settle } = createBed();
+    const { clock, start, setCounters, settle } = createFixture();
     setCounters([counter("a", 500)]);
     const collectors = [start(), start("entry-2")];
     await clock.advance(70_000);
@@ -59,7 +59,7 @@
 
 test("sidecar and entry restart one after the other", async () => {
     // Guards against: a team is charged less than it used.
-    const { clock, start, setCounters, settle } = createBed();
+    const { clock, start, setCounters, settle } = createFixture();
     setCounters([counter("a", 500)]);
     const before = start();
     await clock.advance(35_000);
@@ -73,14 +73,14 @@
 
 test("the object API is down, and the answer to the first write after it is lost", async () => {
     // Guards against: usage stops being kept after an outage.
-    const { clock, control, start, setCounters, settle } = createBed();
+    const { clock, control, start, setCounters, settle } = createFixture();
     const collector = start();
     setCounters([counter("a", 100)]);
     await clock.advance(31_000);
     control.setOutage(true);
     setCounters([counter("a", 200)]);
     await clock.advance(60_000);
-    expect(total(collector.gathered())).toBe(200);
+    expect(total(collector.listCollected())).toBe(200);
     expect(await settle(collector.readAll().catch(codeOf))).toBe(resultCodes.storeUnavailable);
     control.setOutage(false);
     control.loseAnswers(1);
@@ -91,11 +91,11 @@
 });
 
 test("a sampler that does not answer is named and keeps what was counted", async () => {
-    const { start, setCounters, setReachable, settle } = createBed();
+    const { start, setCounters, setReachable, settle } = createFixture();
     const collector = start();
     setCounters([counter("a", 500)]);
     expect(await settle(collector.collect())).toEqual([]);
     setReachable(false);
     expect(await settle(collector.collect())).toEqual([sampler]);
-    expect(total(collector.gathered())).toBe(500);
+    expect(total(collector.listCollected())).toBe(500);
 });
--- a/packages/entry/src/createUsageCollector.ts
+++ b/packages/entry/src/createUsageCollector.ts
@@ -34,7 +34,7 @@
     logger: Logger;
     store: ObjectStore;
     /** Samplers this entry collects from: those that rank it first among the live entries. */
-    listOwn: () => SamplerId[];
+    listAssignedSamplers: () => SamplerId[];
     sidecar: (sampler: SamplerId) => Pick<SidecarPort, "readUsage">;
 }
 
@@ -59,7 +59,7 @@
     async function collect(): Promise<string[]> {
         const unread: string[] = [];
         await Promise.all(
-            deps.listOwn().map(async sampler => {
+            deps.listAssignedSamplers().map(async sampler => {
                 try {
                     counters = mergeUsage(counters, await deps.sidecar(sampler).readUsage());
                 }
@@ -118,6 +118,6 @@
             const { objects } = await store.list("usage/");
             return mergeUsage(counters, ...objects.map(each => parseCounters(each.value)));
         },
-        gathered: () => counters,
+        listCollected: () => counters,
     };
 }
--- a/packages/entry/src/isRepeatable.ts
+++ b/packages/entry/src/isRepeatable.ts
@@ -8,10 +8,11 @@
     if (service.kind === "rollout") {
         return true;
     }
-    const bare = path.split("?", 1)[0]!;
+    const pathWithoutQuery = path.split("?", 1)[0]!;
     return service.repeatable.some(each => {
         const [listedMethod, prefix = "/"] = each.split(" ");
-        const whole = prefix.endsWith("/") ? prefix : `${prefix}/`;
-        return listedMethod === method && (bare === prefix || bare.startsWith(whole));
+        const prefixWithSlash = prefix.endsWith("/") ? prefix : `${prefix}/`;
+        return listedMethod === method
+            && (pathWithoutQuery === prefix || pathWithoutQuery.startsWith(prefixWithSlash));
     });
 }
--- a/packages/entry/src/matchRoute.ts
+++ b/packages/entry/src/matchRoute.ts
@@ -9,16 +9,16 @@
 const operatorPattern = /^\/operator\/([a-z]+(?:\/[a-z]+)?)$/;
 
 function matchJob(method: string, url: URL): EntryRoute {
-    const found = jobPattern.exec(url.pathname) ?? undefined;
-    if (found === undefined) {
+    const matched = jobPattern.exec(url.pathname) ?? undefined;
+    if (matched === undefined) {
         return { kind: "none" };
     }
-    const job = decodeURIComponent(found[1]!) as JobId;
-    const [, , collection, step] = found;
+    const job = decodeURIComponent(matched[1]!) as JobId;
+    const [, , collection, step] = matched;
     if (method === "GET" && step !== undefined && collection === "steps") {
         const cursor = url.searchParams.get("cursor") ?? undefined;
-        const askedMs = Number(url.searchParams.get("waitMs") ?? 0);
-        const waitMs = Number.isFinite(askedMs) ? Math.min(Math.max(askedMs, 0), maxWaitMs) : 0;
+        const requestedMs = Number(url.searchParams.get("waitMs") ?? 0);
+        const waitMs = Number.isFinite(requestedMs) ? Math.min(Math.max(requestedMs, 0), maxWaitMs) : 0;
         return { kind: "readGroups", job, step: Number(step) as StepNumber, cursor, waitMs };
     }
     if (method === "POST" && step === undefined && collection !== undefined) {
--- a/packages/entry/src/noteCleanEnd.ts
+++ b/packages/entry/src/notifyOnCleanEnd.ts
@@ -1,5 +1,5 @@
 /** Passes a body on and calls `onClean` once it was read to its end; never after it broke off. */
-export async function* noteCleanEnd(
+export async function* notifyOnCleanEnd(
     body: AsyncIterable<Uint8Array>,
     onClean: () => void,
 ): AsyncGenerator<Uint8Array> {
--- a/packages/entry/src/outcomeOfCode.ts
+++ b/packages/entry/src/outcomeOfCode.ts
@@ -2,13 +2,13 @@
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
 /** The only codes of family 4 after which nothing can have taken effect. */
-const harmlessOutside: ReadonlySet<number> = new Set([
+const externalRefusals: ReadonlySet<number> = new Set([
     resultCodes.storeThrottled.number,
     resultCodes.intentRefused.number,
     resultCodes.weightStoreThrottled.number,
 ]);
-const firstDoubtfulFamily = 3;
-const outsideFamily = 4;
+const firstUncertainFamily = 3;
+const externalFamily = 4;
 const configurationFamily = 5;
 const internalFamily = 7;
 
@@ -18,9 +18,9 @@
  */
 export function outcomeOfCode(code: ResultCode): "notRun" | "unknown" {
     const family = Math.floor(code.number / 1_000);
-    if (family === outsideFamily) {
-        return harmlessOutside.has(code.number) ? "notRun" : "unknown";
+    if (family === externalFamily) {
+        return externalRefusals.has(code.number) ? "notRun" : "unknown";
     }
-    const doubtful = family >= firstDoubtfulFamily && family < configurationFamily;
-    return doubtful || family >= internalFamily ? "unknown" : "notRun";
+    const isUncertain = family >= firstUncertainFamily && family < configurationFamily;
+    return isUncertain || family >= internalFamily ? "unknown" : "notRun";
 }
--- a/packages/entry/src/readBody.ts
+++ b/packages/entry/src/readBody.ts
@@ -25,7 +25,7 @@
         const body = request.iterator({ destroyOnReturn: false }) as AsyncIterable<Uint8Array>;
         for await (const chunk of body) {
             bodyBytes += chunk.byteLength;
-            budget.take(chunk.byteLength);
+            budget.reserve(chunk.byteLength);
             if (bodyBytes > maxBytes) {
                 throw new ResultError(resultCodes.bodyTooLarge, `more than ${maxBytes} bytes`);
             }
--- a/packages/entry/src/readCallerRequest.ts
+++ b/packages/entry/src/readCallerRequest.ts
@@ -6,7 +6,7 @@
 import type { CallerRequest } from "./CallerRequest.js";
 
 /** Headers of one connection, which end here, and those that this system reads itself. */
-const notPassedOn = new Set([
+const unforwardedHeaders = new Set([
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -24,16 +24,21 @@
 const ownPrefix = "x-auburnarch-";
 const maxBudgetMs = 3_600_000;
 
-function passedOn(headers: IncomingMessage["headers"]): Record<string, string> {
-    const named = new Set((headers.connection ?? "").split(",").map(name => name.trim().toLowerCase()));
-    const kept: Record<string, string> = {};
+function forwardableHeaders(headers: IncomingMessage["headers"]): Record<string, string> {
+    const connectionHeaders = new Set(
+        (headers.connection ?? "").split(",").map(name => name.trim().toLowerCase()),
+    );
+    const forwarded: Record<string, string> = {};
     for (const [name, value] of Object.entries(headers)) {
         const text = Array.isArray(value) ? value.join(", ") : value;
-        if (text !== undefined && !notPassedOn.has(name) && !named.has(name) && !name.startsWith(ownPrefix)) {
-            kept[name] = text;
+        if (
+            text !== undefined && !unforwardedHeaders.has(name) && !connectionHeaders.has(name)
+            && !name.startsWith(ownPrefix)
+        ) {
+            forwarded[name] = text;
         }
     }
-    return kept;
+    return forwarded;
 }
 
 function readBudget(text: string | undefined): number | undefined {
@@ -54,7 +59,7 @@
     throw new ResultError(resultCodes.badRequest, "x-auburnarch-idempotent: true or false");
 }
 
-const single = (value: string | string[] | undefined): string | undefined =>
+const firstValue = (value: string | string[] | undefined): string | undefined =>
     Array.isArray(value) ? value[0] : value;
 
 /** Reads what a caller's headers say: deadline, key, idempotent mark. Rejects with code `badRequest`. */
@@ -71,11 +76,11 @@
         service,
         method: request.method ?? "GET",
         path,
-        headers: passedOn(headers),
+        headers: forwardableHeaders(headers),
         body,
-        budgetMs: readBudget(single(headers["x-auburnarch-deadline-ms"])),
-        idempotencyKey: single(headers["idempotency-key"]),
-        idempotent: readIdempotent(single(headers["x-auburnarch-idempotent"])),
+        budgetMs: readBudget(firstValue(headers["x-auburnarch-deadline-ms"])),
+        idempotencyKey: firstValue(headers["idempotency-key"]),
+        idempotent: readIdempotent(firstValue(headers["x-auburnarch-idempotent"])),
         forwarded: false,
     };
 }
--- a/packages/entry/src/sendFailure.ts
+++ b/packages/entry/src/sendFailure.ts
@@ -1,13 +1,13 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { ServerResponse } from "node:http";
-import { ManifestFaults } from "./ManifestFaults.js";
-import { ManifestRaced } from "./ManifestRaced.js";
+import { ManifestConflictError } from "./ManifestConflictError.js";
+import { ManifestInvalidError } from "./ManifestInvalidError.js";
 import { outcomeOfCode } from "./outcomeOfCode.js";
 
 const millisecondsPerSecond = 1_000;
 
-function describeStanding({ current }: ManifestRaced): unknown {
+function describeCurrent({ current }: ManifestConflictError): unknown {
     return current === undefined ? undefined : { version: current.version, manifest: current.value };
 }
 
@@ -31,8 +31,8 @@
         action: code.action,
         outcome: outcomeOfCode(code),
         retryAfterMs,
-        faults: error instanceof ManifestFaults ? error.faults : undefined,
-        current: error instanceof ManifestRaced ? describeStanding(error) : undefined,
+        faults: error instanceof ManifestInvalidError ? error.faults : undefined,
+        current: error instanceof ManifestConflictError ? describeCurrent(error) : undefined,
     }));
     const headers: Record<string, string | number> = {
         "content-type": "application/json",
--- a/packages/entry/src/serveEntry.test.ts
+++ b/packages/entry/src/serveEntry.test.ts
@@ -10,16 +10,16 @@
 import { exchangeRaw } from "./testing/exchangeRaw.js";
 
 let entry: Awaited<ReturnType<typeof createServedEntry>>;
-const kept: unknown[] = [];
-const keep: GroupKeep = {
-    save: async record => void kept.push(record),
+const savedGroups: unknown[] = [];
+const groupStore: GroupKeep = {
+    save: async record => void savedGroups.push(record),
     load: async () => [],
     drop: async () => undefined,
 };
 
 beforeEach(async () => {
-    kept.length = 0;
-    entry = await createServedEntry({ requestTimeoutMs: 1_000, maxBodyPoolBytes: 3_000_000 }, keep);
+    savedGroups.length = 0;
+    entry = await createServedEntry({ requestTimeoutMs: 1_000, maxBodyPoolBytes: 3_000_000 }, groupStore);
 });
 
 afterEach(async () => {
@@ -30,13 +30,13 @@
     expect(faults).toEqual([]);
 });
 
-interface Sent {
+interface SendOptions {
     token?: string;
     headers?: Record<string, string>;
     body?: string | Uint8Array;
 }
 
-async function send(line: string, { token, headers, body }: Sent = {}) {
+async function send(line: string, { token, headers, body }: SendOptions = {}) {
     const [method, path] = line.split(" ");
     const authorization: Record<string, string> = token === undefined
         ? {}
@@ -57,7 +57,8 @@
     return { status: answer.status, text, json };
 }
 
-const changes = (): string => JSON.stringify([entry.control.keys(), entry.control.peek("config/manifest")]);
+const storeState = (): string =>
+    JSON.stringify([entry.control.keys(), entry.control.peek("config/manifest")]);
 const step = JSON.stringify({
     step: 1,
     prompts: [{ prompt: "ridge", maxTokens: 5 }, { prompt: "x", maxTokens: 5 }],
@@ -79,7 +80,7 @@
 
 test("every route refuses a missing and a wrong token, and nothing changes", async () => {
     await waitForOwnWrites();
-    const before = changes();
+    const before = storeState();
     const { tokens } = entry;
     const team = [undefined, "", "wrong", tokens.operator, tokens.cluster];
     const operator = [undefined, "", "wrong", tokens.plume, tokens.cluster];
@@ -104,7 +105,7 @@
         }
     }
     expect(entry.sent).toEqual([]);
-    expect(changes()).toBe(before);
+    expect(storeState()).toBe(before);
 });
 
 test("one team asks for another's job, step and page", async () => {
@@ -228,7 +229,7 @@
 test("hostile bodies of teams and operators are refused with what to do, and nothing changes", async () => {
     // Guards against: on a busy machine this test saw changes.
     await waitForOwnWrites();
-    const before = changes();
+    const before = storeState();
     const { plume, operator } = entry.tokens;
     const routes: [string, string][] = [
         ["POST /v1/jobs/forecast/steps", plume],
@@ -254,7 +255,7 @@
         ),
         { numRuns: 100, seed: 9 },
     );
-    expect(changes()).toBe(before);
+    expect(storeState()).toBe(before);
 });
 
 const headOf = (line: string, token: string, ...headers: string[]): string =>
@@ -274,7 +275,7 @@
 test("many bodies at once take no more memory together than the pool", async () => {
     // Guards against: the process runs out of memory.
     await entry.close();
-    entry = await createServedEntry({ requestTimeoutMs: 5_000, maxBodyPoolBytes: 3_000_000 }, keep);
+    entry = await createServedEntry({ requestTimeoutMs: 5_000, maxBodyPoolBytes: 3_000_000 }, groupStore);
     const { plume, ridge } = entry.tokens;
     const part = Buffer.alloc(1_000_000, 97);
     const head = headOf("POST /v1/jobs/forecast/steps", plume, "Content-Length: 1000001");
@@ -380,7 +381,7 @@
     }]);
     const record = { job: "forecast", step: 1, group: 0, fencing: 1, body: "x" };
     await entry.callPeer(address, "keepSave", record, 5_000);
-    expect(kept).toEqual([record]);
+    expect(savedGroups).toEqual([record]);
     const unknownMethod = entry.callPeer(address, "none", {}, 5_000);
     await expect(unknownMethod).rejects.toMatchObject({ code: resultCodes.notFound });
     const stranger = createPeerCall("token of another cluster")(address, "describe", {}, 5_000);
--- a/packages/entry/src/serveEntry.ts
+++ b/packages/entry/src/serveEntry.ts
@@ -32,7 +32,7 @@
 const timeoutCheckMs = 1_000;
 const defaultBodyPoolBytes = 128 * 1024 * 1024;
 /** So that the bodies of one team leave room for the others. */
-const maxTeamPart = 0.5;
+const maxTeamBodyShare = 0.5;
 
 interface Served {
     port: number;
@@ -47,25 +47,25 @@
 };
 
 /** Aborted once the caller has gone away before its answer was complete. */
-function goneSignal(response: ServerResponse): AbortSignal {
-    const gone = new AbortController();
+function disconnectSignal(response: ServerResponse): AbortSignal {
+    const disconnected = new AbortController();
     response.once("close", () => {
         if (!response.writableFinished) {
-            gone.abort();
+            disconnected.abort();
         }
     });
-    return gone.signal;
+    return disconnected.signal;
 }
 
-function demand(request: IncomingMessage, ...digests: (string | undefined)[]): void {
+function requireToken(request: IncomingMessage, ...digests: (string | undefined)[]): void {
     const token = tokenOf(request);
     if (!digests.some(digest => digest !== undefined && matchesDigest(token, digest))) {
         throw new ResultError(resultCodes.unauthenticated);
     }
 }
 
-function demandPeer(request: IncomingMessage, options: ServeEntryOptions): void {
-    demand(request, options.clusterTokenDigest, options.previousClusterTokenDigest);
+function requirePeer(request: IncomingMessage, options: ServeEntryOptions): void {
+    requireToken(request, options.clusterTokenDigest, options.previousClusterTokenDigest);
     if (options.isPeer?.(request) === false) {
         throw new ResultError(resultCodes.unauthenticated, "certificate of the authority");
     }
@@ -73,7 +73,7 @@
 
 /** Only an entry may speak for a team without the team's token. */
 function forwardedTeam(request: IncomingMessage, options: ServeEntryOptions): TeamId {
-    demandPeer(request, options);
+    requirePeer(request, options);
     const team = request.headers[forwardHeaders.team];
     if (typeof team !== "string" || team === "") {
         throw new ResultError(resultCodes.badRequest, `${forwardHeaders.team}: expected a team`);
@@ -82,7 +82,7 @@
 }
 
 /** Reads a body; what it took of its budget is given back once the answer has ended. */
-function readHeld(
+function readBudgetedBody(
     request: IncomingMessage,
     response: ServerResponse,
     maxBytes: number,
@@ -129,9 +129,9 @@
     }
 
     const peers = createPeerServer(entry, logInternal);
-    const poolBytes = options.maxBodyPoolBytes ?? defaultBodyPoolBytes;
-    const teamBudget = createBodyPool(poolBytes, poolBytes * maxTeamPart);
-    const peerBudget = createBodyPool(poolBytes, poolBytes);
+    const bodyPoolBytes = options.maxBodyPoolBytes ?? defaultBodyPoolBytes;
+    const teamBudget = createBodyPool(bodyPoolBytes, bodyPoolBytes * maxTeamBodyShare);
+    const peerBudget = createBodyPool(bodyPoolBytes, bodyPoolBytes);
 
     async function callService(
         route: EntryRoute & { kind: "service"; },
@@ -140,27 +140,35 @@
     ): Promise<void> {
         const forwarded = request.headers[forwardHeaders.forwarded] === "1";
         const team = forwarded ? forwardedTeam(request, options) : entry.authenticate(tokenOf(request));
-        const body = await readHeld(request, response, entry.maxBodyBytes(), teamBudget(team));
+        const body = await readBudgetedBody(request, response, entry.maxBodyBytes(), teamBudget(team));
         const call = { ...readCallerRequest(request, team, route.service, route.path, body), forwarded };
-        await writeAnswer(options.clock, response, await entry.call(call, goneSignal(response)));
+        await writeAnswer(options.clock, response, await entry.call(call, disconnectSignal(response)));
     }
 
-    async function train(
+    async function handleTrainerCall(
         route: EntryRoute,
         request: IncomingMessage,
         response: ServerResponse,
     ): Promise<void> {
         const team = entry.authenticate(tokenOf(request));
         if (route.kind === "readGroups") {
-            sendJson(response, 200, await entry.train(team, route, false));
+            sendJson(response, 200, await entry.handleTrainerCall(team, route, false));
             return;
         }
         if (route.kind === "jobStatus") {
-            sendJson(response, 200, await entry.train(team, { kind: "status", job: route.job }, false));
+            sendJson(
+                response,
+                200,
+                await entry.handleTrainerCall(team, { kind: "status", job: route.job }, false),
+            );
             return;
         }
-        const body = parseJson(await readHeld(request, response, maxPeerBodyBytes, teamBudget(team)));
-        sendJson(response, 200, await entry.train(team, parseTrainerBody(route, body), false) ?? {});
+        const body = parseJson(await readBudgetedBody(request, response, maxPeerBodyBytes, teamBudget(team)));
+        sendJson(
+            response,
+            200,
+            await entry.handleTrainerCall(team, parseTrainerBody(route, body), false) ?? {},
+        );
     }
 
     async function operate(
@@ -168,16 +176,20 @@
         request: IncomingMessage,
         response: ServerResponse,
     ): Promise<void> {
-        demand(request, options.operatorTokenDigest);
+        requireToken(request, options.operatorTokenDigest);
         const body = request.method === "POST"
-            ? parseJson(await readHeld(request, response, maxOperatorBodyBytes, peerBudget("operators")))
+            ? parseJson(
+                await readBudgetedBody(request, response, maxOperatorBodyBytes, peerBudget("operators")),
+            )
             : undefined;
         sendJson(response, 200, await entry.operate(route.action, route.query, body) ?? {});
     }
 
     async function receive(request: IncomingMessage, response: ServerResponse): Promise<void> {
-        demandPeer(request, options);
-        const body = parseJson(await readHeld(request, response, maxPeerBodyBytes, peerBudget("peers")));
+        requirePeer(request, options);
+        const body = parseJson(
+            await readBudgetedBody(request, response, maxPeerBodyBytes, peerBudget("peers")),
+        );
         sendJson(response, 200, await peers.receive(body));
     }
 
@@ -185,8 +197,16 @@
         const route = matchRoute(request.method ?? "GET", request.url ?? "/");
         return match(route)
             .with({ kind: "service" }, found => callService(found, request, response))
-            .with({ kind: "openStep" }, { kind: "publishWeights" }, found => train(found, request, response))
-            .with({ kind: "readGroups" }, { kind: "jobStatus" }, found => train(found, request, response))
+            .with(
+                { kind: "openStep" },
+                { kind: "publishWeights" },
+                found => handleTrainerCall(found, request, response),
+            )
+            .with(
+                { kind: "readGroups" },
+                { kind: "jobStatus" },
+                found => handleTrainerCall(found, request, response),
+            )
             .with({ kind: "operator" }, found => operate(found, request, response))
             .with({ kind: "rpc" }, () => receive(request, response))
             .with({ kind: "teamUsage" }, async () => {
--- a/packages/entry/src/shutdownEntry.ts
+++ b/packages/entry/src/shutdownEntry.ts
@@ -13,7 +13,7 @@
     jobs: JobOwnership;
     admission: { release(): Promise<void>; };
     usage: UsageCollector;
-    parts: { stop(): void; }[];
+    components: { stop(): void; }[];
     clock: Clock;
     logger: Logger;
 }
@@ -35,6 +35,6 @@
     await entry.usage.collect();
     await entry.usage.flush().catch(error => logger.warn("usageNotKept", { fault: String(error) }));
     await entry.admission.release();
-    entry.parts.forEach(part => part.stop());
+    entry.components.forEach(part => part.stop());
     logger.info("shutdownEnded", { cutOff: calls.running() });
 }
--- a/packages/entry/src/testing/createServedEntry.ts
+++ b/packages/entry/src/testing/createServedEntry.ts
@@ -28,7 +28,7 @@
 const self = { entry: "entry-1", vm: "vm-1", failureDomain: "Lugo", region: "norte" };
 const pollMs = 50;
 
-const tileReport = {
+const tileSamplerReport = {
     report: {
         sampler: "tile-1",
         vm: "vm-tile-1",
@@ -103,7 +103,7 @@
         store,
         vmList: async () => [],
         scoring: async () => 0,
-        keep,
+        groupStore: keep,
         cursorKey: "a cursor key that is long enough for it",
         seeds: [],
         leaseTtlMs: 5_000,
@@ -124,7 +124,7 @@
         maxConnections: 100,
         ...options,
     });
-    await served.entry.receive("report", tileReport);
+    await served.entry.receive("report", tileSamplerReport);
     while (!served.entry.isReady()) {
         await clock.sleep(pollMs);
     }
--- a/packages/entry/src/writeAnswer.test.ts
+++ b/packages/entry/src/writeAnswer.test.ts
@@ -16,14 +16,14 @@
     server.close();
 });
 
-const atOnce = Promise.resolve();
+const immediately = Promise.resolve();
 
 /** Serves one answer whose body is `parts`, cut short after them if `cut`, once `mayCut` has resolved. */
 async function fetchAnswer(
     parts: string[],
     cut: boolean,
     headers: Record<string, string> = {},
-    mayCut: Promise<void> = atOnce,
+    mayCut: Promise<void> = immediately,
 ) {
     async function* body(): AsyncGenerator<Uint8Array> {
         for (const part of parts) {
--- a/packages/gate/src/AttemptTable.ts
+++ b/packages/gate/src/AttemptTable.ts
@@ -14,5 +14,5 @@
     query(attempt: AttemptId): AttemptState["state"];
     running(): number;
     /** Ended attempts and tombstones kept. */
-    kept(): number;
+    retainedCount(): number;
 }
--- a/packages/gate/src/PlainHealth.ts
+++ b/packages/gate/src/PlainHealth.ts
@@ -3,10 +3,10 @@
 /** Health of a plain service, seen from what its calls come to. */
 export interface PlainHealth {
     /** A connection broke before the answer. */
-    noteBroken(digest: ContentDigest): void;
+    recordBrokenConnection(digest: ContentDigest): void;
     /** It takes no connections: what broke shortly before was in flight at its death. */
-    noteRefused(): void;
-    noteAnswered(digest: ContentDigest): void;
+    recordRefusedConnection(): void;
+    recordAnswer(digest: ContentDigest): void;
     /** True for a short time after it took no connection. */
     isDown(): boolean;
 }
--- a/packages/gate/src/Quarantine.ts
+++ b/packages/gate/src/QuarantineList.ts
@@ -2,10 +2,10 @@
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 
 /** The quarantine list as one process holds it. */
-export interface Quarantine {
+export interface QuarantineList {
     /** Takes the list if its version is higher; true if taken. */
     offer(version: number, records: QuarantineRecord[]): boolean;
     /** Different VMs whose death counts against the digest now. */
-    deadVms(digest: ContentDigest): number;
+    crashedVmCount(digest: ContentDigest): number;
     version(): number;
 }
--- a/packages/gate/src/RunningGeneration.ts
+++ b/packages/gate/src/RunningGeneration.ts
@@ -8,9 +8,9 @@
     /** True while every chunk has named its version. */
     stamped: boolean;
     /** The engine is gone: the result is lost. */
-    engineLost(): void;
+    onEngineCrash(): void;
     /** Its version can no longer be named: the result must not be used. */
-    weightsLost(): void;
+    onWeightsUnknown(): void;
     /** Ends it and keeps what was made. */
     cancel(): void;
 }
--- a/packages/gate/src/ServeGateOptions.ts
+++ b/packages/gate/src/ServeSidecarOptions.ts
@@ -3,7 +3,7 @@
 import type { IncomingMessage, Server, ServerOptions } from "node:http";
 
 /** How a gate is served over HTTP; bounds have defaults. */
-export interface ServeGateOptions {
+export interface ServeSidecarOptions {
     /** 0 lets the system choose. */
     port: number;
     host: string;
--- a/packages/gate/src/ServedGate.ts
+++ b/packages/gate/src/ServedSidecar.ts
@@ -1,5 +1,5 @@
 /** A gate that listens. */
-export interface ServedGate {
+export interface ServedSidecar {
     port: number;
     /**
      * Stops listening. Graceful waits until every answer has been written; otherwise connections are destroyed,
--- a/packages/gate/src/ServedWeights.ts
+++ b/packages/gate/src/ServedWeights.ts
@@ -13,13 +13,13 @@
     isExpected(policy: PolicyId, version: WeightVersion): boolean;
     /** Whether the engine names the version of each chunk; undefined until a chunk was seen. */
     stampsChunks(): boolean | undefined;
-    noteChunk(stamped: boolean): void;
+    recordChunk(stamped: boolean): void;
     beginSwap(policy: PolicyId, version: WeightVersion): void;
     /** Ends a swap that took effect, or one that did not begin at the engine. */
-    endSwap(took: boolean): void;
+    endSwap(succeeded: boolean): void;
     /** From now on nothing is known until the engine is described again. */
-    doubt(reason: string): void;
-    noteDown(reason: string): void;
+    markUnknown(reason: string): void;
+    markEngineDown(reason: string): void;
     /** Asks the engine once and settles what can be settled. */
     describe(): Promise<void>;
     stop(): void;
--- a/packages/gate/src/Gate.ts
+++ b/packages/gate/src/Sidecar.ts
@@ -4,7 +4,7 @@
 import type { VersionedManifest } from "@auburnarch/types/VersionedManifest";
 
 /** The sole way in to one sampler. */
-export interface Gate extends SidecarPort {
+export interface Sidecar extends SidecarPort {
     /** The report that `readReport` would give now, synchronously. */
     report(): SamplerReport;
     /** Takes a manifest if its version is higher; true if taken. */
--- a/packages/gate/src/GateContext.ts
+++ b/packages/gate/src/SidecarContext.ts
@@ -4,34 +4,34 @@
 import type { AdaptiveLimit } from "./AdaptiveLimit.js";
 import type { AttemptTable } from "./AttemptTable.js";
 import type { FencingTable } from "./FencingTable.js";
-import type { GateDeps } from "./GateDeps.js";
-import type { GateFlags } from "./GateFlags.js";
-import type { GateGuards } from "./GateGuards.js";
 import type { PlainHealth } from "./PlainHealth.js";
-import type { Quarantine } from "./Quarantine.js";
+import type { QuarantineList } from "./QuarantineList.js";
 import type { RunningGeneration } from "./RunningGeneration.js";
 import type { ServedWeights } from "./ServedWeights.js";
+import type { SidecarDependencies } from "./SidecarDependencies.js";
+import type { SidecarFlags } from "./SidecarFlags.js";
+import type { SidecarGuards } from "./SidecarGuards.js";
 import type { Slots } from "./Slots.js";
 import type { Suspects } from "./Suspects.js";
-import type { TrialHold } from "./TrialHold.js";
+import type { TrialReservation } from "./TrialReservation.js";
 import type { WorkAbort } from "./WorkAbort.js";
 
 /** What the parts of one gate share. */
-export interface GateContext {
-    deps: GateDeps;
-    guards: GateGuards;
+export interface SidecarContext {
+    deps: SidecarDependencies;
+    guards: SidecarGuards;
     incarnation: IncarnationId;
-    flags: GateFlags;
+    flags: SidecarFlags;
     /** Whether an entry has told this incarnation what is in force, or it has waited for that long enough. */
     isInformed: () => boolean;
     limits: () => Pick<LimitsManifest, "maxQueuedPerTeam" | "interactiveWaitMs">;
     attempts: AttemptTable;
     fencing: FencingTable;
-    quarantine: Quarantine;
+    quarantine: QuarantineList;
     suspects: Suspects;
     limit: AdaptiveLimit;
     slots: Slots;
-    trials: TrialHold;
+    trialReservation: TrialReservation;
     usage: UsageCounters;
     /** Undefined for a plain sampler. */
     weights: ServedWeights | undefined;
--- a/packages/gate/src/GateDeps.ts
+++ b/packages/gate/src/SidecarDependencies.ts
@@ -11,7 +11,7 @@
 import type { WeightStore } from "@auburnarch/types/WeightStore";
 
 /** What a gate is built from; a model sampler has an engine, a plain one a backend. */
-export interface GateDeps {
+export interface SidecarDependencies {
     identity: SamplerIdentity;
     clock: Clock;
     random: Random;
@@ -24,5 +24,5 @@
     /** Reads a job lease's present number from the object API; rejects while that is down. */
     readFencing: (job: JobId) => Promise<FencingNumber>;
     /** Takes no work until it has been told what is in force, for so long at most; at once by default. */
-    learnWithinMs?: number;
+    initialConfigWaitMs?: number;
 }
--- a/packages/gate/src/GateFlags.ts
+++ b/packages/gate/src/SidecarFlags.ts
@@ -1,5 +1,5 @@
 /** What a gate has been told; each only ever becomes true. */
-export interface GateFlags {
+export interface SidecarFlags {
     /** What is in force, by an entry. */
     informed: boolean;
     leaving: boolean;
--- a/packages/gate/src/GateGuards.ts
+++ b/packages/gate/src/SidecarGuards.ts
@@ -6,7 +6,7 @@
  * The checks that a gate's promises rest on, one function each; every one returns true to let something pass.
  * The fault bench replaces one at a time by a function that always returns true and must see a promise broken.
  */
-export interface GateGuards {
+export interface SidecarGuards {
     /** An attempt that was declared not run must not run. */
     tombstone(standing: AttemptStanding): boolean;
     /** An attempt id runs once. */
@@ -16,7 +16,7 @@
     leaving(isLeaving: boolean): boolean;
     shuttingDown(isShuttingDown: boolean): boolean;
     /** `deadVms` is the number of VMs that the content killed. */
-    quarantine(deadVms: number): boolean;
+    quarantine(crashedVms: number): boolean;
     /** A content that a death counts against, while another such content is in flight here. */
     suspectsApart(isSuspectBeside: boolean): boolean;
     /** A trial of a refused content, and any other work: never both at one sampler. */
@@ -27,7 +27,7 @@
     fencingLearned(isLearned: boolean): boolean;
     /** Samples while it is not known what the engine serves. */
     versionKnown(isKnown: boolean): boolean;
-    minVersion(served: WeightVersion, least: WeightVersion): boolean;
+    minVersion(served: WeightVersion, required: WeightVersion): boolean;
     /** Work whose deadline has passed. */
     deadline(leftMs: number): boolean;
     queueBound(waiting: number, bound: number): boolean;
--- a/packages/gate/src/Slot.ts
+++ b/packages/gate/src/Slot.ts
@@ -2,7 +2,7 @@
 export interface Slot {
     waitedMs: number;
     /** Others at work when it was granted. */
-    runningBeside: number;
+    othersRunning: number;
     /** Gives the place back; `engineMs` is charged to the team. Only the first call counts. */
     release(engineMs: number): void;
 }
--- a/packages/gate/src/Slots.ts
+++ b/packages/gate/src/Slots.ts
@@ -11,10 +11,10 @@
     waiting(): number;
     waitingOf(team: string): number;
     /** Starts nothing of the policy until `resume`. */
-    hold(policy: PolicyId): void;
-    resume(policy: PolicyId): void;
+    pausePolicy(policy: PolicyId): void;
+    resumePolicy(policy: PolicyId): void;
     /** Starts what may start now, after the limit was raised. */
-    wake(): void;
+    startWaiting(): void;
     /** Refuses what waits and `matches`, with `code`. */
     refuseWaiting(matches: (request: SlotRequest) => boolean, code: ResultCode): void;
     /** Calls `run` once nothing of the policy runs; the returned function withdraws that. */
--- a/packages/gate/src/Suspects.ts
+++ b/packages/gate/src/Suspects.ts
@@ -4,16 +4,16 @@
 /** Digests that were in flight when an engine of this sampler died. */
 export interface Suspects {
     /** Notes the digest as in flight; the returned function ends that. */
-    enter(digest: ContentDigest): () => void;
+    addInFlight(digest: ContentDigest): () => void;
     /** Everything in flight becomes suspect of the death of this engine incarnation. */
-    noteDeath(bootId: string): void;
+    recordCrash(bootId: string): void;
     /** One digest becomes suspect of a death. */
-    accuse(digest: ContentDigest, bootId: string): void;
+    addSuspect(digest: ContentDigest, bootId: string): void;
     /** A clean finish clears the digest. */
     clear(digest: ContentDigest): void;
     /** Whether a death of this sampler counts against the digest. */
     isSuspect(digest: ContentDigest): boolean;
     /** Other digests in flight here. */
-    besides(digest: ContentDigest): ContentDigest[];
+    othersInFlight(digest: ContentDigest): ContentDigest[];
     list(): SamplerReport["suspects"];
 }
--- a/packages/gate/src/admitOrder.ts
+++ b/packages/gate/src/admitOrder.ts
@@ -2,11 +2,14 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 import type { SamplerOrder } from "@auburnarch/types/SamplerOrder";
-import type { GateContext } from "./GateContext.js";
-import { refuseOrderNumber } from "./refuseOrderNumber.js";
+import { findFencingRefusal } from "./findFencingRefusal.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 /** The checks before an order is begun: shutdown, fencing number learned, not lower. Undefined lets it pass. */
-export async function admitOrder(context: GateContext, order: SamplerOrder): Promise<ResultCode | undefined> {
+export async function admitOrder(
+    context: SidecarContext,
+    order: SamplerOrder,
+): Promise<ResultCode | undefined> {
     const { flags, guards, fencing } = context;
     if (flags.killed || !guards.shuttingDown(flags.shuttingDown)) {
         return resultCodes.shuttingDown;
@@ -24,5 +27,5 @@
     if (!guards.fencingLearned(fencing.isLearned(order.scope))) {
         return resultCodes.storeUnavailable;
     }
-    return refuseOrderNumber(context, order);
+    return findFencingRefusal(context, order);
 }
--- a/packages/gate/src/admitPlain.ts
+++ b/packages/gate/src/admitPlain.ts
@@ -3,15 +3,15 @@
 import type { PlainRequest } from "@auburnarch/types/PlainRequest";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
-import { checkStart } from "./checkStart.js";
+import { assertMayStart } from "./assertMayStart.js";
 import { createWorkAbort } from "./createWorkAbort.js";
-import type { GateContext } from "./GateContext.js";
-import { holdForTrial } from "./holdForTrial.js";
+import { findCommonRefusal } from "./findCommonRefusal.js";
+import { findQuarantineRefusal } from "./findQuarantineRefusal.js";
+import { findQueueRefusal } from "./findQueueRefusal.js";
 import type { PlainWork } from "./PlainWork.js";
 import { refusalOutcome } from "./refusalOutcome.js";
-import { refuseCommon } from "./refuseCommon.js";
-import { refuseQueue } from "./refuseQueue.js";
-import { refuseSuspect } from "./refuseSuspect.js";
+import { reserveForTrial } from "./reserveForTrial.js";
+import type { SidecarContext } from "./SidecarContext.js";
 import type { Slot } from "./Slot.js";
 import type { WorkAbort } from "./WorkAbort.js";
 
@@ -21,69 +21,70 @@
 
 /** Checks an interactive or plain request and waits for its place. `costMs` is the time it is expected to take. */
 export async function admitPlain(
-    context: GateContext,
+    context: SidecarContext,
     request: PlainRequest,
     costMs: number,
     policy: PolicyId | undefined,
     signal: AbortSignal,
 ): Promise<Refused | { kind: "admitted"; work: PlainWork; }> {
     const { attempts, deps } = context;
-    const refusal = refuseCommon(context, request) ?? refuseDown(context) ?? refuseQueue(context, request);
+    const refusal = findCommonRefusal(context, request) ?? findDownRefusal(context)
+        ?? findQueueRefusal(context, request);
     if (refusal !== undefined) {
         if (attempts.standing(request.attempt) === undefined) {
             attempts.refuse(request.attempt);
         }
         return refuse(context, request, refusal);
     }
-    checkStart(context, request.attempt);
+    assertMayStart(context, request.attempt);
     attempts.start(request.attempt);
-    const abort = createWorkAbort({ clock: deps.clock, caller: signal, inFlight: context.inFlight });
-    const held = request.isTrial === true
-        ? await holdForTrial(context, request.budgetMs, abort.signal)
-        : { budgetMs: request.budgetMs, end: () => {} };
+    const abort = createWorkAbort({ clock: deps.clock, callerSignal: signal, inFlight: context.inFlight });
+    const reservation = request.isTrial === true
+        ? await reserveForTrial(context, request.budgetMs, abort.signal)
+        : { budgetMs: request.budgetMs, release: () => {} };
     const refuseStarted = (code: ResultCode): Refused => {
-        held?.end();
+        reservation?.release();
         abort.dispose();
         attempts.refuse(request.attempt);
         return refuse(context, request, code);
     };
-    if (held === undefined) {
+    if (reservation === undefined) {
         return refuseStarted(resultCodes.overloaded);
     }
-    const asked = context.slots.acquire({
+    const pendingGrant = context.slots.acquire({
         team: request.team,
         priority: interactivePriority,
         costMs,
-        budgetMs: held.budgetMs,
+        budgetMs: reservation.budgetMs,
         policy,
         preempt: undefined,
         signal: abort.signal,
     });
-    const grant = asked instanceof Promise ? await asked : asked;
+    const grant = pendingGrant instanceof Promise ? await pendingGrant : pendingGrant;
     if (grant.kind === "refused") {
         return refuseStarted(grant.code);
     }
     // While it waited, another suspect content may have begun here.
-    const late = refuseSuspect(context, request);
-    if (late !== undefined) {
+    const lateRefusal = findQuarantineRefusal(context, request);
+    if (lateRefusal !== undefined) {
         grant.slot.release(0);
-        return refuseStarted(late);
+        return refuseStarted(lateRefusal);
     }
     return {
         kind: "admitted",
-        work: createWork(context, { ...request, budgetMs: held.budgetMs }, {
+        work: createWork(context, { ...request, budgetMs: reservation.budgetMs }, {
             abort,
             slot: grant.slot,
-            endHold: held.end,
+            endHold: reservation.release,
         }),
     };
 }
 
-function refuseDown(context: GateContext): ResultCode | undefined {
+function findDownRefusal(context: SidecarContext): ResultCode | undefined {
     return context.plainHealth.isDown() ? resultCodes.engineDown : undefined;
 }
 
-function refuse(context: GateContext, request: PlainRequest, code: ResultCode): Refused {
+function refuse(context: SidecarContext, request: PlainRequest, code: ResultCode): Refused {
     const { logger, metrics } = context.deps;
     logger.info("requestRefused", {
         attempt: request.attempt,
@@ -100,11 +101,11 @@
 }
 
 function createWork(
-    context: GateContext,
+    context: SidecarContext,
     request: PlainRequest,
-    { abort, slot, endHold }: { abort: WorkAbort; slot: Slot; endHold: () => void; },
+    { abort, slot, endHold: releaseReservation }: { abort: WorkAbort; slot: Slot; endHold: () => void; },
 ): PlainWork {
-    const leaveSuspects = context.suspects.enter(request.digest);
+    const removeInFlight = context.suspects.addInFlight(request.digest);
     let expired = false;
     let ended = false;
 
@@ -114,9 +115,9 @@
         }
         ended = true;
         abort.dispose();
-        leaveSuspects();
+        removeInFlight();
         slot.release(engineMs);
-        endHold();
+        releaseReservation();
         return true;
     }
 
--- a/packages/gate/src/checkStart.ts
+++ b/packages/gate/src/assertMayStart.ts
@@ -1,9 +1,9 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
-import type { GateContext } from "./GateContext.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 /** Asserts, where work is taken, that the attempt is new here and the sampler not leaving. */
-export function checkStart(context: GateContext, attempt: AttemptId): void {
+export function assertMayStart(context: SidecarContext, attempt: AttemptId): void {
     const { invariants } = context.deps;
     const standing = context.attempts.standing(attempt);
     if (standing !== undefined) {
--- a/packages/gate/src/beginOrder.ts
+++ b/packages/gate/src/beginOrder.ts
@@ -1,20 +1,20 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 import type { SamplerOrder } from "@auburnarch/types/SamplerOrder";
-import type { GateContext } from "./GateContext.js";
-import { refuseOrderNumber } from "./refuseOrderNumber.js";
+import { findFencingRefusal } from "./findFencingRefusal.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 /** The last check, directly before the effect: number and process may have changed since the order was admitted. */
-export function beginOrder(context: GateContext, order: SamplerOrder): ResultCode | undefined {
+export function beginOrder(context: SidecarContext, order: SamplerOrder): ResultCode | undefined {
     if (context.flags.killed) {
         return resultCodes.shuttingDown;
     }
-    const refusal = refuseOrderNumber(context, order);
+    const refusal = findFencingRefusal(context, order);
     if (refusal === undefined) {
         const highest = context.fencing.highest(order.scope);
         const { fencing } = order.order;
-        const forward = highest === undefined || fencing >= highest;
-        context.deps.invariants.check(resultCodes.fencingWentBack, forward, {
+        const isForward = highest === undefined || fencing >= highest;
+        context.deps.invariants.check(resultCodes.fencingWentBack, isForward, {
             job: order.scope,
             fencing,
             highest,
--- a/packages/gate/src/concludeSample.ts
+++ b/packages/gate/src/concludeSample.ts
@@ -3,14 +3,14 @@
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { SampleAnswer } from "@auburnarch/types/SampleAnswer";
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
-import type { GateContext } from "./GateContext.js";
 import type { GenerationEnd } from "./GenerationEnd.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 type Ran = Exclude<GenerationEnd, { kind: "rejected"; }>;
 
 /** Counts and logs a sample that ran, and makes its outcome. */
 export function concludeSample(
-    context: GateContext,
+    context: SidecarContext,
     attempt: SampleAttempt,
     end: Ran,
 ): AttemptOutcome<SampleAnswer> {
@@ -28,19 +28,19 @@
         engineMs: Math.round(end.engineMs),
         versions: end.kind === "lost" ? undefined : end.spans.map(span => span.version).join(","),
     });
-    return end.kind === "lost" ? { kind: "unknown", code: end.code } : answer(context, attempt, end);
+    return end.kind === "lost" ? { kind: "unknown", code: end.code } : toOutcome(context, attempt, end);
 }
 
-function answer(
-    context: GateContext,
+function toOutcome(
+    context: SidecarContext,
     attempt: SampleAttempt,
     end: Extract<GenerationEnd, { kind: "ended"; }>,
 ): AttemptOutcome<SampleAnswer> {
     const { invariants, identity } = context.deps;
-    const named = end.spans.every(span => Number.isInteger(span.version) && span.version >= 0);
-    const whole = countTokens(end.spans) === countTokens(attempt.resume) + end.tokens;
+    const hasVersions = end.spans.every(span => Number.isInteger(span.version) && span.version >= 0);
+    const hasAllTokens = countTokens(end.spans) === countTokens(attempt.resume) + end.tokens;
     const fields = { attempt: attempt.attempt, spans: end.spans.length };
-    if (!invariants.check(resultCodes.provenanceMissing, named && whole, fields)) {
+    if (!invariants.check(resultCodes.provenanceMissing, hasVersions && hasAllTokens, fields)) {
         return { kind: "unknown", code: resultCodes.provenanceMissing };
     }
     return {
--- a/packages/gate/src/createAdaptiveLimit.ts
+++ b/packages/gate/src/createAdaptiveLimit.ts
@@ -13,15 +13,15 @@
     maxSlowdownRatio: number;
 }
 
-const smoothing = 0.1;
-const decrease = 0.9;
+const smoothingFactor = 0.1;
+const decreaseFactor = 0.9;
 /** One lowering at most in this time, so that one burst of slow answers counts once. */
-const lowerPauseMs = 1_000;
+const minDecreaseIntervalMs = 1_000;
 /** A limit that was hardly used says nothing about whether it is too high. */
-const usedRatio = 0.5;
+const minUtilization = 0.5;
 /** A baseline follows what is seen on a server with room; hardly what is seen on a full one. */
-const learningRate = 0.02;
-const learningRateInUse = 0.000_5;
+const baselineLearningRate = 0.02;
+const baselineLearningRateUnderLoad = 0.000_5;
 
 /**
  * Makes a limit with additive increase and multiplicative decrease. Without it an overloaded backend server takes
@@ -32,40 +32,41 @@
     let maxLimit = deps.maxLimit;
     let baselineMs = deps.baselineMs;
     let smoothedMs = baselineMs;
-    let learnedMs: number | undefined;
-    let loweredAtMs = Number.NEGATIVE_INFINITY;
+    let learnedBaselineMs: number | undefined;
+    let decreasedAtMs = Number.NEGATIVE_INFINITY;
 
-    function lower(): void {
+    function decreaseLimit(): void {
         const nowMs = deps.nowMs();
-        if (nowMs - loweredAtMs >= lowerPauseMs) {
-            loweredAtMs = nowMs;
-            limit = Math.max(deps.minLimit, limit * decrease);
+        if (nowMs - decreasedAtMs >= minDecreaseIntervalMs) {
+            decreasedAtMs = nowMs;
+            limit = Math.max(deps.minLimit, limit * decreaseFactor);
         }
     }
 
-    function learn(unitMs: number, inUse: boolean): void {
+    function updateBaseline(unitMs: number, isUtilized: boolean): void {
         if (!deps.learnsBaseline) {
             return;
         }
-        if (learnedMs === undefined) {
-            learnedMs = unitMs;
+        if (learnedBaselineMs === undefined) {
+            learnedBaselineMs = unitMs;
             smoothedMs = unitMs;
         }
-        learnedMs += (inUse ? learningRateInUse : learningRate) * (unitMs - learnedMs);
-        baselineMs = Math.max(deps.baselineMs, learnedMs);
+        learnedBaselineMs += (isUtilized ? baselineLearningRateUnderLoad : baselineLearningRate)
+            * (unitMs - learnedBaselineMs);
+        baselineMs = Math.max(deps.baselineMs, learnedBaselineMs);
     }
 
     return {
         current: () => Math.max(deps.minLimit, Math.floor(limit)),
         observe: (unitMs, running) => {
-            const inUse = running >= limit * usedRatio;
-            learn(unitMs, inUse);
-            smoothedMs += smoothing * (unitMs - smoothedMs);
-            if (!inUse) {
+            const isUtilized = running >= limit * minUtilization;
+            updateBaseline(unitMs, isUtilized);
+            smoothedMs += smoothingFactor * (unitMs - smoothedMs);
+            if (!isUtilized) {
                 return;
             }
             if (smoothedMs > baselineMs * deps.maxSlowdownRatio) {
-                lower();
+                decreaseLimit();
             }
             else {
                 limit = Math.min(maxLimit, limit + 1 / limit);
--- a/packages/gate/src/createAgingMap.ts
+++ b/packages/gate/src/createAgingMap.ts
@@ -11,7 +11,7 @@
     set(key: Key, value: Value): void;
     size(): number;
     /** True while an entry may have been forgotten before its time, for lack of room. */
-    isForgetful(): boolean;
+    mayHaveEvictedEarly(): boolean;
 }
 
 /**
@@ -24,12 +24,12 @@
     let young = new Map<Key, Value>();
     let old = new Map<Key, Value>();
     let youngSinceMs = nowMs();
-    let forgetfulUntilMs = Number.NEGATIVE_INFINITY;
+    let earlyEvictionUntilMs = Number.NEGATIVE_INFINITY;
 
-    function turnOver(): void {
+    function rotate(): void {
         // The youngest of the old half is as old as the young half.
         if (old.size > 0 && nowMs() - youngSinceMs < memoryMs) {
-            forgetfulUntilMs = nowMs() + memoryMs;
+            earlyEvictionUntilMs = nowMs() + memoryMs;
         }
         old = young;
         young = new Map();
@@ -40,11 +40,11 @@
         get: key => young.get(key) ?? old.get(key),
         set: (key, value) => {
             if (young.size >= halfCapacity || nowMs() - youngSinceMs >= memoryMs) {
-                turnOver();
+                rotate();
             }
             young.set(key, value);
         },
         size: () => young.size + old.size,
-        isForgetful: () => nowMs() < forgetfulUntilMs,
+        mayHaveEvictedEarly: () => nowMs() < earlyEvictionUntilMs,
     };
 }
--- a/packages/gate/src/createAttemptTable.test.ts
+++ b/packages/gate/src/createAttemptTable.test.ts
@@ -26,7 +26,7 @@
                     ranAtMs.set(attempt, nowMs);
                 }
             }
-            expect(table.kept()).toBeLessThanOrEqual(2 * capacity + 2);
+            expect(table.retainedCount()).toBeLessThanOrEqual(2 * capacity + 2);
         }),
         { seed: 6, numRuns: 500 },
     );
--- a/packages/gate/src/createAttemptTable.ts
+++ b/packages/gate/src/createAttemptTable.ts
@@ -42,9 +42,9 @@
         return running.has(attempt) ? "running" : tombstones.get(attempt) ?? ended.get(attempt);
     }
 
-    function end(attempt: AttemptId, how: "finished" | "refused"): void {
+    function end(attempt: AttemptId, result: "finished" | "refused"): void {
         running.delete(attempt);
-        ended.set(attempt, how);
+        ended.set(attempt, result);
     }
 
     function query(attempt: AttemptId): AttemptState["state"] {
@@ -55,7 +55,7 @@
         if (known !== undefined) {
             return known;
         }
-        if (ended.isForgetful() || tombstones.size() >= capacity) {
+        if (ended.mayHaveEvictedEarly() || tombstones.size() >= capacity) {
             return "finished";
         }
         tombstones.set(attempt, "tombstone");
@@ -69,6 +69,6 @@
         refuse: attempt => end(attempt, "refused"),
         query,
         running: () => running.size,
-        kept: () => ended.size() + tombstones.size(),
+        retainedCount: () => ended.size() + tombstones.size(),
     };
 }
--- a/packages/gate/src/createCompletionRunner.ts
+++ b/packages/gate/src/createCompletionRunner.ts
@@ -13,18 +13,18 @@
 import { completionJson } from "./completionJson.js";
 
 import { expectedEngineMs } from "./expectedEngineMs.js";
-import type { GateContext } from "./GateContext.js";
 import type { GenerationEnd } from "./GenerationEnd.js";
 import { jsonAnswer } from "./jsonAnswer.js";
 import { parseCompletion } from "./parseCompletion.js";
 import type { PlainWork } from "./PlainWork.js";
 import { runGeneration } from "./runGeneration.js";
 import type { ServedWeights } from "./ServedWeights.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 type Outcome = AttemptOutcome<PlainAnswer>;
 type Completion = Exclude<ReturnType<typeof parseCompletion>, string>;
 
-interface Job {
+interface CompletionCall {
     request: PlainRequest;
     completion: Completion;
     policy: PolicyId;
@@ -36,14 +36,14 @@
 
 /** Makes `callPlain` of a gate before a model engine: OpenAI-style completions at interactive priority. */
 export function createCompletionRunner(
-    context: GateContext,
+    context: SidecarContext,
     engine: EnginePort,
     weights: ServedWeights,
 ): SidecarPort["callPlain"] {
     async function callPlain(request: PlainRequest, signal: AbortSignal): Promise<Outcome> {
         const completion = parseCompletion(request);
         if (typeof completion === "string") {
-            return { kind: "ran", answer: faultAnswer(resultCodes.badRequest, completion) };
+            return { kind: "ran", answer: errorAnswer(resultCodes.badRequest, completion) };
         }
         const policy = completion.policy ?? weights.served()[0]?.policy;
         const costMs = expectedEngineMs(context, { maxTokens: completion.maxTokens, resume: [] });
@@ -51,16 +51,16 @@
         if (admitted.kind === "refused") {
             return admitted.outcome;
         }
-        const refusal = refuse(policy);
+        const refusal = findRefusal(policy);
         if (refusal !== undefined) {
             admitted.work.endUnstarted();
             return { kind: "notRun", code: refusal, retryAfterMs: undefined };
         }
-        const job = { request, completion, policy: policy!, work: admitted.work };
-        return completion.stream ? runStreamed(job) : runWhole(job);
+        const call = { request, completion, policy: policy!, work: admitted.work };
+        return completion.stream ? runStreamed(call) : runWhole(call);
     }
 
-    function refuse(policy: PolicyId | undefined): ResultCode | undefined {
+    function findRefusal(policy: PolicyId | undefined): ResultCode | undefined {
         if (weights.state() === "engineDown") {
             return resultCodes.engineDown;
         }
@@ -72,8 +72,8 @@
             : undefined;
     }
 
-    async function generate(job: Job, onSpan: (span: TokenSpan) => void): Promise<GenerationEnd> {
-        const { request, completion, policy, work } = job;
+    async function generate(call: CompletionCall, onSpan: (span: TokenSpan) => void): Promise<GenerationEnd> {
+        const { request, completion, policy, work } = call;
         const end = await runGeneration(context, {
             engine,
             weights,
@@ -103,21 +103,21 @@
         return end;
     }
 
-    async function runWhole(job: Job): Promise<Outcome> {
-        const end = await generate(job, () => {});
-        const failure = failureOf(job, end);
+    async function runWhole(call: CompletionCall): Promise<Outcome> {
+        const end = await generate(call, () => {});
+        const failure = failureOf(call, end);
         if (failure !== undefined || end.kind !== "ended") {
             return failure!;
         }
-        return { kind: "ran", answer: jsonAnswer(200, partJson(job, end.spans, end.tokens)) };
+        return { kind: "ran", answer: jsonAnswer(200, partJson(call, end.spans, end.tokens)) };
     }
 
-    function runStreamed(job: Job): Promise<Outcome> {
+    function runStreamed(call: CompletionCall): Promise<Outcome> {
         const stream = createByteStream();
         const event = (spans: TokenSpan[], tokens?: number): Uint8Array =>
-            Buffer.from(`data: ${partJson(job, spans, tokens)}\n\n`);
+            Buffer.from(`data: ${partJson(call, spans, tokens)}\n\n`);
         return new Promise(resolve => {
-            const begin = (): void =>
+            const resolveStreaming = (): void =>
                 resolve({
                     kind: "ran",
                     answer: {
@@ -128,10 +128,10 @@
                 });
             const onSpan = (span: TokenSpan): void => {
                 stream.push(event([span]));
-                begin();
+                resolveStreaming();
             };
-            void generate(job, onSpan).then(end => {
-                const failure = failureOf(job, end);
+            void generate(call, onSpan).then(end => {
+                const failure = failureOf(call, end);
                 if (failure !== undefined || end.kind !== "ended") {
                     // Before the first span this is the outcome; after it the stream breaks off.
                     resolve(failure!);
@@ -141,7 +141,7 @@
                 stream.push(event([], end.tokens));
                 stream.push(endOfStream);
                 stream.end();
-                begin();
+                resolveStreaming();
             });
         });
     }
@@ -149,14 +149,14 @@
     return callPlain;
 }
 
-function faultAnswer(code: ResultCode, detail: string): PlainAnswer {
+function errorAnswer(code: ResultCode, detail: string): PlainAnswer {
     return jsonAnswer(
         code.httpStatus,
         JSON.stringify({ code: code.number, name: code.name, detail, action: code.action }),
     );
 }
 
-function failureOf(job: Job, end: GenerationEnd): Outcome | undefined {
+function failureOf(call: CompletionCall, end: GenerationEnd): Outcome | undefined {
     if (end.kind === "rejected") {
         return { kind: "notRun", code: end.code, retryAfterMs: undefined };
     }
@@ -166,20 +166,20 @@
     if (end.complete) {
         return undefined;
     }
-    const code = job.work.expired() ? resultCodes.deadlineWhileRunning : resultCodes.cancelled;
+    const code = call.work.expired() ? resultCodes.deadlineWhileRunning : resultCodes.cancelled;
     return { kind: "unknown", code };
 }
 
-function partJson(job: Job, spans: TokenSpan[], tokens: number | undefined): string {
+function partJson(call: CompletionCall, spans: TokenSpan[], tokens: number | undefined): string {
     return completionJson({
-        id: job.request.attempt,
-        kind: job.completion.kind,
-        model: job.policy,
+        id: call.request.attempt,
+        kind: call.completion.kind,
+        model: call.policy,
         spans,
         finishReason: tokens === undefined
             ? undefined
-            : (tokens >= job.completion.maxTokens ? "length" : "stop"),
-        stream: job.completion.stream,
+            : (tokens >= call.completion.maxTokens ? "length" : "stop"),
+        stream: call.completion.stream,
         completionTokens: tokens ?? 0,
     });
 }
--- a/packages/gate/src/createContext.ts
+++ b/packages/gate/src/createContext.ts
@@ -7,22 +7,22 @@
 import { createAttemptTable } from "./createAttemptTable.js";
 import { createFencingTable } from "./createFencingTable.js";
 import { createPlainHealth } from "./createPlainHealth.js";
-import { createQuarantine } from "./createQuarantine.js";
+import { createQuarantineList } from "./createQuarantineList.js";
 import { createServedWeights } from "./createServedWeights.js";
 import { createSlots } from "./createSlots.js";
 import { createSuspects } from "./createSuspects.js";
-import { createTrialHold } from "./createTrialHold.js";
-import type { GateContext } from "./GateContext.js";
-import type { GateDeps } from "./GateDeps.js";
-import type { GateGuards } from "./GateGuards.js";
+import { createTrialReservation } from "./createTrialReservation.js";
+import type { SidecarContext } from "./SidecarContext.js";
+import type { SidecarDependencies } from "./SidecarDependencies.js";
+import type { SidecarGuards } from "./SidecarGuards.js";
 
 const defaultLimits = { maxQueuedPerTeam: 1_000, interactiveWaitMs: 250 };
 /** An engine takes one generation at a time until it has been described. */
-const undescribedLimit = 1;
+const limitBeforeDescription = 1;
 const plainLimits = { startLimit: 64, maxLimit: 1_024, minLimit: 4, baselineMs: 5, learnsBaseline: true };
 const engineLimits = {
-    startLimit: undescribedLimit,
-    maxLimit: undescribedLimit,
+    startLimit: limitBeforeDescription,
+    maxLimit: limitBeforeDescription,
     minLimit: 1,
     baselineMs: 1_000,
     learnsBaseline: false,
@@ -31,16 +31,16 @@
 
 /** Builds the parts of a gate and joins them. */
 export function createContext(
-    deps: GateDeps,
-    guards: GateGuards,
+    deps: SidecarDependencies,
+    guards: SidecarGuards,
     manifest: () => VersionedManifest | undefined,
-): GateContext {
+): SidecarContext {
     const { clock, engine, identity, logger } = deps;
     const nowMs = clock.monotonicMs;
     const incarnation = deps.random.nextId() as IncarnationId;
     const startLimits = engine === undefined ? plainLimits : engineLimits;
     const limit = createAdaptiveLimit({ nowMs, maxSlowdownRatio, ...startLimits });
-    const limits = (): GateContext["limits"] extends () => infer L ? L : never =>
+    const limits = (): SidecarContext["limits"] extends () => infer L ? L : never =>
         manifest()?.manifest.limits ?? defaultLimits;
     const slots = createSlots({
         clock,
@@ -51,25 +51,25 @@
         mayStart: guards.deadline,
     });
     const suspects = createSuspects({ vm: identity.vm, nowMs });
-    const generations: GateContext["generations"] = new Set();
+    const generations: SidecarContext["generations"] = new Set();
     const flags = { informed: false, leaving: false, shuttingDown: false, killed: false };
-    const informedFromMs = nowMs() + (deps.learnWithinMs ?? 0);
+    const informedFromMs = nowMs() + (deps.initialConfigWaitMs ?? 0);
     let describedBootId: string | undefined;
 
     /** Called at each heartbeat: a limit that has adapted is kept until the engine is another. */
-    function onSettled(description: EngineDescription): void {
+    function onDescribed(description: EngineDescription): void {
         if (describedBootId !== description.bootId) {
             describedBootId = description.bootId;
             limit.reset(Math.max(1, description.maxBatch), 1_000 / Math.max(1, description.tokensPerSecond));
-            slots.wake();
+            slots.startWaiting();
         }
     }
 
     function onRestart(bootId: string): void {
-        suspects.noteDeath(bootId);
+        suspects.recordCrash(bootId);
         for (const generation of [...generations]) {
             if (generation.bootId === bootId) {
-                generation.engineLost();
+                generation.onEngineCrash();
             }
         }
     }
@@ -77,7 +77,7 @@
     function onServedChanged(): void {
         for (const generation of [...generations]) {
             if (!generation.stamped) {
-                generation.weightsLost();
+                generation.onWeightsUnknown();
             }
         }
     }
@@ -91,7 +91,7 @@
         limits,
         attempts: createAttemptTable({ nowMs }),
         fencing: createFencingTable(deps.readFencing),
-        quarantine: createQuarantine({
+        quarantine: createQuarantineList({
             wallMs: clock.wallMs,
             isForward: (present, offered) => {
                 const passes = guards.configForward(present, offered);
@@ -106,11 +106,11 @@
         suspects,
         limit,
         slots,
-        trials: createTrialHold({ clock, logger, guards, slots }),
+        trialReservation: createTrialReservation({ clock, logger, guards, slots }),
         usage: createUsageCounters(identity.sampler, incarnation),
         weights: engine === undefined
             ? undefined
-            : createServedWeights({ clock, logger, engine, onRestart, onServedChanged, onSettled }),
+            : createServedWeights({ clock, logger, engine, onRestart, onServedChanged, onDescribed }),
         plainHealth: createPlainHealth({ nowMs, suspects, incarnation }),
         inFlight: new Set(),
         generations,
@@ -118,15 +118,15 @@
 }
 
 function createShares(manifest: () => VersionedManifest | undefined): (team: string) => number {
-    let known: VersionedManifest | undefined;
+    let cachedManifest: VersionedManifest | undefined;
     let shares = new Map<string, number>();
     return team => {
         const present = manifest();
         if (present === undefined) {
             return 1;
         }
-        if (present !== known) {
-            known = present;
+        if (present !== cachedManifest) {
+            cachedManifest = present;
             shares = new Map(present.manifest.teams.map(entry => [entry.team, entry.share]));
         }
         return shares.get(team) ?? 0;
--- a/packages/gate/src/createOrderRunner.test.ts
+++ b/packages/gate/src/createOrderRunner.test.ts
@@ -8,19 +8,21 @@
 import type { SamplerOrderResult } from "@auburnarch/types/SamplerOrderResult";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import { expect, test } from "vitest";
-import { createTestGate } from "./testing/createTestGate.js";
+import { createSidecarFixture } from "./testing/createSidecarFixture.js";
 
-type TestGate = ReturnType<typeof createTestGate>;
+type SidecarFixture = ReturnType<typeof createSidecarFixture>;
 
 const never = new AbortController().signal;
 
-async function ready(options: Parameters<typeof createTestGate>[0] = {}): Promise<TestGate> {
-    const setup = createTestGate(options);
+async function createReadySidecar(
+    options: Parameters<typeof createSidecarFixture>[0] = {},
+): Promise<SidecarFixture> {
+    const setup = createSidecarFixture(options);
     await setup.clock.advance(1);
     return setup;
 }
 
-async function finished<T>(setup: TestGate, promise: Promise<T>): Promise<T> {
+async function finished<T>(setup: SidecarFixture, promise: Promise<T>): Promise<T> {
     let done = false;
     void promise.finally(() => {
         done = true;
@@ -29,13 +31,13 @@
     return promise;
 }
 
-async function order(setup: TestGate, given: SamplerOrder): Promise<string> {
-    const result: SamplerOrderResult = await finished(setup, setup.gate.order(given));
+async function order(setup: SidecarFixture, given: SamplerOrder): Promise<string> {
+    const result: SamplerOrderResult = await finished(setup, setup.sidecar.order(given));
     return result.kind === "done" ? "done" : `${result.kind} ${result.code.name}`;
 }
 
-const run = (setup: TestGate, attempt: SampleAttempt): Promise<AttemptOutcome<SampleAnswer>> =>
-    setup.gate.runSample(attempt, () => {}, never);
+const run = (setup: SidecarFixture, attempt: SampleAttempt): Promise<AttemptOutcome<SampleAnswer>> =>
+    setup.sidecar.runSample(attempt, () => {}, never);
 
 const versions = (outcome: AttemptOutcome<SampleAnswer>): string =>
     outcome.kind === "ran"
@@ -43,7 +45,7 @@
         : `${outcome.kind} ${outcome.code.name}`;
 
 test("a sample that spans a swap names both versions", async () => {
-    const setup = await ready();
+    const setup = await createReadySidecar();
     const first = await finished(setup, run(setup, setup.attempt("warm", { maxTokens: 8 })));
     expect(versions(first)).toBe("1");
     const sample = run(setup, setup.attempt("a"));
@@ -51,41 +53,41 @@
     const swap = order(setup, setup.load(2, 5));
     expect(versions(await finished(setup, sample))).toBe("1,2");
     expect(await swap).toBe("done");
-    expect(setup.gate.report().served).toEqual([{ policy: "plume", version: 2 }]);
+    expect(setup.sidecar.report().served).toEqual([{ policy: "plume", version: 2 }]);
 });
 
 test("an engine that stamps nothing is drained before its swap", async () => {
     // Guards against: tokens of two versions under one name.
-    const setup = await ready({ engine: { statesFingerprint: false } });
+    const setup = await createReadySidecar({ engine: { statesFingerprint: false } });
     const sample = run(setup, setup.attempt("a"));
     await setup.clock.advance(200);
     const swap = order(setup, setup.load(2, 5));
     await setup.clock.advance(100);
-    const held = run(setup, setup.attempt("b"));
+    const waiting = run(setup, setup.attempt("b"));
     expect(versions(await finished(setup, sample))).toBe("1");
     expect(await swap).toBe("done");
-    expect(versions(await finished(setup, held))).toBe("2");
+    expect(versions(await finished(setup, waiting))).toBe("2");
 });
 
 test("a swap that fails half way stops new samples until the engine has said what it serves", async () => {
     // Guards against: samples of weights that nobody ordered.
-    const setup = await ready();
+    const setup = await createReadySidecar();
     setup.control.failNextLoad(7 as WeightVersion);
     expect(await order(setup, setup.load(2, 5))).toBe("unknown engineUnreachable");
     await setup.clock.advance(1_500);
-    expect(setup.gate.report()).toMatchObject({ state: "ready", served: [{ version: 7 }] });
+    expect(setup.sidecar.report()).toMatchObject({ state: "ready", served: [{ version: 7 }] });
     expect(setup.lines.some(line => line.includes("to=unknownVersion reason=swapUncertain"))).toBe(true);
     expect(versions(await finished(setup, run(setup, setup.attempt("a"))))).toBe("7");
 });
 
 test("a sampler that restarts with old weights is fenced off within one heartbeat", async () => {
     // Guards against: a trainer learns from stale policy versions for weeks.
-    const setup = await ready();
+    const setup = await createReadySidecar();
     expect(await order(setup, setup.load(3, 5))).toBe("done");
     setup.control.crash();
     setup.control.restart([{ policy: "plume" as PolicyId, version: 1 as WeightVersion }]);
     await setup.clock.advance(1_000);
-    expect(setup.gate.report().served).toEqual([{ policy: "plume", version: 1 }]);
+    expect(setup.sidecar.report().served).toEqual([{ policy: "plume", version: 1 }]);
     expect(setup.lines.filter(line => line.includes("servedVersionCorrected"))).toHaveLength(1);
     const refused = await finished(setup, run(setup, setup.attempt("a", { minVersion: 2 })));
     expect(versions(refused)).toBe("notRun staleWeights");
@@ -94,19 +96,19 @@
 test.each([true, false])(
     "weights swapped by hand never pass under another name (stamped %s)",
     async stamped => {
-        const setup = await ready({ engine: { statesFingerprint: stamped } });
+        const setup = await createReadySidecar({ engine: { statesFingerprint: stamped } });
         const sample = run(setup, setup.attempt("a"));
         await setup.clock.advance(250);
         setup.control.serveSilently("plume" as PolicyId, 9 as WeightVersion);
         const outcome = versions(await finished(setup, sample));
         expect(outcome).toBe(stamped ? "1,9" : "unknown incarnationChanged");
-        expect(setup.gate.report().served).toEqual([{ policy: "plume", version: 9 }]);
+        expect(setup.sidecar.report().served).toEqual([{ policy: "plume", version: 9 }]);
     },
 );
 
 test("an owner that was replaced cannot order", async () => {
     // Guards against: a sampler goes back to old weights.
-    const setup = await ready({ engine: { honoursFencing: false } });
+    const setup = await createReadySidecar({ engine: { honoursFencing: false } });
     expect(await order(setup, setup.load(2, 6))).toBe("done");
     expect(await order(setup, setup.load(3, 5))).toBe("refused fenced");
     expect(await order(setup, setup.load(1, 6))).toBe("refused staleWeights");
@@ -116,7 +118,7 @@
 test("a sidecar just started refuses orders until it has read the job's number", async () => {
     // Guards against: an old owner's order is carried out by a new sidecar.
     let storeUp = false;
-    const setup = await ready({
+    const setup = await createReadySidecar({
         readFencing: async () => {
             if (!storeUp) {
                 throw new ResultError(resultCodes.storeUnavailable);
@@ -136,7 +138,7 @@
 test("an order that came too early still tells its number", async () => {
     // Guards against: a replaced owner's order was carried out by a sidecar that had just started.
     let storeUp = false;
-    const setup = await ready({
+    const setup = await createReadySidecar({
         readFencing: async () => {
             if (!storeUp) {
                 throw new ResultError(resultCodes.storeUnavailable);
--- a/packages/gate/src/createOrderRunner.ts
+++ b/packages/gate/src/createOrderRunner.ts
@@ -10,11 +10,11 @@
 import { admitOrder } from "./admitOrder.js";
 import { beginOrder } from "./beginOrder.js";
 import { drainPolicy } from "./drainPolicy.js";
-import type { GateContext } from "./GateContext.js";
+import { findFencingRefusal } from "./findFencingRefusal.js";
 import type { OrderOutcome } from "./OrderOutcome.js";
-import { refuseOrderNumber } from "./refuseOrderNumber.js";
+import { sendEngineOrder } from "./sendEngineOrder.js";
 import type { ServedWeights } from "./ServedWeights.js";
-import { tellEngine } from "./tellEngine.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 type LoadOrder = Extract<EngineOrder, { kind: "load"; }>;
 
@@ -22,7 +22,7 @@
 
 /** Makes `order` of a gate. Orders are carried out one after the other. */
 export function createOrderRunner(
-    context: GateContext,
+    context: SidecarContext,
     engine: EnginePort,
     weights: ServedWeights,
     report: () => SamplerReport,
@@ -30,7 +30,7 @@
     const { logger } = context.deps;
     let last: Promise<unknown> = Promise.resolve();
 
-    async function refuseEngine(): Promise<ResultCode | undefined> {
+    async function findEngineRefusal(): Promise<ResultCode | undefined> {
         if (weights.state() !== "ready") {
             await weights.describe();
         }
@@ -40,8 +40,8 @@
         return weights.state() === "engineDown" ? resultCodes.engineDown : resultCodes.notReady;
     }
 
-    async function carryOut(order: SamplerOrder): Promise<OrderOutcome> {
-        const refusal = await admitOrder(context, order) ?? await refuseEngine();
+    async function execute(order: SamplerOrder): Promise<OrderOutcome> {
+        const refusal = await admitOrder(context, order) ?? await findEngineRefusal();
         if (refusal !== undefined) {
             return refused(refusal);
         }
@@ -56,10 +56,10 @@
         if (refusal !== undefined) {
             return refused(refusal);
         }
-        const result = await tellEngine(context.deps, engine, order.order);
+        const result = await sendEngineOrder(context.deps, engine, order.order);
         if (result.kind !== "refused") {
             // What it serves has changed, or may have.
-            weights.doubt(order.order.kind);
+            weights.markUnknown(order.order.kind);
             await weights.describe();
         }
         return result;
@@ -81,22 +81,22 @@
             return refused(codeOf(error));
         }
         // The download may have taken long; owner and engine may be others by now.
-        const late = refuseOrderNumber(context, order) ?? await refuseEngine();
-        return late === undefined ? swap(order, load) : refused(late);
+        const lateRefusal = findFencingRefusal(context, order) ?? await findEngineRefusal();
+        return lateRefusal === undefined ? swap(order, load) : refused(lateRefusal);
     }
 
     async function swap(order: SamplerOrder, load: LoadOrder): Promise<OrderOutcome> {
         weights.beginSwap(load.policy, load.version);
         if (weights.stampsChunks() !== true) {
-            context.slots.hold(load.policy);
+            context.slots.pausePolicy(load.policy);
             await drainPolicy(context, load.policy);
         }
         const refusal = beginOrder(context, order);
         const result = refusal === undefined
-            ? await tellEngine(context.deps, engine, order.order)
+            ? await sendEngineOrder(context.deps, engine, order.order)
             : refused(refusal);
         await settle(result);
-        context.slots.resume(load.policy);
+        context.slots.resumePolicy(load.policy);
         return result;
     }
 
@@ -104,7 +104,7 @@
         // The engine may have died or contradicted itself meanwhile; that verdict stands.
         if (weights.state() === "swapping") {
             if (result.kind === "unknown") {
-                weights.doubt("swapUncertain");
+                weights.markUnknown("swapUncertain");
             }
             else {
                 weights.endSwap(result.kind === "done");
@@ -114,7 +114,7 @@
     }
 
     async function runLogged(order: SamplerOrder): Promise<SamplerOrderResult> {
-        const result = await carryOut(order);
+        const result = await execute(order);
         logger.info("orderEnded", {
             job: order.scope,
             order: order.order.kind,
--- a/packages/gate/src/createPlainHandler.ts
+++ b/packages/gate/src/createPlainHandler.ts
@@ -16,18 +16,18 @@
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { Gate } from "./Gate.js";
-import { writeFault } from "./writeFault.js";
+import type { Sidecar } from "./Sidecar.js";
+import { writeErrorAnswer } from "./writeErrorAnswer.js";
 
 interface PlainHandlerDeps {
-    gate: Gate;
+    sidecar: Sidecar;
     clock: Clock;
     incarnation: IncarnationId;
     maxBodyBytes: number;
 }
 
 /** Tokens after the first are joined for this long: an entry then handles a fraction of the frames. */
-const eventHoldMs = 100;
+const eventBatchMs = 100;
 const prefix = "/plain";
 const maxBudgetMs = 3_600_000;
 const maxNameChars = 512;
@@ -36,19 +36,19 @@
 export function createPlainHandler(
     deps: PlainHandlerDeps,
 ): (request: IncomingMessage, response: ServerResponse) => void {
-    const { gate, clock, incarnation } = deps;
+    const { sidecar: gate, clock, incarnation } = deps;
 
     async function handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
-        const plain = readHead(request);
+        const plain = parseRequestHead(request);
         if (typeof plain === "string") {
-            writeFault(response, incarnation, resultCodes.badRequest, plain);
+            writeErrorAnswer(response, incarnation, resultCodes.badRequest, plain);
             return;
         }
         try {
             plain.body = await readRequest(request, deps.maxBodyBytes);
         }
         catch (error) {
-            writeFault(response, incarnation, codeOf(error), "body");
+            writeErrorAnswer(response, incarnation, codeOf(error), "body");
             return;
         }
         const abort = new AbortController();
@@ -78,7 +78,7 @@
             [sidecarHeaders.incarnation]: incarnation,
         });
         try {
-            await pipeBody(clock, answer.body, sink, streamed ? eventHoldMs : undefined);
+            await pipeBody(clock, answer.body, sink, streamed ? eventBatchMs : undefined);
         }
         catch {
             // The sender must see a broken connection, never a whole answer.
@@ -109,12 +109,12 @@
 }
 
 /** A plain request without its body, or a sentence naming the fault. */
-function readHead(request: IncomingMessage): PlainRequest | string {
+function parseRequestHead(request: IncomingMessage): PlainRequest | string {
     const { headers } = request;
-    const attempt = nameOf(headers[sidecarHeaders.attempt]);
-    const service = nameOf(headers[sidecarHeaders.service]);
-    const team = nameOf(headers[sidecarHeaders.team]);
-    const digest = nameOf(headers[sidecarHeaders.digest]);
+    const attempt = boundedHeaderValue(headers[sidecarHeaders.attempt]);
+    const service = boundedHeaderValue(headers[sidecarHeaders.service]);
+    const team = boundedHeaderValue(headers[sidecarHeaders.team]);
+    const digest = boundedHeaderValue(headers[sidecarHeaders.digest]);
     const budgetMs = Number(headers[sidecarHeaders.budgetMs]);
     if (attempt === undefined || service === undefined || team === undefined || digest === undefined) {
         return `headers ${sidecarHeaders.attempt}, -service, -team and -digest are needed`;
@@ -137,7 +137,7 @@
     };
 }
 
-function nameOf(value: string | string[] | undefined): string | undefined {
+function boundedHeaderValue(value: string | string[] | undefined): string | undefined {
     const known = typeof value === "string" && value.length > 0 && value.length <= maxNameChars;
     return known ? value : undefined;
 }
--- a/packages/gate/src/createPlainHealth.test.ts
+++ b/packages/gate/src/createPlainHealth.test.ts
@@ -4,26 +4,26 @@
 import { createPlainHealth } from "./createPlainHealth.js";
 import { createSuspects } from "./createSuspects.js";
 
-const poison = "poison" as ContentDigest;
-const other = "other" as ContentDigest;
+const crashInducing = "poison" as ContentDigest;
+const unrelated = "other" as ContentDigest;
 
 test("a break makes nobody suspect; a break followed by a refused connection does, until a clean answer", () => {
     // Guards against: one request takes plain services down one after the other.
     let nowMs = 10_000;
     const suspects = createSuspects({ vm: "vm-1" as VmId, nowMs: () => nowMs });
     const health = createPlainHealth({ nowMs: () => nowMs, suspects, incarnation: "inc" });
-    health.noteBroken(other);
+    health.recordBrokenConnection(unrelated);
     nowMs += 10_000;
-    health.noteBroken(poison);
+    health.recordBrokenConnection(crashInducing);
     expect(suspects.list()).toEqual([]);
-    health.noteRefused();
-    expect(suspects.list()).toEqual([{ digest: poison, deaths: [{ vm: "vm-1", bootId: "inc-1" }] }]);
+    health.recordRefusedConnection();
+    expect(suspects.list()).toEqual([{ digest: crashInducing, deaths: [{ vm: "vm-1", bootId: "inc-1" }] }]);
     expect(health.isDown()).toBe(true);
     nowMs += 1_000;
     expect(health.isDown()).toBe(false);
     // The refused connection of the same death names nobody again.
-    health.noteRefused();
+    health.recordRefusedConnection();
     expect(suspects.list()[0]!.deaths).toHaveLength(1);
-    health.noteAnswered(poison);
+    health.recordAnswer(crashInducing);
     expect([suspects.list(), health.isDown()]).toEqual([[], false]);
 });
--- a/packages/gate/src/createPlainHealth.ts
+++ b/packages/gate/src/createPlainHealth.ts
@@ -10,43 +10,45 @@
 }
 
 /** A break this long before the refused connection belongs to the same death. */
-const deathWindowMs = 5_000;
+const crashWindowMs = 5_000;
 /** After this a request may find out whether the service is back. */
-const downMs = 1_000;
-const maxBroken = 256;
+const downPeriodMs = 1_000;
+const maxBrokenRequests = 256;
 
 /**
  * Makes the watch over a plain service, which has no port to ask. A request that kills such a service shows as a
  * broken connection followed by refused ones; a break alone proves no death and makes nobody suspect.
  */
 export function createPlainHealth(deps: PlainHealthDeps): PlainHealth {
-    const broken = new Map<ContentDigest, number>();
-    let deaths = 0;
+    const brokenAtMsByDigest = new Map<ContentDigest, number>();
+    let crashCount = 0;
     let refusedAtMs = Number.NEGATIVE_INFINITY;
 
     return {
-        noteBroken: digest => {
-            broken.delete(digest);
-            broken.set(digest, deps.nowMs());
-            if (broken.size > maxBroken) {
-                const [oldest] = broken.keys();
-                broken.delete(oldest!);
+        recordBrokenConnection: digest => {
+            brokenAtMsByDigest.delete(digest);
+            brokenAtMsByDigest.set(digest, deps.nowMs());
+            if (brokenAtMsByDigest.size > maxBrokenRequests) {
+                const [oldest] = brokenAtMsByDigest.keys();
+                brokenAtMsByDigest.delete(oldest!);
             }
         },
-        noteRefused: () => {
+        recordRefusedConnection: () => {
             refusedAtMs = deps.nowMs();
-            const recent = [...broken].filter(([, atMs]) => refusedAtMs - atMs <= deathWindowMs);
-            broken.clear();
+            const recent = [...brokenAtMsByDigest].filter(([, atMs]) => refusedAtMs - atMs <= crashWindowMs);
+            brokenAtMsByDigest.clear();
             if (recent.length > 0) {
-                deaths++;
-                recent.forEach(([digest]) => deps.suspects.accuse(digest, `${deps.incarnation}-${deaths}`));
+                crashCount++;
+                recent.forEach(([digest]) =>
+                    deps.suspects.addSuspect(digest, `${deps.incarnation}-${crashCount}`)
+                );
             }
         },
-        noteAnswered: digest => {
+        recordAnswer: digest => {
             refusedAtMs = Number.NEGATIVE_INFINITY;
-            broken.delete(digest);
+            brokenAtMsByDigest.delete(digest);
             deps.suspects.clear(digest);
         },
-        isDown: () => deps.nowMs() - refusedAtMs < downMs,
+        isDown: () => deps.nowMs() - refusedAtMs < downPeriodMs,
     };
 }
--- a/packages/gate/src/createPlainRunner.ts
+++ b/packages/gate/src/createPlainRunner.ts
@@ -5,14 +5,14 @@
 import type { PlainRequest } from "@auburnarch/types/PlainRequest";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import { admitPlain } from "./admitPlain.js";
-import type { GateContext } from "./GateContext.js";
 import type { PlainWork } from "./PlainWork.js";
+import type { SidecarContext } from "./SidecarContext.js";
 import { watchBody } from "./watchBody.js";
 
 type Outcome = AttemptOutcome<PlainAnswer>;
 
 /** Makes `callPlain` of a gate before a plain service. */
-export function createPlainRunner(context: GateContext, backend: PlainBackend): SidecarPort["callPlain"] {
+export function createPlainRunner(context: SidecarContext, backend: PlainBackend): SidecarPort["callPlain"] {
     const { clock, metrics } = context.deps;
 
     async function callPlain(request: PlainRequest, signal: AbortSignal): Promise<Outcome> {
@@ -26,7 +26,7 @@
         context.limit.observe(clock.monotonicMs() - startedAtMs, context.slots.running());
         metrics.count("gate_attempts_total", { kind: "plain", outcome: outcome.kind });
         const spentMs = (): number => clock.monotonicMs() - startedAtMs;
-        noteHealth(request, outcome, work);
+        recordHealth(request, outcome, work);
         if (outcome.kind === "ran") {
             const body = watchBody(outcome.answer.body, work.signal, () => work.end(spentMs(), 0));
             return { kind: "ran", answer: { ...outcome.answer, body } };
@@ -39,15 +39,15 @@
         return work.expired() ? { kind: "unknown", code: resultCodes.deadlineWhileRunning } : outcome;
     }
 
-    function noteHealth(request: PlainRequest, outcome: Outcome, work: PlainWork): void {
+    function recordHealth(request: PlainRequest, outcome: Outcome, work: PlainWork): void {
         if (outcome.kind === "ran") {
-            context.plainHealth.noteAnswered(request.digest);
+            context.plainHealth.recordAnswer(request.digest);
         }
         else if (outcome.kind === "notRun") {
-            context.plainHealth.noteRefused();
+            context.plainHealth.recordRefusedConnection();
         }
         else if (!work.signal.aborted) {
-            context.plainHealth.noteBroken(request.digest);
+            context.plainHealth.recordBrokenConnection(request.digest);
         }
     }
 
--- a/packages/gate/src/createProbeHandler.ts
+++ b/packages/gate/src/createProbeHandler.ts
@@ -1,5 +1,5 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
-import type { Gate } from "./Gate.js";
+import type { Sidecar } from "./Sidecar.js";
 
 const okStatus = 200;
 const unavailableStatus = 503;
@@ -15,7 +15,7 @@
  * need no token and change nothing. Returns false for anything else.
  */
 export function createProbeHandler(
-    gate: Gate,
+    sidecar: Sidecar,
     renderMetrics: () => Promise<string>,
 ): (request: IncomingMessage, response: ServerResponse) => boolean {
     const json = (response: ServerResponse, status: number, value: unknown): void =>
@@ -30,7 +30,7 @@
                 json(response, okStatus, { healthy: true });
                 return true;
             case "/readyz": {
-                const { state } = gate.report();
+                const { state } = sidecar.report();
                 json(response, state === "ready" ? okStatus : unavailableStatus, { state });
                 return true;
             }
--- a/packages/gate/src/createQuarantine.ts
+++ b/packages/gate/src/createQuarantineList.ts
@@ -1,9 +1,9 @@
-import { countDeadVms } from "@auburnarch/admit/countDeadVms";
+import { countCrashedVms } from "@auburnarch/admit/countCrashedVms";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
-import type { Quarantine } from "./Quarantine.js";
+import type { QuarantineList } from "./QuarantineList.js";
 
-interface QuarantineDeps {
+interface QuarantineListDeps {
     /** Wall time: records expire and are lifted by it. */
     wallMs: () => number;
     /** Whether a list of the offered version may replace the present one. */
@@ -11,7 +11,7 @@
 }
 
 /** Makes an empty list of version 0. */
-export function createQuarantine(deps: QuarantineDeps): Quarantine {
+export function createQuarantineList(deps: QuarantineListDeps): QuarantineList {
     let version = 0;
     let records = new Map<ContentDigest, QuarantineRecord>();
     return {
@@ -23,9 +23,9 @@
             records = new Map(list.map(record => [record.digest, record]));
             return true;
         },
-        deadVms: digest => {
+        crashedVmCount: digest => {
             const record = records.get(digest);
-            return record === undefined ? 0 : countDeadVms(record, [...records.values()], deps.wallMs());
+            return record === undefined ? 0 : countCrashedVms(record, [...records.values()], deps.wallMs());
         },
         version: () => version,
     };
--- a/packages/gate/src/createRpcHandler.ts
+++ b/packages/gate/src/createRpcHandler.ts
@@ -9,12 +9,12 @@
 import { createJSONRPCErrorResponse, type JSONRPCID, JSONRPCServer } from "json-rpc-2.0";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import { z } from "zod";
-import { describeFault } from "./describeFault.js";
-import type { Gate } from "./Gate.js";
-import { writeFault } from "./writeFault.js";
+import { describeRequestError } from "./describeRequestError.js";
+import type { Sidecar } from "./Sidecar.js";
+import { writeErrorAnswer } from "./writeErrorAnswer.js";
 
 interface RpcHandlerDeps {
-    gate: Gate;
+    sidecar: Sidecar;
     incarnation: IncarnationId;
     cancelSample: (attempt: AttemptId) => boolean;
 }
@@ -28,7 +28,7 @@
     deps: RpcHandlerDeps,
 ): (request: IncomingMessage, response: ServerResponse) => void {
     const { incarnation } = deps;
-    const server = createServerOf(deps);
+    const server = createRpcServer(deps);
 
     async function answer(request: IncomingMessage): Promise<string> {
         const body = await readRequest(request, maxRpcBytes);
@@ -52,8 +52,8 @@
         }
         catch (error) {
             const code = codeOf(error);
-            const known = code === resultCodes.internal ? resultCodes.badRequest : code;
-            writeFault(response, incarnation, known, describeFault(error));
+            const reportedCode = code === resultCodes.internal ? resultCodes.badRequest : code;
+            writeErrorAnswer(response, incarnation, reportedCode, describeRequestError(error));
         }
     }
 
@@ -62,15 +62,15 @@
     };
 }
 
-function createServerOf(deps: RpcHandlerDeps): JSONRPCServer {
-    const { gate } = deps;
+function createRpcServer(deps: RpcHandlerDeps): JSONRPCServer {
+    const { sidecar: gate } = deps;
     const server = new JSONRPCServer({ errorListener: () => {} });
     server.mapErrorToJSONRPCErrorResponse = (id: JSONRPCID, error: unknown) => {
         const code = error instanceof z.ZodError ? resultCodes.badRequest : codeOf(error);
-        return createJSONRPCErrorResponse(id, code.number, `${code.name}: ${describeFault(error)}`);
+        return createJSONRPCErrorResponse(id, code.number, `${code.name}: ${describeRequestError(error)}`);
     };
-    server.addMethod("queryAttempt", params => gate.queryAttempt(attemptOf(params)));
-    server.addMethod("cancelSample", params => ({ cancelled: deps.cancelSample(attemptOf(params)) }));
+    server.addMethod("queryAttempt", params => gate.queryAttempt(parseAttemptId(params)));
+    server.addMethod("cancelSample", params => ({ cancelled: deps.cancelSample(parseAttemptId(params)) }));
     server.addMethod("readReport", () => gate.readReport());
     server.addMethod("readUsage", () => gate.readUsage());
     server.addMethod("beginLeaving", () => {
@@ -84,6 +84,6 @@
     return server;
 }
 
-function attemptOf(params: unknown): AttemptId {
+function parseAttemptId(params: unknown): AttemptId {
     return attemptParams.parse(params).attempt as AttemptId;
 }
