--- a/packages/gate/src/createSampleHandler.ts
+++ b/packages/gate/src/createSampleHandler.ts
@@ -11,12 +11,12 @@
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { IncomingMessage, ServerResponse } from "node:http";
-import { describeFault } from "./describeFault.js";
-import type { Gate } from "./Gate.js";
-import { writeFault } from "./writeFault.js";
+import { describeRequestError } from "./describeRequestError.js";
+import type { Sidecar } from "./Sidecar.js";
+import { writeErrorAnswer } from "./writeErrorAnswer.js";
 
 interface SampleHandlerDeps {
-    gate: Gate;
+    sidecar: Sidecar;
     clock: Clock;
     incarnation: IncarnationId;
     maxBodyBytes: number;
@@ -33,7 +33,7 @@
 
 /** Makes the handler of samples: a line of JSON for each span, neighbours of one version joined, and the outcome. */
 export function createSampleHandler(deps: SampleHandlerDeps): SampleHandler {
-    const { gate, incarnation } = deps;
+    const { sidecar: gate, incarnation } = deps;
     const aborts = new Map<AttemptId, AbortController>();
 
     async function readAttempt(request: IncomingMessage): Promise<SampleAttempt> {
@@ -75,8 +75,8 @@
         }
         catch (error) {
             const code = codeOf(error);
-            const known = code === resultCodes.internal ? resultCodes.badRequest : code;
-            writeFault(response, incarnation, known, describeFault(error));
+            const reportedCode = code === resultCodes.internal ? resultCodes.badRequest : code;
+            writeErrorAnswer(response, incarnation, reportedCode, describeRequestError(error));
             return;
         }
         await run(attempt, response);
@@ -102,7 +102,7 @@
 }
 
 function createSpanWriter(clock: Clock, response: ServerResponse): SpanWriter {
-    let held: TokenSpan | undefined;
+    let pendingSpan: TokenSpan | undefined;
     let cancelTimer: (() => void) | undefined;
     let spans = 0;
     let tokens = 0;
@@ -110,22 +110,26 @@
     function flush(): void {
         cancelTimer?.();
         cancelTimer = undefined;
-        if (held !== undefined && !response.destroyed) {
+        if (pendingSpan !== undefined && !response.destroyed) {
             spans++;
-            tokens += held.tokens;
-            response.write(`${JSON.stringify({ kind: "span", ...held })}\n`);
-            held = undefined;
+            tokens += pendingSpan.tokens;
+            response.write(`${JSON.stringify({ kind: "span", ...pendingSpan })}\n`);
+            pendingSpan = undefined;
         }
     }
 
     return {
         add: span => {
-            if (held !== undefined && held.version !== span.version) {
+            if (pendingSpan !== undefined && pendingSpan.version !== span.version) {
                 flush();
             }
-            held = held === undefined
+            pendingSpan = pendingSpan === undefined
                 ? { ...span }
-                : { ...held, tokens: held.tokens + span.tokens, text: held.text + span.text };
+                : {
+                    ...pendingSpan,
+                    tokens: pendingSpan.tokens + span.tokens,
+                    text: pendingSpan.text + span.text,
+                };
             cancelTimer ??= clock.startTimer(flushIntervalMs, flush);
         },
         flush,
--- a/packages/gate/src/createSampleRunner.ts
+++ b/packages/gate/src/createSampleRunner.ts
@@ -7,20 +7,20 @@
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
-import { checkStart } from "./checkStart.js";
+import { assertMayStart } from "./assertMayStart.js";
 import { concludeSample } from "./concludeSample.js";
 import { createWorkAbort } from "./createWorkAbort.js";
 import { expectedEngineMs } from "./expectedEngineMs.js";
-import type { GateContext } from "./GateContext.js";
+import { findCommonRefusal } from "./findCommonRefusal.js";
+import { findQuarantineRefusal } from "./findQuarantineRefusal.js";
+import { findQueueRefusal } from "./findQueueRefusal.js";
+import { findSampleRefusal } from "./findSampleRefusal.js";
 import type { GenerationEnd } from "./GenerationEnd.js";
 import { refusalOutcome } from "./refusalOutcome.js";
-import { refuseCommon } from "./refuseCommon.js";
-import { refuseQueue } from "./refuseQueue.js";
-import { refuseSample } from "./refuseSample.js";
-import { refuseSuspect } from "./refuseSuspect.js";
-import { runAlone } from "./runAlone.js";
 import { runGeneration } from "./runGeneration.js";
+import { runWithReservation } from "./runWithReservation.js";
 import type { ServedWeights } from "./ServedWeights.js";
+import type { SidecarContext } from "./SidecarContext.js";
 import type { Slot } from "./Slot.js";
 import type { WorkAbort } from "./WorkAbort.js";
 
@@ -28,7 +28,7 @@
 
 /** Makes `runSample` of a gate: checks, queue, engine, stamped answer. */
 export function createSampleRunner(
-    context: GateContext,
+    context: SidecarContext,
     engine: EnginePort | undefined,
     weights: ServedWeights | undefined,
 ): SidecarPort["runSample"] {
@@ -57,26 +57,26 @@
         onSpan: (span: TokenSpan) => void,
         signal: AbortSignal,
     ): Promise<Outcome> {
-        const refusal = refuseCommon(context, attempt) ?? refuseSample(context, attempt)
-            ?? refuseQueue(context, attempt);
+        const refusal = findCommonRefusal(context, attempt) ?? findSampleRefusal(context, attempt)
+            ?? findQueueRefusal(context, attempt);
         if (refusal !== undefined) {
             if (context.attempts.standing(attempt.attempt) === undefined) {
                 context.attempts.refuse(attempt.attempt);
             }
             return refuse(attempt, refusal);
         }
-        checkStart(context, attempt.attempt);
+        assertMayStart(context, attempt.attempt);
         const highest = context.fencing.highest(attempt.job);
-        const forward = highest === undefined || attempt.fencing >= highest;
+        const isForward = highest === undefined || attempt.fencing >= highest;
         const fields = { attempt: attempt.attempt, fencing: attempt.fencing, highest };
-        invariants.check(resultCodes.fencingWentBack, forward, fields);
+        invariants.check(resultCodes.fencingWentBack, isForward, fields);
         context.fencing.raise(attempt.job, attempt.fencing);
         context.attempts.start(attempt.attempt);
-        const work = createWorkAbort({ clock, caller: signal, inFlight: context.inFlight });
+        const work = createWorkAbort({ clock, callerSignal: signal, inFlight: context.inFlight });
         try {
             const run = (budgetMs: number): Promise<Outcome> =>
                 waitAndRun({ ...attempt, budgetMs }, onSpan, work);
-            return await runAlone(context, attempt, work.signal, run)
+            return await runWithReservation(context, attempt, work.signal, run)
                 ?? refuseStarted(attempt, resultCodes.overloaded);
         }
         finally {
@@ -102,10 +102,10 @@
             return refuseStarted(attempt, grant.code);
         }
         // While it waited the weights, the owner or the quarantine list may have changed.
-        const late = refuseSample(context, attempt) ?? refuseSuspect(context, attempt);
-        if (late !== undefined) {
+        const lateRefusal = findSampleRefusal(context, attempt) ?? findQuarantineRefusal(context, attempt);
+        if (lateRefusal !== undefined) {
             grant.slot.release(0);
-            return refuseStarted(attempt, late);
+            return refuseStarted(attempt, lateRefusal);
         }
         work.expireAfter(attempt.budgetMs - grant.slot.waitedMs, () => {});
         return runAtEngine(attempt, onSpan, work.signal, grant.slot);
@@ -124,7 +124,7 @@
             team: attempt.team,
             priority: attempt.priority,
             waitedMs: Math.round(slot.waitedMs),
-            running: slot.runningBeside + 1,
+            running: slot.othersRunning + 1,
             limit: context.limit.current(),
             waiting: context.slots.waiting(),
             version: weights!.versionOf(attempt.policy),
--- a/packages/gate/src/createServedWeights.ts
+++ b/packages/gate/src/createServedWeights.ts
@@ -15,7 +15,7 @@
     onRestart: (bootId: string) => void;
     /** Weights changed without an order: what runs unstamped cannot be named any more. */
     onServedChanged: () => void;
-    onSettled: (description: EngineDescription) => void;
+    onDescribed: (description: EngineDescription) => void;
 }
 
 interface Swap {
@@ -36,13 +36,13 @@
     let state: "ready" | "swapping" | "unknownVersion" | "engineDown" = "unknownVersion";
     let description: EngineDescription | undefined;
     let swap: Swap | undefined;
-    let stamps: boolean | undefined;
+    let stampsAllChunks: boolean | undefined;
     let stopped = false;
     /** Grows whenever an answer to an earlier question would no longer be true. */
     let epoch = 0;
     let cancelTimer = (): void => {};
 
-    function enter(next: typeof state, reason: string): void {
+    function setState(next: typeof state, reason: string): void {
         epoch++;
         if (state !== next) {
             logger.info("engineState", { from: state, to: next, reason });
@@ -50,30 +50,30 @@
         }
     }
 
-    function differences(told: EngineDescription): string[] {
-        const found: string[] = [];
-        const toldVersions = new Map(told.served.map(entry => [entry.policy, entry.version]));
+    function differences(reported: EngineDescription): string[] {
+        const changes: string[] = [];
+        const reportedVersions = new Map(reported.served.map(entry => [entry.policy, entry.version]));
         for (const [policy, version] of served) {
-            if (toldVersions.get(policy) !== version) {
-                found.push(`${policy}@${version}->${toldVersions.get(policy) ?? "none"}`);
+            if (reportedVersions.get(policy) !== version) {
+                changes.push(`${policy}@${version}->${reportedVersions.get(policy) ?? "none"}`);
             }
         }
-        for (const [policy, version] of toldVersions) {
+        for (const [policy, version] of reportedVersions) {
             if (!served.has(policy)) {
-                found.push(`${policy}@none->${version}`);
+                changes.push(`${policy}@none->${version}`);
             }
         }
-        return found;
+        return changes;
     }
 
-    function noteDifferences(told: EngineDescription): void {
+    function handleDifferences(reported: EngineDescription): void {
         const first = description === undefined;
-        const restarted = !first && description!.bootId !== told.bootId;
+        const restarted = !first && description!.bootId !== reported.bootId;
         if (restarted) {
-            logger.warn("engineRestarted", { bootId: told.bootId, before: description!.bootId });
+            logger.warn("engineRestarted", { bootId: reported.bootId, before: description!.bootId });
             deps.onRestart(description!.bootId);
         }
-        const changes = differences(told);
+        const changes = differences(reported);
         if (!first && changes.length > 0) {
             logger.warn("servedVersionCorrected", { changes: changes.join(","), state });
             if (!restarted) {
@@ -82,47 +82,47 @@
         }
     }
 
-    function settle(told: EngineDescription): void {
-        noteDifferences(told);
+    function applyDescription(reported: EngineDescription): void {
+        handleDifferences(reported);
         served.clear();
-        for (const entry of told.served) {
+        for (const entry of reported.served) {
             served.set(entry.policy, entry.version);
         }
-        description = told;
-        enter("ready", "described");
-        deps.onSettled(told);
+        description = reported;
+        setState("ready", "described");
+        deps.onDescribed(reported);
     }
 
     async function describe(): Promise<void> {
         const askedEpoch = epoch;
         try {
-            const told = await withTimeout(clock, describeTimeoutMs, engine.describe());
+            const reported = await withTimeout(clock, describeTimeoutMs, engine.describe());
             // A swap or doubt since the question makes the answer a thing of the past.
             if (askedEpoch === epoch && state !== "swapping" && !stopped) {
-                settle(told);
+                applyDescription(reported);
             }
         }
         catch {
             if (askedEpoch === epoch && state !== "swapping") {
-                enter("engineDown", "describeFailed");
+                setState("engineDown", "describeFailed");
             }
         }
     }
 
-    function beat(): void {
-        cancelTimer = clock.startTimer(heartbeatMs, () => void describeAndBeat());
+    function scheduleHeartbeat(): void {
+        cancelTimer = clock.startTimer(heartbeatMs, () => void heartbeat());
     }
 
-    async function describeAndBeat(): Promise<void> {
+    async function heartbeat(): Promise<void> {
         if (state !== "swapping") {
             await describe();
         }
         if (!stopped) {
-            beat();
+            scheduleHeartbeat();
         }
     }
 
-    void describeAndBeat();
+    void heartbeat();
 
     return {
         state: () => state,
@@ -132,28 +132,28 @@
         isExpected: (policy, version) =>
             (state !== "unknownVersion" && served.get(policy) === version)
             || (swap !== undefined && swap.policy === policy && swap.version === version),
-        stampsChunks: () => stamps,
-        noteChunk: stamped => {
-            stamps = stamped && stamps !== false;
+        stampsChunks: () => stampsAllChunks,
+        recordChunk: stamped => {
+            stampsAllChunks = stamped && stampsAllChunks !== false;
         },
         beginSwap: (policy, version) => {
             swap = { policy, version };
-            enter("swapping", `${policy}@${version}`);
+            setState("swapping", `${policy}@${version}`);
         },
-        endSwap: took => {
-            if (took && swap !== undefined) {
+        endSwap: succeeded => {
+            if (succeeded && swap !== undefined) {
                 served.set(swap.policy, swap.version);
             }
             swap = undefined;
-            enter("ready", took ? "swapped" : "notSwapped");
+            setState("ready", succeeded ? "swapped" : "notSwapped");
         },
-        doubt: reason => {
+        markUnknown: reason => {
             swap = undefined;
-            enter("unknownVersion", reason);
+            setState("unknownVersion", reason);
         },
-        noteDown: reason => {
+        markEngineDown: reason => {
             swap = undefined;
-            enter("engineDown", reason);
+            setState("engineDown", reason);
         },
         describe,
         stop: () => {
--- a/packages/gate/src/createGate.test.ts
+++ b/packages/gate/src/createSidecar.test.ts
@@ -5,10 +5,10 @@
 import type { SampleAnswer } from "@auburnarch/types/SampleAnswer";
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
 import { expect, test } from "vitest";
-import { createTestGate } from "./testing/createTestGate.js";
+import { createSidecarFixture } from "./testing/createSidecarFixture.js";
 
 type Outcome = AttemptOutcome<SampleAnswer>;
-type TestGate = ReturnType<typeof createTestGate>;
+type SidecarFixture = ReturnType<typeof createSidecarFixture>;
 
 const never = new AbortController().signal;
 
@@ -19,52 +19,58 @@
         }`
         : `${outcome.kind} ${outcome.code.name}`;
 
-function start(setup: TestGate, attempt: SampleAttempt, signal = never): { outcome: Outcome | undefined; } {
-    const held: { outcome: Outcome | undefined; } = { outcome: undefined };
-    void setup.gate.runSample(attempt, () => {}, signal).then(outcome => {
-        held.outcome = outcome;
+function start(
+    setup: SidecarFixture,
+    attempt: SampleAttempt,
+    signal = never,
+): { outcome: Outcome | undefined; } {
+    const pending: { outcome: Outcome | undefined; } = { outcome: undefined };
+    void setup.sidecar.runSample(attempt, () => {}, signal).then(outcome => {
+        pending.outcome = outcome;
     });
-    return held;
+    return pending;
 }
 
-async function run(setup: TestGate, attempt: SampleAttempt): Promise<string> {
-    const held = start(setup, attempt);
-    await setup.clock.runUntil(() => held.outcome !== undefined, 120_000);
-    return describeOutcome(held.outcome!);
+async function run(setup: SidecarFixture, attempt: SampleAttempt): Promise<string> {
+    const pending = start(setup, attempt);
+    await setup.clock.runUntil(() => pending.outcome !== undefined, 120_000);
+    return describeOutcome(pending.outcome!);
 }
 
-async function ready(options: Parameters<typeof createTestGate>[0] = {}): Promise<TestGate> {
-    const setup = createTestGate(options);
+async function createReadySidecar(
+    options: Parameters<typeof createSidecarFixture>[0] = {},
+): Promise<SidecarFixture> {
+    const setup = createSidecarFixture(options);
     await setup.clock.advance(1);
     return setup;
 }
 
 test("a sample is run, stamped and accounted, and its spans stream in order", async () => {
-    const setup = await ready();
+    const setup = await createReadySidecar();
     const texts: string[] = [];
     let outcome: Outcome | undefined;
-    void setup.gate.runSample(setup.attempt("a"), span => texts.push(span.text), never).then(ended => {
+    void setup.sidecar.runSample(setup.attempt("a"), span => texts.push(span.text), never).then(ended => {
         outcome = ended;
     });
     await setup.clock.runUntil(() => outcome !== undefined, 10_000);
     expect(describeOutcome(outcome!)).toBe("ran whole 64@1");
     expect(outcome).toMatchObject({ answer: { spans: [{ text: texts.join("") }] } });
-    const [counter] = await setup.gate.readUsage();
+    const [counter] = await setup.sidecar.readUsage();
     expect(counter).toMatchObject({ team: "team", job: "job", tokens: 64, requests: 1 });
     expect(counter!.engineMs).toBeCloseTo(setup.control.busyMs(), 3);
 });
 
 test("each check refuses with its own code, and what is refused does not run", async () => {
-    const setup = await ready();
-    const { gate, attempt } = setup;
+    const setup = await createReadySidecar();
+    const { sidecar, attempt } = setup;
     const record: QuarantineRecord = {
         digest: attempt("poison").digest,
         deaths: ["vm-1", "vm-2"].map(vm => ({ vm: vm as never, bootId: "b", atMs: 1 })),
         expiresAtMs: setup.clock.wallMs() + 1_000_000,
         liftedAtMs: undefined,
     };
-    gate.offerQuarantine(1, [record]);
-    await gate.queryAttempt("late" as AttemptId);
+    sidecar.offerQuarantine(1, [record]);
+    await sidecar.queryAttempt("late" as AttemptId);
     const results: Record<string, string> = {
         late: await run(setup, attempt("late")),
         quarantined: await run(setup, attempt("poison")),
@@ -75,7 +81,7 @@
         fenced: await run(setup, attempt("fenced", { fencing: 5 })),
         twice: await run(setup, attempt("twice", { fencing: 6 })),
     };
-    gate.beginLeaving();
+    sidecar.beginLeaving();
     results["leaving"] = await run(setup, attempt("leaving"));
     expect(results).toMatchInlineSnapshot(`
       {
@@ -96,42 +102,42 @@
 
 test("a tombstone stops a late arrival", async () => {
     // Guards against: a fetch goes out twice.
-    const setup = await ready();
-    const asked = await setup.gate.queryAttempt("a" as AttemptId);
+    const setup = await createReadySidecar();
+    const asked = await setup.sidecar.queryAttempt("a" as AttemptId);
     expect(asked.state).toBe("neverSeen");
     expect(await run(setup, setup.attempt("a"))).toBe("notRun tombstoned");
-    expect((await setup.gate.queryAttempt("a" as AttemptId)).state).toBe("neverSeen");
+    expect((await setup.sidecar.queryAttempt("a" as AttemptId)).state).toBe("neverSeen");
     expect(setup.control.starts().size).toBe(0);
 });
 
 test("a sidecar that restarted does not vouch for its predecessor", async () => {
     // Guards against: "not run" is said of something that ran.
-    const setup = await ready();
+    const setup = await createReadySidecar();
     const held = start(setup, setup.attempt("a"));
     await setup.clock.advance(100);
-    const { incarnation } = await setup.gate.queryAttempt("a" as AttemptId);
-    setup.gate.kill();
+    const { incarnation } = await setup.sidecar.queryAttempt("a" as AttemptId);
+    setup.sidecar.kill();
     await setup.clock.advance(100);
     expect(describeOutcome(held.outcome!)).toBe("unknown connectionBroken");
-    await expect(setup.gate.queryAttempt("a" as AttemptId)).rejects.toThrow("sidecarUnreachable");
+    await expect(setup.sidecar.queryAttempt("a" as AttemptId)).rejects.toThrow("sidecarUnreachable");
     expect(await run(setup, setup.attempt("b"))).toBe("notRun connectFailed");
-    const next = await ready({ sampler: "s1b" });
-    expect((await next.gate.queryAttempt("a" as AttemptId)).incarnation).toBeTypeOf("string");
+    const next = await createReadySidecar({ sampler: "s1b" });
+    expect((await next.sidecar.queryAttempt("a" as AttemptId)).incarnation).toBeTypeOf("string");
     expect(incarnation).toHaveLength(32);
 });
 
 test("an engine crash leaves its attempts unknown and their contents suspect", async () => {
     // Guards against: one content kills engine after engine.
-    const setup = await ready();
+    const setup = await createReadySidecar();
     setup.control.killOn(request => request.attempt === "poison");
-    const poison = start(setup, setup.attempt("poison"));
+    const crashing = start(setup, setup.attempt("poison"));
     const neighbour = start(setup, setup.attempt("neighbour"));
     await setup.clock.advance(200);
-    expect([poison, neighbour].map(held => describeOutcome(held.outcome!))).toEqual([
+    expect([crashing, neighbour].map(held => describeOutcome(held.outcome!))).toEqual([
         "unknown engineCrashed",
         "unknown engineCrashed",
     ]);
-    const { state, suspects } = setup.gate.report();
+    const { state, suspects } = setup.sidecar.report();
     expect(state).toBe("engineDown");
     expect(suspects.map(suspect => [suspect.digest, suspect.deaths.length])).toEqual([
         ["digest-poison", 1],
@@ -142,16 +148,16 @@
     setup.control.restart();
     await setup.clock.advance(2_000);
     expect(await run(setup, setup.attempt("again", { digest: "digest-neighbour" }))).toBe("ran whole 64@1");
-    expect(setup.gate.report().suspects.map(suspect => suspect.digest)).toEqual(["digest-poison"]);
+    expect(setup.sidecar.report().suspects.map(suspect => suspect.digest)).toEqual(["digest-poison"]);
 });
 
 test("a leaving sampler finishes what it has; a shutdown ends the rest truthfully at its deadline", async () => {
-    const setup = await ready({ engine: { maxBatch: 1, lengthOf: () => 400 } });
+    const setup = await createReadySidecar({ engine: { maxBatch: 1, lengthOf: () => 400 } });
     const short = start(setup, setup.attempt("short", { maxTokens: 32 }));
     const waiting = start(setup, setup.attempt("waiting"));
     await setup.clock.advance(10);
     let stopped = false;
-    void setup.gate.shutdown(1_000).then(() => {
+    void setup.sidecar.shutdown(1_000).then(() => {
         stopped = true;
     });
     await setup.clock.advance(600);
@@ -159,28 +165,28 @@
     expect(describeOutcome(waiting.outcome!)).toBe("notRun shuttingDown");
     expect(stopped).toBe(true);
 
-    const slow = await ready({ engine: { lengthOf: () => 400 } });
+    const slow = await createReadySidecar({ engine: { lengthOf: () => 400 } });
     const long = start(slow, slow.attempt("long", { maxTokens: 400 }));
     await slow.clock.advance(10);
-    void slow.gate.shutdown(1_000);
+    void slow.sidecar.shutdown(1_000);
     await slow.clock.advance(1_500);
     expect(describeOutcome(long.outcome!)).toMatch(/^ran part \d+@1$/);
     expect(setup.invariants.violations() + slow.invariants.violations()).toBe(0);
 });
 
 test("an older manifest or quarantine list never replaces a newer one", async () => {
-    const setup = await ready();
+    const setup = await createReadySidecar();
     const manifest = { name: "m", teams: [], services: [], samplers: [], jobs: [], limits: {} } as never;
-    expect(setup.gate.offerManifest({ version: 4 as never, manifest })).toBe(true);
-    expect(setup.gate.offerManifest({ version: 3 as never, manifest })).toBe(false);
-    expect(setup.gate.offerManifest({ version: 4 as never, manifest })).toBe(false);
-    expect(setup.gate.report().configVersion).toBe(4);
-    expect(setup.gate.offerQuarantine(2, [])).toBe(true);
-    expect(setup.gate.offerQuarantine(1, [])).toBe(false);
+    expect(setup.sidecar.offerManifest({ version: 4 as never, manifest })).toBe(true);
+    expect(setup.sidecar.offerManifest({ version: 3 as never, manifest })).toBe(false);
+    expect(setup.sidecar.offerManifest({ version: 4 as never, manifest })).toBe(false);
+    expect(setup.sidecar.report().configVersion).toBe(4);
+    expect(setup.sidecar.offerQuarantine(2, [])).toBe(true);
+    expect(setup.sidecar.offerQuarantine(1, [])).toBe(false);
 });
 
 test("a cancelled sample gives what was made, and resumes behind it elsewhere", async () => {
-    const setup = await ready();
+    const setup = await createReadySidecar();
     const abort = new AbortController();
     const held = start(setup, setup.attempt("a"), abort.signal);
     await setup.clock.advance(300);
@@ -189,13 +195,13 @@
     const outcome = held.outcome!;
     expect(describeOutcome(outcome)).toMatch(/^ran part \d+@1$/);
     const resume = outcome.kind === "ran" ? outcome.answer.spans : [];
-    const other = await ready();
+    const other = await createReadySidecar();
     expect(await run(other, other.attempt("b", { resume }))).toBe("ran whole 64@1");
 });
 
 test("a completion waits no longer than the interactive wait, and the rollout it displaces keeps its tokens", async () => {
     // Guards against: a quote hangs while the homeowner is on the phone.
-    const setup = await ready({
+    const setup = await createReadySidecar({
         engine: { maxBatch: 2, lengthOf: request => request.priority === 100 ? 8 : 4_000 },
     });
     const important = start(setup, setup.attempt("important", { maxTokens: 4_000, priority: 90 }));
@@ -212,7 +218,7 @@
         body: Buffer.from(JSON.stringify({ model: "plume", prompt: "quote", max_tokens: 8 })),
         idempotent: true,
     } as unknown as PlainRequest;
-    void setup.gate.callPlain(request, never).then(outcome => {
+    void setup.sidecar.callPlain(request, never).then(outcome => {
         expect(outcome).toMatchObject({ kind: "ran", answer: { status: 200 } });
         answeredAtMs = setup.clock.monotonicMs();
     });
@@ -224,10 +230,10 @@
 });
 
 test("overload is refused at once beyond the team's bound, and what outlived its budget never runs", async () => {
-    const setup = await ready({ engine: { maxBatch: 1, lengthOf: () => 1_000 } });
+    const setup = await createReadySidecar({ engine: { maxBatch: 1, lengthOf: () => 1_000 } });
     const limits = { maxQueuedPerTeam: 2, interactiveWaitMs: 250 };
     const manifest = { name: "m", teams: [], services: [], samplers: [], jobs: [], limits } as never;
-    setup.gate.offerManifest({ version: 1 as never, manifest });
+    setup.sidecar.offerManifest({ version: 1 as never, manifest });
     const held = ["running", "soon", "late", "refused"].map(id =>
         start(setup, setup.attempt(id, { maxTokens: 1_000, budgetMs: id === "late" ? 500 : 60_000 }))
     );
--- a/packages/gate/src/createGate.ts
+++ b/packages/gate/src/createSidecar.ts
@@ -10,18 +10,21 @@
 import { createOrderRunner } from "./createOrderRunner.js";
 import { createPlainRunner } from "./createPlainRunner.js";
 import { createSampleRunner } from "./createSampleRunner.js";
-import { defaultGateGuards } from "./defaultGateGuards.js";
-import type { Gate } from "./Gate.js";
-import type { GateContext } from "./GateContext.js";
-import type { GateDeps } from "./GateDeps.js";
-import type { GateGuards } from "./GateGuards.js";
-import { shutdownGate } from "./shutdownGate.js";
+import { defaultSidecarGuards } from "./defaultSidecarGuards.js";
+import { shutdownSidecar } from "./shutdownSidecar.js";
+import type { Sidecar } from "./Sidecar.js";
+import type { SidecarContext } from "./SidecarContext.js";
+import type { SidecarDependencies } from "./SidecarDependencies.js";
+import type { SidecarGuards } from "./SidecarGuards.js";
 
 const noVersion = 0 as ConfigVersion;
-const heldLimit = 1;
+const limitDuringTrial = 1;
 
 /** Makes the gate before one sampler. It does no I/O of its own and runs under any clock. */
-export function createGate(deps: GateDeps, guards: GateGuards = defaultGateGuards): Gate {
+export function createSidecar(
+    deps: SidecarDependencies,
+    guards: SidecarGuards = defaultSidecarGuards,
+): Sidecar {
     const { logger, invariants, identity } = deps;
     let manifest: VersionedManifest | undefined;
     let sequence = 0;
@@ -34,7 +37,7 @@
         : createOrderRunner(context, deps.engine, weights, report);
     logger.info("gateStarted", { sampler: identity.sampler, incarnation: context.incarnation });
 
-    function stateNow(): SamplerReport["state"] {
+    function currentState(): SamplerReport["state"] {
         if (flags.leaving) {
             return "leaving";
         }
@@ -47,13 +50,13 @@
             ...identity,
             incarnation: context.incarnation,
             sequence,
-            state: stateNow(),
+            state: currentState(),
             served: weights?.served() ?? [],
             stampsVersions: weights?.stampsChunks() === true,
             running: slots.running(),
             waiting: slots.waiting(),
             // Senders that choose by load pass a sampler by that takes nothing else now.
-            limit: context.trials.isHeld() ? heldLimit : context.limit.current(),
+            limit: context.trialReservation.isReserved() ? limitDuringTrial : context.limit.current(),
             tokensPerSecond: weights?.description()?.tokensPerSecond ?? 0,
             maxBatch: weights?.description()?.maxBatch ?? context.limit.current(),
             configVersion: manifest?.version ?? noVersion,
@@ -61,7 +64,7 @@
         };
     }
 
-    function demandAlive(): void {
+    function assertNotKilled(): void {
         if (flags.killed) {
             throw new ResultError(resultCodes.sidecarUnreachable, identity.sampler);
         }
@@ -88,11 +91,11 @@
         manifest = offered;
         flags.informed = true;
         logger.info("manifestTaken", { configVersion: offered.version, before: present });
-        slots.wake();
+        slots.startWaiting();
         return true;
     }
 
-    function offerQuarantine(...offered: Parameters<Gate["offerQuarantine"]>): boolean {
+    function offerQuarantine(...offered: Parameters<Sidecar["offerQuarantine"]>): boolean {
         const taken = !flags.killed && context.quarantine.offer(...offered);
         if (taken) {
             logger.info("quarantineTaken", { version: offered[0], records: offered[1].length });
@@ -109,7 +112,7 @@
 
     function shutdown(deadlineMs: number): Promise<void> {
         beginLeaving();
-        return shutdownGate(context, deadlineMs);
+        return shutdownSidecar(context, deadlineMs);
     }
 
     function kill(): void {
@@ -129,26 +132,26 @@
         },
         callPlain: (request, signal) => unlessKilled(() => callPlain(request, signal)),
         queryAttempt: async attempt => {
-            demandAlive();
+            assertNotKilled();
             const state = context.attempts.query(attempt);
             logger.info("attemptQueried", { attempt, state });
             return { incarnation: context.incarnation, state };
         },
-        order: async given => {
-            demandAlive();
+        order: async samplerOrder => {
+            assertNotKilled();
             if (order === undefined) {
                 return { kind: "refused", code: resultCodes.wrongPolicy, report: report() };
             }
-            const result = await order(given);
-            demandAlive();
+            const result = await order(samplerOrder);
+            assertNotKilled();
             return result;
         },
         readReport: async () => {
-            demandAlive();
+            assertNotKilled();
             return report();
         },
         readUsage: async () => {
-            demandAlive();
+            assertNotKilled();
             return context.usage.read();
         },
         report,
@@ -160,7 +163,7 @@
     };
 }
 
-function createCallPlain(context: GateContext): SidecarPort["callPlain"] {
+function createCallPlain(context: SidecarContext): SidecarPort["callPlain"] {
     const { engine, backend } = context.deps;
     if (engine !== undefined && context.weights !== undefined) {
         return createCompletionRunner(context, engine, context.weights);
--- a/packages/gate/src/createSlots.test.ts
+++ b/packages/gate/src/createSlots.test.ts
@@ -8,7 +8,7 @@
 
 const never = new AbortController().signal;
 
-function setUp(limit: number, shares: Record<string, number> = {}) {
+function createFixture(limit: number, shares: Record<string, number> = {}) {
     const clock = createFakeClock();
     const slots = createSlots({
         clock,
@@ -29,20 +29,20 @@
         ...overrides,
     });
     const acquire = (overrides: Partial<SlotRequest>): { grant: SlotGrant | undefined; } => {
-        const held: { grant: SlotGrant | undefined; } = { grant: undefined };
+        const pending: { grant: SlotGrant | undefined; } = { grant: undefined };
         void Promise.resolve(slots.acquire(request(overrides))).then(grant => {
-            held.grant = grant;
+            pending.grant = grant;
         });
-        return held;
+        return pending;
     };
     return { clock, slots, acquire };
 }
 
 test("a rollout delays an interactive request by no more than the interactive wait", async () => {
     // Guards against: a quote is late.
-    const { clock, acquire } = setUp(2);
+    const { clock, acquire } = createFixture(2);
     const preempted: string[] = [];
-    const hold = (name: string, priority: number) => {
+    const acquireSlot = (name: string, priority: number) => {
         const held = acquire({
             priority,
             preempt: () => {
@@ -54,9 +54,9 @@
         });
         return held;
     };
-    hold("important", 90);
+    acquireSlot("important", 90);
     await clock.advance(5);
-    hold("newest", 10);
+    acquireSlot("newest", 10);
     await clock.advance(1_000);
     const quote = acquire({ priority: 100 });
     await clock.advance(249);
@@ -67,7 +67,7 @@
 });
 
 test("work whose budget passes while it waits is refused and never starts", async () => {
-    const { clock, slots, acquire } = setUp(1);
+    const { clock, slots, acquire } = createFixture(1);
     const first = acquire({});
     await clock.advance(1);
     const late = acquire({ budgetMs: 500 });
@@ -78,18 +78,18 @@
 });
 
 test("two teams that always want more get engine time by their shares within 5%", async () => {
-    const { clock, acquire } = setUp(4, { a: 0.75, b: 0.25 });
+    const { clock, acquire } = createFixture(4, { a: 0.75, b: 0.25 });
     const usedMs: Record<string, number> = { a: 0, b: 0 };
     const keepBusy = (team: string, lengthMs: number): void => {
-        const held = acquire({ team: team as TeamId, costMs: 50, budgetMs: 1_000_000 });
+        const pending = acquire({ team: team as TeamId, costMs: 50, budgetMs: 1_000_000 });
         void (async () => {
-            while (held.grant === undefined) {
+            while (pending.grant === undefined) {
                 await clock.sleep(1);
             }
             await clock.sleep(lengthMs);
             usedMs[team]! += lengthMs;
-            if (held.grant.kind === "granted") {
-                held.grant.slot.release(lengthMs);
+            if (pending.grant.kind === "granted") {
+                pending.grant.slot.release(lengthMs);
             }
             if (clock.monotonicMs() < 60_000) {
                 keepBusy(team, lengthMs);
--- a/packages/gate/src/createSlots.ts
+++ b/packages/gate/src/createSlots.ts
@@ -4,7 +4,7 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
-import { chooseVictim } from "./chooseVictim.js";
+import { choosePreemptionVictim } from "./choosePreemptionVictim.js";
 import { createDrainWatch } from "./createDrainWatch.js";
 import type { Slot } from "./Slot.js";
 import type { SlotGrant } from "./SlotGrant.js";
@@ -21,12 +21,12 @@
     mayStart: (leftMs: number) => boolean;
 }
 
-interface Place extends SlotRequest {
+interface SlotEntry extends SlotRequest {
     queuedAtMs: number;
     startedAtMs: number;
     preempted: boolean;
     /** Ends the waiting: cancels its timers and answers. */
-    answer: ((grant: SlotGrant) => void) | undefined;
+    resolveGrant: ((grant: SlotGrant) => void) | undefined;
 }
 
 const interactivePriority = 100;
@@ -38,80 +38,81 @@
  */
 export function createSlots(deps: SlotsDeps): Slots {
     const { clock } = deps;
-    const queue = createFairQueue<Place>({ share: deps.share, nowMs: clock.monotonicMs });
-    const runningPlaces = new Set<Place>();
-    const held = new Set<PolicyId>();
-    const drains = createDrainWatch();
-    let pumping = false;
+    const queue = createFairQueue<SlotEntry>({ share: deps.share, nowMs: clock.monotonicMs });
+    const runningEntries = new Set<SlotEntry>();
+    const pausedPolicies = new Set<PolicyId>();
+    const drainWatch = createDrainWatch();
+    let isStarting = false;
 
-    const mayRun = (place: Place): boolean => place.policy === undefined || !held.has(place.policy);
+    const mayRun = (entry: SlotEntry): boolean =>
+        entry.policy === undefined || !pausedPolicies.has(entry.policy);
 
     function runningOf(policy: PolicyId): number {
-        return [...runningPlaces].filter(place => place.policy === policy).length;
+        return [...runningEntries].filter(entry => entry.policy === policy).length;
     }
 
-    function start(place: Place): Slot {
-        place.startedAtMs = clock.monotonicMs();
-        runningPlaces.add(place);
+    function start(entry: SlotEntry): Slot {
+        entry.startedAtMs = clock.monotonicMs();
+        runningEntries.add(entry);
         return {
-            waitedMs: place.startedAtMs - place.queuedAtMs,
-            runningBeside: runningPlaces.size - 1,
-            release: engineMs => release(place, engineMs),
+            waitedMs: entry.startedAtMs - entry.queuedAtMs,
+            othersRunning: runningEntries.size - 1,
+            release: engineMs => release(entry, engineMs),
         };
     }
 
-    function release(place: Place, engineMs: number): void {
-        if (!runningPlaces.delete(place)) {
+    function release(place: SlotEntry, engineMs: number): void {
+        if (!runningEntries.delete(place)) {
             return;
         }
         queue.settle(place, engineMs);
-        drains.check();
-        pump();
+        drainWatch.check();
+        startWaiting();
     }
 
     function startNext(): boolean {
-        const place = runningPlaces.size < deps.limit() ? queue.pop(mayRun) : undefined;
-        if (place === undefined) {
+        const entry = runningEntries.size < deps.limit() ? queue.pop(mayRun) : undefined;
+        if (entry === undefined) {
             return false;
         }
-        const slot = start(place);
-        const leftMs = place.budgetMs - slot.waitedMs;
+        const slot = start(entry);
+        const leftMs = entry.budgetMs - slot.waitedMs;
         if (!deps.mayStart(leftMs)) {
             slot.release(0);
-            place.answer?.({ kind: "refused", code: resultCodes.deadlinePassed });
+            entry.resolveGrant?.({ kind: "refused", code: resultCodes.deadlinePassed });
         }
         else {
-            place.answer?.({ kind: "granted", slot });
+            entry.resolveGrant?.({ kind: "granted", slot });
         }
         return true;
     }
 
     /** Not reentrant: a release while it pumps is seen by its own loop. */
-    function pump(): void {
-        if (pumping || queue.size() === 0) {
+    function startWaiting(): void {
+        if (isStarting || queue.size() === 0) {
             return;
         }
-        pumping = true;
+        isStarting = true;
         while (startNext()) {
             // Until the limit is reached or nothing may run.
         }
-        pumping = false;
+        isStarting = false;
     }
 
-    function refuse(place: Place, code: ResultCode): void {
-        if (queue.remove(place)) {
-            place.answer?.({ kind: "refused", code });
+    function refuse(entry: SlotEntry, code: ResultCode): void {
+        if (queue.remove(entry)) {
+            entry.resolveGrant?.({ kind: "refused", code });
         }
     }
 
-    function preemptFor(place: Place): void {
-        const victim = chooseVictim(runningPlaces, interactivePriority);
+    function preemptFor(entry: SlotEntry): void {
+        const victim = choosePreemptionVictim(runningEntries, interactivePriority);
         if (victim !== undefined) {
             deps.logger.info("rolloutPreempted", {
                 team: victim.team,
                 priority: victim.priority,
-                running: runningPlaces.size,
-                waitedMs: clock.monotonicMs() - place.queuedAtMs,
+                running: runningEntries.size,
+                waitedMs: clock.monotonicMs() - entry.queuedAtMs,
                 reason: "interactiveWait",
             });
             victim.preempted = true;
@@ -119,61 +120,61 @@
         }
     }
 
-    function wait(place: Place): Promise<SlotGrant> {
+    function wait(entry: SlotEntry): Promise<SlotGrant> {
         return new Promise(resolve => {
-            const withdraw = (): void => refuse(place, resultCodes.overloaded);
-            const cancelBudget = clock.startTimer(
-                place.budgetMs,
-                () => deps.mayStart(0) || refuse(place, resultCodes.deadlinePassed),
+            const withdrawRequest = (): void => refuse(entry, resultCodes.overloaded);
+            const cancelBudgetTimer = clock.startTimer(
+                entry.budgetMs,
+                () => deps.mayStart(0) || refuse(entry, resultCodes.deadlinePassed),
             );
-            const cancelPreempt = place.priority < interactivePriority
+            const cancelPreemptTimer = entry.priority < interactivePriority
                 ? () => {}
-                : clock.startTimer(deps.interactiveWaitMs(), () => preemptFor(place));
-            place.answer = grant => {
-                cancelBudget();
-                cancelPreempt();
-                place.signal.removeEventListener("abort", withdraw);
+                : clock.startTimer(deps.interactiveWaitMs(), () => preemptFor(entry));
+            entry.resolveGrant = grant => {
+                cancelBudgetTimer();
+                cancelPreemptTimer();
+                entry.signal.removeEventListener("abort", withdrawRequest);
                 resolve(grant);
             };
-            place.signal.addEventListener("abort", withdraw, { once: true });
-            queue.push(place);
-            pump();
+            entry.signal.addEventListener("abort", withdrawRequest, { once: true });
+            queue.push(entry);
+            startWaiting();
         });
     }
 
     function acquire(request: SlotRequest): Promise<SlotGrant> | SlotGrant {
-        const place: Place = {
+        const entry: SlotEntry = {
             ...request,
             queuedAtMs: clock.monotonicMs(),
             startedAtMs: 0,
             preempted: false,
-            answer: undefined,
+            resolveGrant: undefined,
         };
         if (request.signal.aborted) {
             return { kind: "refused", code: resultCodes.overloaded };
         }
-        if (queue.size() === 0 && runningPlaces.size < deps.limit() && mayRun(place)) {
-            queue.charge(place);
-            return { kind: "granted", slot: start(place) };
+        if (queue.size() === 0 && runningEntries.size < deps.limit() && mayRun(entry)) {
+            queue.charge(entry);
+            return { kind: "granted", slot: start(entry) };
         }
-        return wait(place);
+        return wait(entry);
     }
 
     return {
         acquire,
-        running: () => runningPlaces.size,
+        running: () => runningEntries.size,
         runningOf,
         waiting: () => queue.size(),
         waitingOf: team => queue.waitingOf(team),
-        hold: policy => void held.add(policy),
-        resume: policy => {
-            held.delete(policy);
-            pump();
+        pausePolicy: policy => void pausedPolicies.add(policy),
+        resumePolicy: policy => {
+            pausedPolicies.delete(policy);
+            startWaiting();
         },
-        wake: pump,
-        refuseWaiting: (matches, code) => queue.items().filter(matches).forEach(place => refuse(place, code)),
-        onDrained: (policy, run) => drains.add(() => runningOf(policy) === 0, run),
-        onIdle: run => drains.add(() => runningPlaces.size === 0, run),
-        preemptAll: () => [...runningPlaces].forEach(place => place.preempt?.()),
+        startWaiting,
+        refuseWaiting: (matches, code) => queue.items().filter(matches).forEach(entry => refuse(entry, code)),
+        onDrained: (policy, run) => drainWatch.add(() => runningOf(policy) === 0, run),
+        onIdle: run => drainWatch.add(() => runningEntries.size === 0, run),
+        preemptAll: () => [...runningEntries].forEach(entry => entry.preempt?.()),
     };
 }
--- a/packages/gate/src/createStamper.ts
+++ b/packages/gate/src/createStamper.ts
@@ -2,8 +2,8 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
-import type { GateGuards } from "./GateGuards.js";
 import type { ServedWeights } from "./ServedWeights.js";
+import type { SidecarGuards } from "./SidecarGuards.js";
 
 /**
  * Makes a function that turns an engine's chunks into spans naming the version that made them, or undefined where
@@ -12,31 +12,31 @@
  */
 export function createStamper(
     weights: ServedWeights,
-    guards: GateGuards,
+    guards: SidecarGuards,
     policy: PolicyId,
     parse: (fingerprint: string) => { policy: PolicyId; version: WeightVersion; } | undefined,
 ): (chunk: EngineChunk) => TokenSpan | undefined {
     const versionAtStart = weights.versionOf(policy);
 
     function versionOf(chunk: EngineChunk): WeightVersion | undefined {
-        weights.noteChunk(chunk.fingerprint !== undefined);
+        weights.recordChunk(chunk.fingerprint !== undefined);
         if (chunk.fingerprint === undefined) {
             return versionAtStart;
         }
-        const told = parse(chunk.fingerprint);
-        const expected = told !== undefined && told.policy === policy
-            && weights.isExpected(policy, told.version);
+        const reported = parse(chunk.fingerprint);
+        const expected = reported !== undefined && reported.policy === policy
+            && weights.isExpected(policy, reported.version);
         if (expected) {
-            return told.version;
+            return reported.version;
         }
         if (guards.provenance(false)) {
             return weights.versionOf(policy) ?? versionAtStart;
         }
         if (weights.state() !== "unknownVersion") {
-            weights.doubt(`fingerprint ${chunk.fingerprint}`);
+            weights.markUnknown(`fingerprint ${chunk.fingerprint}`);
             void weights.describe();
         }
-        return told?.policy === policy ? told.version : undefined;
+        return reported?.policy === policy ? reported.version : undefined;
     }
 
     return chunk => {
--- a/packages/gate/src/createSuspects.ts
+++ b/packages/gate/src/createSuspects.ts
@@ -14,7 +14,7 @@
 }
 
 /** Long enough for every entry to hear of it in reports; then the quarantine list remembers. */
-const suspicionMemoryMs = 3_600_000;
+const suspicionRetentionMs = 3_600_000;
 const maxSuspects = 1_000;
 
 /**
@@ -25,7 +25,7 @@
     const inFlight = new Map<ContentDigest, number>();
     const suspicions = new Map<ContentDigest, Suspicion>();
 
-    function leave(digest: ContentDigest): void {
+    function removeInFlight(digest: ContentDigest): void {
         const count = (inFlight.get(digest) ?? 1) - 1;
         if (count <= 0) {
             inFlight.delete(digest);
@@ -37,13 +37,13 @@
 
     function dropExpired(): void {
         for (const [digest, suspicion] of suspicions) {
-            if (suspicion.lastMs + suspicionMemoryMs < deps.nowMs() || suspicions.size > maxSuspects) {
+            if (suspicion.lastMs + suspicionRetentionMs < deps.nowMs() || suspicions.size > maxSuspects) {
                 suspicions.delete(digest);
             }
         }
     }
 
-    function suspect(digest: ContentDigest, bootId: string, contents?: number): void {
+    function recordSuspicion(digest: ContentDigest, bootId: string, contents?: number): void {
         const suspicion = suspicions.get(digest) ?? { deaths: new Map(), lastMs: 0 };
         // One death is noted by each attempt that it broke off, and fewer are left in flight each time.
         suspicion.deaths.set(bootId, suspicion.deaths.get(bootId) ?? contents);
@@ -53,29 +53,29 @@
     }
 
     return {
-        enter: digest => {
+        addInFlight: digest => {
             inFlight.set(digest, (inFlight.get(digest) ?? 0) + 1);
-            let left = false;
+            let isRemoved = false;
             return () => {
-                if (!left) {
-                    left = true;
-                    leave(digest);
+                if (!isRemoved) {
+                    isRemoved = true;
+                    removeInFlight(digest);
                 }
             };
         },
-        noteDeath: bootId => {
+        recordCrash: bootId => {
             for (const digest of inFlight.keys()) {
-                suspect(digest, bootId, inFlight.size);
+                recordSuspicion(digest, bootId, inFlight.size);
             }
             dropExpired();
         },
-        accuse: (digest, bootId) => {
-            suspect(digest, bootId);
+        addSuspect: (digest, bootId) => {
+            recordSuspicion(digest, bootId);
             dropExpired();
         },
         clear: digest => void suspicions.delete(digest),
         isSuspect: digest => suspicions.has(digest),
-        besides: digest => [...inFlight.keys()].filter(other => other !== digest),
+        othersInFlight: digest => [...inFlight.keys()].filter(other => other !== digest),
         list: () => {
             dropExpired();
             return [...suspicions].map(([digest, suspicion]) => ({
--- a/packages/gate/src/createTokenCheck.ts
+++ b/packages/gate/src/createTokenCheck.ts
@@ -5,8 +5,8 @@
  * directly from then on, which saves a hash for each request.
  */
 export function createTokenCheck(digest: string): (token: string | string[] | undefined) => boolean {
-    const wanted = Buffer.from(digest, "hex");
-    let passed: Buffer | undefined;
+    const expectedDigest = Buffer.from(digest, "hex");
+    let lastValidToken: Buffer | undefined;
 
     const equal = (a: Buffer, b: Buffer): boolean => a.length === b.length && timingSafeEqual(a, b);
 
@@ -15,12 +15,12 @@
             return false;
         }
         const given = Buffer.from(token);
-        if (passed !== undefined && equal(given, passed)) {
+        if (lastValidToken !== undefined && equal(given, lastValidToken)) {
             return true;
         }
-        const passes = equal(createHash("sha256").update(given).digest(), wanted);
+        const passes = equal(createHash("sha256").update(given).digest(), expectedDigest);
         if (passes) {
-            passed = given;
+            lastValidToken = given;
         }
         return passes;
     };
--- a/packages/gate/src/createTrialHold.test.ts
+++ b/packages/gate/src/createTrialReservation.test.ts
@@ -1,13 +1,13 @@
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
 import { expect, test } from "vitest";
-import { createTestGate } from "./testing/createTestGate.js";
+import { createSidecarFixture } from "./testing/createSidecarFixture.js";
 
 const never = new AbortController().signal;
 const both = ["vm-a", "vm-b"];
 
-async function createReadyGate(tokensPerSecond: number) {
-    const setup = createTestGate({ engine: { tokensPerSecond } });
-    const { clock, gate, attempt } = setup;
+async function createReadySidecar(tokensPerSecond: number) {
+    const setup = createSidecarFixture({ engine: { tokensPerSecond } });
+    const { clock, sidecar, attempt } = setup;
     await clock.advance(1_500);
     const deaths = both.map(vm => ({ vm, bootId: `boot-${vm}`, atMs: clock.wallMs() }));
     const record = {
@@ -16,10 +16,10 @@
         expiresAtMs: clock.wallMs() + 3_600_000,
         liftedAtMs: undefined,
     };
-    gate.offerQuarantine(1, [record] as unknown as Parameters<typeof gate.offerQuarantine>[1]);
+    sidecar.offerQuarantine(1, [record] as unknown as Parameters<typeof sidecar.offerQuarantine>[1]);
     const ends: Record<string, string> = {};
     const run = (id: string, change: Partial<Record<keyof SampleAttempt, unknown>> = {}): void => {
-        void gate.runSample(attempt(id, change), () => undefined, never).then(outcome => {
+        void sidecar.runSample(attempt(id, change), () => undefined, never).then(outcome => {
             ends[id] = outcome.kind === "ran" ? `ran ${outcome.answer.complete}` : outcome.code.name;
         });
     };
@@ -29,7 +29,7 @@
 
 test("a trial waits for what runs, and nothing else starts until it has ended", async () => {
     // Guards against: a killing content takes the work of others with it, and its death again names them all.
-    const { clock, control, gate, run, trial, ends } = await createReadyGate(64);
+    const { clock, control, sidecar: gate, run, trial, ends } = await createReadySidecar(64);
     run("before");
     await clock.advance(50);
     trial("trial");
@@ -51,7 +51,7 @@
 });
 
 test("long work is cancelled for a trial after a while, and a second trial goes elsewhere", async () => {
-    const { clock, control, run, trial, ends } = await createReadyGate(2);
+    const { clock, control, run, trial, ends } = await createReadySidecar(2);
     run("long");
     await clock.advance(50);
     trial("first");
@@ -65,7 +65,7 @@
 
 test("a trial with little time gives the sampler up while half of it is left", async () => {
     // Guards against: a sampler stands idle for a caller that has gone, and an innocent content waits an hour.
-    const { clock, gate, attempt, run, ends } = await createReadyGate(2);
+    const { clock, sidecar: gate, attempt, run, ends } = await createReadySidecar(2);
     const body = JSON.stringify({ model: "plume", prompt: "long", max_tokens: 64 });
     const request = { service: "model", team: "team", method: "POST", path: "/v1/completions", headers: {} };
     const uncancellable = { ...request, attempt: "quote", digest: "q", idempotent: true, budgetMs: 60_000 };
--- a/packages/gate/src/createTrialHold.ts
+++ b/packages/gate/src/createTrialReservation.ts
@@ -1,63 +1,65 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { GateGuards } from "./GateGuards.js";
+import type { SidecarGuards } from "./SidecarGuards.js";
 import type { Slots } from "./Slots.js";
-import type { TrialHold } from "./TrialHold.js";
+import type { TrialReservation } from "./TrialReservation.js";
 
-interface TrialHoldDeps {
+interface TrialReservationDeps {
     clock: Clock;
     logger: Logger;
-    guards: Pick<GateGuards, "trialAlone">;
+    guards: Pick<SidecarGuards, "trialAlone">;
     slots: Slots;
 }
 
 /** What runs may end by itself for this long; then rollouts are cancelled, which resume elsewhere with what they made. */
 const preemptAfterMs = 5_000;
-const preemptAfterPart = 0.25;
+const preemptAfterBudgetShare = 0.25;
 /** Work that may not be cancelled keeps its sampler; the trial is given back and tried at another. */
-const giveUpAfterMs = 30_000;
-const giveUpAfterPart = 0.5;
+const abandonAfterMs = 30_000;
+const abandonAfterBudgetShare = 0.5;
 
 /**
  * Makes the hold of one sampler. A trial that ran beside other work would tell as little as the deaths before it, and
  * a killer would take that work with it.
  */
-export function createTrialHold({ clock, logger, guards, slots }: TrialHoldDeps): TrialHold {
-    let isHeld = false;
+export function createTrialReservation(
+    { clock, logger, guards, slots }: TrialReservationDeps,
+): TrialReservation {
+    let isReserved = false;
 
-    function end(): void {
-        isHeld = false;
-        slots.wake();
+    function release(): void {
+        isReserved = false;
+        slots.startWaiting();
     }
 
     function waitUntilIdle(budgetMs: number, signal: AbortSignal): Promise<boolean> {
-        const preemptMs = Math.min(preemptAfterMs, preemptAfterPart * budgetMs);
-        const giveUpMs = Math.min(giveUpAfterMs, giveUpAfterPart * budgetMs);
+        const preemptMs = Math.min(preemptAfterMs, preemptAfterBudgetShare * budgetMs);
+        const abandonMs = Math.min(abandonAfterMs, abandonAfterBudgetShare * budgetMs);
         return new Promise(resolve => {
-            let withdraw = (): void => {};
+            let unsubscribe = (): void => {};
             const finish = (isIdle: boolean): void => {
-                cancelPreempt();
-                cancelGiveUp();
-                withdraw();
-                signal.removeEventListener("abort", giveUp);
+                cancelPreemptTimer();
+                cancelAbandonTimer();
+                unsubscribe();
+                signal.removeEventListener("abort", abandon);
                 resolve(isIdle);
             };
-            const giveUp = (): void => finish(false);
-            const cancelPreempt = clock.startTimer(preemptMs, slots.preemptAll);
-            const cancelGiveUp = clock.startTimer(giveUpMs, giveUp);
-            signal.addEventListener("abort", giveUp, { once: true });
-            withdraw = slots.onIdle(() => finish(true));
+            const abandon = (): void => finish(false);
+            const cancelPreemptTimer = clock.startTimer(preemptMs, slots.preemptAll);
+            const cancelAbandonTimer = clock.startTimer(abandonMs, abandon);
+            signal.addEventListener("abort", abandon, { once: true });
+            unsubscribe = slots.onIdle(() => finish(true));
         });
     }
 
     return {
-        isHeld: () => isHeld,
-        begin: async (budgetMs, signal) => {
-            if (isHeld || signal.aborted) {
+        isReserved: () => isReserved,
+        reserve: async (budgetMs, signal) => {
+            if (isReserved || signal.aborted) {
                 return undefined;
             }
-            isHeld = true;
+            isReserved = true;
             slots.refuseWaiting(() => true, resultCodes.overloaded);
             const startedAtMs = clock.monotonicMs();
             const isIdle = guards.trialAlone(slots.running() === 0);
@@ -65,10 +67,10 @@
             const waitedMs = Math.round(clock.monotonicMs() - startedAtMs);
             logger.info("trialHold", { isReady, waitedMs, running: slots.running() });
             if (!isReady) {
-                end();
+                release();
                 return undefined;
             }
-            return end;
+            return release;
         },
     };
 }
--- a/packages/gate/src/createWorkAbort.ts
+++ b/packages/gate/src/createWorkAbort.ts
@@ -4,7 +4,7 @@
 interface WorkAbortDeps {
     clock: Clock;
     /** The caller's signal. */
-    caller: AbortSignal;
+    callerSignal: AbortSignal;
     /** All work in flight at the gate, ended together by a kill or at a shutdown's deadline. */
     inFlight: Set<WorkAbort>;
 }
@@ -25,14 +25,14 @@
         },
         dispose: () => {
             cancelTimer();
-            deps.caller.removeEventListener("abort", abort);
+            deps.callerSignal.removeEventListener("abort", abort);
             deps.inFlight.delete(work);
         },
     };
-    if (deps.caller.aborted) {
+    if (deps.callerSignal.aborted) {
         abort();
     }
-    deps.caller.addEventListener("abort", abort, { once: true });
+    deps.callerSignal.addEventListener("abort", abort, { once: true });
     deps.inFlight.add(work);
     return work;
 }
--- a/packages/gate/src/defaultGateGuards.ts
+++ b/packages/gate/src/defaultSidecarGuards.ts
@@ -1,22 +1,22 @@
-import type { GateGuards } from "./GateGuards.js";
+import type { SidecarGuards } from "./SidecarGuards.js";
 
 /** Deaths on this many different VMs put a content under quarantine. */
-const quarantineVms = 2;
+const quarantineVmThreshold = 2;
 
 /** The guards in force outside the fault bench. */
-export const defaultGateGuards: GateGuards = {
+export const defaultSidecarGuards: SidecarGuards = {
     tombstone: standing => standing !== "tombstone" && standing !== "refused",
     duplicate: standing => standing !== "running" && standing !== "finished",
     informed: isInformed => isInformed,
     leaving: isLeaving => !isLeaving,
     shuttingDown: isShuttingDown => !isShuttingDown,
-    quarantine: deadVms => deadVms < quarantineVms,
+    quarantine: crashedVms => crashedVms < quarantineVmThreshold,
     suspectsApart: isSuspectBeside => !isSuspectBeside,
     trialAlone: isAlone => isAlone,
     fencing: (highest, given) => highest === undefined || given >= highest,
     fencingLearned: isLearned => isLearned,
     versionKnown: isKnown => isKnown,
-    minVersion: (served, least) => served >= least,
+    minVersion: (served, required) => served >= required,
     deadline: leftMs => leftMs > 0,
     queueBound: (waiting, bound) => waiting < bound,
     provenance: isExpected => isExpected,
--- a/packages/gate/src/describeFault.ts
+++ b/packages/gate/src/describeRequestError.ts
@@ -2,7 +2,7 @@
 import { z } from "zod";
 
 /** What is wrong with a message, without repeating its content. */
-export function describeFault(error: unknown): string {
+export function describeRequestError(error: unknown): string {
     if (error instanceof z.ZodError) {
         const issue = error.issues[0]!;
         return `${issue.path.join(".") || "message"}: ${issue.message}`;
--- a/packages/gate/src/drainPolicy.ts
+++ b/packages/gate/src/drainPolicy.ts
@@ -1,5 +1,5 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
-import type { GateContext } from "./GateContext.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 /** Running unstamped samples get this long to finish before a swap cancels them; what they made is kept. */
 const drainTimeoutMs = 20_000;
@@ -8,7 +8,7 @@
  * Resolves once nothing of the policy runs; the caller holds back new work. An engine that does not stamp its
  * chunks would otherwise swap in the middle of a sample, and nobody could say later which tokens came before.
  */
-export async function drainPolicy(context: GateContext, policy: PolicyId): Promise<void> {
+export async function drainPolicy(context: SidecarContext, policy: PolicyId): Promise<void> {
     if (context.guards.swapDrained(context.slots.runningOf(policy))) {
         return;
     }
@@ -24,7 +24,7 @@
     });
 }
 
-function cancelRunning(context: GateContext, policy: PolicyId): void {
+function cancelRunning(context: SidecarContext, policy: PolicyId): void {
     context.deps.logger.warn("swapDrainTimeout", { policy, running: context.slots.runningOf(policy) });
     for (const generation of context.generations) {
         if (generation.policy === policy) {
--- a/packages/gate/src/expectedEngineMs.ts
+++ b/packages/gate/src/expectedEngineMs.ts
@@ -1,17 +1,17 @@
 import { countTokens } from "@auburnarch/collect/countTokens";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
-import type { GateContext } from "./GateContext.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 /** Most requests end long before their token limit; the true cost replaces this guess afterwards. */
-const mostExpectedTokens = 512;
+const maxExpectedTokens = 512;
 
 /** Engine time that a generation is charged in advance: its tokens at the engine's speed, shared by the batch. */
 export function expectedEngineMs(
-    context: GateContext,
+    context: SidecarContext,
     work: { maxTokens: number; resume: TokenSpan[]; },
 ): number {
-    const left = Math.max(1, work.maxTokens - countTokens(work.resume));
+    const tokensLeft = Math.max(1, work.maxTokens - countTokens(work.resume));
     const tokensPerSecond = Math.max(1, context.weights?.description()?.tokensPerSecond ?? 1);
-    const beside = Math.max(1, context.slots.running());
-    return Math.min(left, mostExpectedTokens) * 1_000 / tokensPerSecond / beside;
+    const batchSize = Math.max(1, context.slots.running());
+    return Math.min(tokensLeft, maxExpectedTokens) * 1_000 / tokensPerSecond / batchSize;
 }
--- a/packages/gate/src/refuseCommon.ts
+++ b/packages/gate/src/findCommonRefusal.ts
@@ -2,12 +2,12 @@
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
-import type { GateContext } from "./GateContext.js";
-import { refuseSuspect } from "./refuseSuspect.js";
+import { findQuarantineRefusal } from "./findQuarantineRefusal.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 /** The checks that every kind of work passes first, in order; undefined lets it pass. Changes nothing. */
-export function refuseCommon(
-    context: GateContext,
+export function findCommonRefusal(
+    context: SidecarContext,
     work: { attempt: AttemptId; digest: ContentDigest; isTrial?: boolean; },
 ): ResultCode | undefined {
     const { guards, flags } = context;
@@ -28,5 +28,5 @@
     if (!guards.informed(context.isInformed())) {
         return resultCodes.notReady;
     }
-    return refuseSuspect(context, work);
+    return findQuarantineRefusal(context, work);
 }
--- a/packages/gate/src/refuseSuspect.test.ts
+++ b/packages/gate/src/findQuarantineRefusal.test.ts
@@ -3,7 +3,7 @@
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
 import type { VmId } from "@auburnarch/types/VmId";
 import { expect, test } from "vitest";
-import { createTestGate } from "./testing/createTestGate.js";
+import { createSidecarFixture } from "./testing/createSidecarFixture.js";
 
 const record = (digest: string, vms: string[]): QuarantineRecord => ({
     digest: digest as ContentDigest,
@@ -12,12 +12,12 @@
     liftedAtMs: undefined,
 });
 
-async function createReadyGate() {
-    const setup = createTestGate({});
+async function createReadySidecar() {
+    const setup = createSidecarFixture({});
     await setup.clock.advance(1_500);
     async function code(attempt: SampleAttempt): Promise<string> {
         let ended = "running";
-        void setup.gate.runSample(attempt, () => undefined, new AbortController().signal).then(outcome => {
+        void setup.sidecar.runSample(attempt, () => undefined, new AbortController().signal).then(outcome => {
             ended = outcome.kind === "ran" ? "ran" : outcome.code.name;
         });
         await setup.clock.advance(1);
@@ -28,8 +28,8 @@
 
 test("two contents that a death counts against do not run here at once", async () => {
     // Guards against: a whole group is refused everywhere for a day and its step never becomes whole.
-    const { gate, clock, attempt, code } = await createReadyGate();
-    gate.offerQuarantine(1, [record("digest-group", ["vm-a"]), record("digest-killer", ["vm-a"])]);
+    const { sidecar, clock, attempt, code } = await createReadySidecar();
+    sidecar.offerQuarantine(1, [record("digest-group", ["vm-a"]), record("digest-killer", ["vm-a"])]);
     expect(await code(attempt("group"))).toBe("running");
     expect(await code(attempt("killer"))).toBe("overloaded");
     expect(await code(attempt("other"))).toBe("running");
@@ -38,7 +38,7 @@
 });
 
 test("of two contents that died together twice neither is refused, until a third death names one", async () => {
-    const { gate, clock, attempt, code } = await createReadyGate();
+    const { sidecar: gate, clock, attempt, code } = await createReadySidecar();
     const both = ["vm-a", "vm-b"];
     gate.offerQuarantine(1, [record("digest-group", both), record("digest-killer", both)]);
     expect(await code(attempt("group"))).toBe("running");
@@ -50,7 +50,7 @@
 });
 
 test("a content with two deaths of its own is refused", async () => {
-    const { gate, attempt, code } = await createReadyGate();
+    const { sidecar: gate, attempt, code } = await createReadySidecar();
     gate.offerQuarantine(1, [record("digest-killer", ["vm-a", "vm-b"]), record("digest-group", ["vm-b"])]);
     expect(await code(attempt("killer"))).toBe("quarantined");
     expect(await code(attempt("group"))).toBe("running");
@@ -58,7 +58,7 @@
 
 test("two contents that killed the same VMs at different times do not excuse each other", async () => {
     // Guards against: a convicted content is released and kills three more engines.
-    const { gate, attempt, code } = await createReadyGate();
+    const { sidecar: gate, attempt, code } = await createReadySidecar();
     const second = record("digest-second", ["vm-a", "vm-b"]);
     second.deaths.forEach(death => {
         death.bootId += "-later";
--- a/packages/gate/src/refuseSuspect.ts
+++ b/packages/gate/src/findQuarantineRefusal.ts
@@ -1,7 +1,7 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
-import type { GateContext } from "./GateContext.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 interface SuspectWork {
     digest: ContentDigest;
@@ -14,20 +14,20 @@
  * refused everywhere with the one that killed it. A trial passes, since its sender has it counted, and while one waits
  * or runs here nothing else does.
  */
-export function refuseSuspect(context: GateContext, work: SuspectWork): ResultCode | undefined {
-    const { guards, quarantine, suspects, trials } = context;
+export function findQuarantineRefusal(context: SidecarContext, work: SuspectWork): ResultCode | undefined {
+    const { guards, quarantine, suspects, trialReservation: trials } = context;
     const { digest, isTrial } = work;
     if (isTrial === true) {
         return undefined;
     }
-    if (!guards.trialAlone(!trials.isHeld())) {
+    if (!guards.trialAlone(!trials.isReserved())) {
         return resultCodes.overloaded;
     }
-    if (!guards.quarantine(quarantine.deadVms(digest))) {
+    if (!guards.quarantine(quarantine.crashedVmCount(digest))) {
         return resultCodes.quarantined;
     }
     const isSuspect = (each: ContentDigest): boolean =>
-        quarantine.deadVms(each) > 0 || suspects.isSuspect(each);
-    const isSuspectBeside = isSuspect(digest) && suspects.besides(digest).some(isSuspect);
+        quarantine.crashedVmCount(each) > 0 || suspects.isSuspect(each);
+    const isSuspectBeside = isSuspect(digest) && suspects.othersInFlight(digest).some(isSuspect);
     return guards.suspectsApart(isSuspectBeside) ? undefined : resultCodes.overloaded;
 }
--- a/packages/gate/src/refuseQueue.ts
+++ b/packages/gate/src/findQueueRefusal.ts
@@ -1,11 +1,11 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 import type { TeamId } from "@auburnarch/types/TeamId";
-import type { GateContext } from "./GateContext.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 /** The last checks before work is queued: deadline, then the bound of the team's queue. */
-export function refuseQueue(
-    context: GateContext,
+export function findQueueRefusal(
+    context: SidecarContext,
     work: { team: TeamId; budgetMs: number; },
 ): ResultCode | undefined {
     const { guards, slots } = context;
--- a/packages/gate/src/refuseSample.ts
+++ b/packages/gate/src/findSampleRefusal.ts
@@ -1,10 +1,10 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
-import type { GateContext } from "./GateContext.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 /** The checks of a sample that may change while it waits: fencing, served policy, least version. */
-export function refuseSample(context: GateContext, attempt: SampleAttempt): ResultCode | undefined {
+export function findSampleRefusal(context: SidecarContext, attempt: SampleAttempt): ResultCode | undefined {
     const { guards, weights } = context;
     if (!guards.fencing(context.fencing.highest(attempt.job), attempt.fencing)) {
         return resultCodes.fenced;
--- a/packages/gate/src/parseCompletion.ts
+++ b/packages/gate/src/parseCompletion.ts
@@ -45,13 +45,13 @@
     const parsed = textSchema.safeParse(json);
     return parsed.success
         ? { ...shared(parsed.data), kind: "text", prompt: parsed.data.prompt }
-        : describeFault(parsed.error);
+        : describeIssue(parsed.error);
 }
 
 function fromChat(json: unknown): Completion | string {
     const parsed = chatSchema.safeParse(json);
     if (!parsed.success) {
-        return describeFault(parsed.error);
+        return describeIssue(parsed.error);
     }
     const prompt = parsed.data.messages.map(message => `${message.role}: ${message.content}\n`).join("");
     return { ...shared(parsed.data), kind: "chat", prompt };
@@ -71,7 +71,7 @@
     };
 }
 
-function describeFault(error: z.ZodError): string {
+function describeIssue(error: z.ZodError): string {
     const issue = error.issues[0]!;
     return `${issue.path.join(".") || "body"}: ${issue.message}`;
 }
--- a/packages/gate/src/holdForTrial.ts
+++ b/packages/gate/src/reserveForTrial.ts
@@ -1,21 +1,21 @@
-import type { GateContext } from "./GateContext.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
-interface Held {
+interface Reservation {
     /** What the wait has left of the budget. */
     budgetMs: number;
-    end(): void;
+    release(): void;
 }
 
 /** Holds the sampler for a trial that has `budgetMs`; undefined if it may not begin here now. */
-export async function holdForTrial(
-    context: GateContext,
+export async function reserveForTrial(
+    context: SidecarContext,
     budgetMs: number,
     signal: AbortSignal,
-): Promise<Held | undefined> {
+): Promise<Reservation | undefined> {
     const { clock } = context.deps;
     const receivedAtMs = clock.monotonicMs();
-    const end = await context.trials.begin(budgetMs, signal);
-    return end === undefined
+    const release = await context.trialReservation.reserve(budgetMs, signal);
+    return release === undefined
         ? undefined
-        : { budgetMs: budgetMs - (clock.monotonicMs() - receivedAtMs), end };
+        : { budgetMs: budgetMs - (clock.monotonicMs() - receivedAtMs), release };
 }
--- a/packages/gate/src/runAlone.ts
+++ b/packages/gate/src/runWithReservation.ts
@@ -1,7 +1,7 @@
-import type { GateContext } from "./GateContext.js";
-import { holdForTrial } from "./holdForTrial.js";
+import { reserveForTrial } from "./reserveForTrial.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
-interface AloneWork {
+interface ReservableWork {
     isTrial?: boolean;
     budgetMs: number;
 }
@@ -10,9 +10,9 @@
  * Runs work, and a trial only once nothing else runs here; `run` gets what is left of the budget. Undefined if a trial
  * did not find the sampler idle in time.
  */
-export async function runAlone<Result>(
-    context: GateContext,
-    work: AloneWork,
+export async function runWithReservation<Result>(
+    context: SidecarContext,
+    work: ReservableWork,
     signal: AbortSignal,
     run: (budgetMs: number) => Promise<Result>,
 ): Promise<Result | undefined> {
@@ -20,14 +20,14 @@
         // At once: what is sent together must find each other in the queue, or its bound would not hold.
         return await run(work.budgetMs);
     }
-    const held = await holdForTrial(context, work.budgetMs, signal);
-    if (held === undefined) {
+    const reservation = await reserveForTrial(context, work.budgetMs, signal);
+    if (reservation === undefined) {
         return undefined;
     }
     try {
-        return await run(held.budgetMs);
+        return await run(reservation.budgetMs);
     }
     finally {
-        held.end();
+        reservation.release();
     }
 }
--- a/packages/gate/src/tellEngine.ts
+++ b/packages/gate/src/sendEngineOrder.ts
@@ -11,7 +11,7 @@
 const orderTimeoutMs = 120_000;
 
 /** Gives the engine an order. No answer, a late one or a failure leaves unknown what the engine serves. */
-export async function tellEngine(
+export async function sendEngineOrder(
     deps: { clock: Clock; logger: Logger; },
     engine: EnginePort,
     order: EngineOrder,
--- a/packages/gate/src/serveGate.test.ts
+++ b/packages/gate/src/serveSidecar.test.ts
@@ -19,10 +19,10 @@
 import { createHash } from "node:crypto";
 import { connect, createServer, type Socket } from "node:net";
 import { afterEach, expect, test } from "vitest";
-import { createGate } from "./createGate.js";
-import type { Gate } from "./Gate.js";
-import { serveGate } from "./serveGate.js";
-import { createTestGate } from "./testing/createTestGate.js";
+import { createSidecar } from "./createSidecar.js";
+import { serveSidecar } from "./serveSidecar.js";
+import type { Sidecar } from "./Sidecar.js";
+import { createSidecarFixture } from "./testing/createSidecarFixture.js";
 
 const never = new AbortController().signal;
 const clock = createSystemClock();
@@ -35,16 +35,16 @@
 });
 
 interface Setup {
-    gate: Gate;
+    sidecar: Sidecar;
     port: number;
-    sidecar: HttpSidecar;
+    client: HttpSidecar;
     close: (graceful: boolean) => Promise<void>;
 }
 
 async function serve(engine: EnginePort | undefined, backend: PlainBackend | undefined): Promise<Setup> {
     const logger = createLogger(clock, () => {});
-    const identity = createTestGate().gate.report();
-    const gate = createGate({
+    const identity = createSidecarFixture().sidecar.report();
+    const sidecar = createSidecar({
         identity,
         clock,
         random: createRandom(3),
@@ -56,10 +56,16 @@
         weightStore: async () => {},
         readFencing: async () => 5 as FencingNumber,
     });
-    const served = await serveGate(gate, { port: 0, host: "127.0.0.1", clock, logger, maxBodyBytes: 65_536 });
-    const sidecar = createHttpSidecar({ address: `http://127.0.0.1:${served.port}`, clock });
-    cleanups.push(() => gate.kill(), () => served.close(false), () => sidecar.close());
-    return { gate, port: served.port, sidecar, close: served.close };
+    const served = await serveSidecar(sidecar, {
+        port: 0,
+        host: "127.0.0.1",
+        clock,
+        logger,
+        maxBodyBytes: 65_536,
+    });
+    const client = createHttpSidecar({ address: `http://127.0.0.1:${served.port}`, clock });
+    cleanups.push(() => sidecar.kill(), () => served.close(false), () => client.close());
+    return { sidecar, port: served.port, client, close: served.close };
 }
 
 function fastEngine(tokens = 64): ReturnType<typeof createFakeEngine> {
@@ -92,11 +98,11 @@
 test("a trial is one over HTTP too, and a caller cannot claim one", async () => {
     // Guards against: a refused content reaches samplers at its caller's will.
     const { backend } = createFakePlainService({ clock, latencyMs: 1 });
-    const { gate, sidecar } = await serve(undefined, backend);
+    const { sidecar: gate, client: sidecar } = await serve(undefined, backend);
     const vms = ["vm-1", "vm-2"];
     const deaths = vms.map(vm => ({ vm, bootId: "b", atMs: clock.wallMs() }));
     const record = { digest: "d", deaths, expiresAtMs: clock.wallMs() + 60_000 };
-    gate.offerQuarantine(1, [record] as unknown as Parameters<Gate["offerQuarantine"]>[1]);
+    gate.offerQuarantine(1, [record] as unknown as Parameters<Sidecar["offerQuarantine"]>[1]);
     const claimed = passHeaders({ "x-auburnarch-trial": "1" });
     const refused = await sidecar.callPlain(plainRequest({ headers: claimed }), never);
     expect(refused).toMatchObject({ kind: "notRun", code: { name: "quarantined" } });
@@ -104,8 +110,8 @@
 });
 
 test("a sample over HTTP is the same as in process: spans stream, outcome, usage and report follow", async () => {
-    const { gate, sidecar } = await serve(fastEngine().engine, undefined);
-    const { attempt, load } = createTestGate();
+    const { sidecar: gate, client: sidecar } = await serve(fastEngine().engine, undefined);
+    const { attempt, load } = createSidecarFixture();
     const streamed: TokenSpan[] = [];
     const outcome = await sidecar.runSample(attempt("a"), span => streamed.push(span), never);
     expect(outcome).toMatchObject({
@@ -126,23 +132,23 @@
 test("a cancelled sample answers over HTTP with what was made", async () => {
     // Longer than any test may take: a sample that can end by itself on a busy machine would race its cancel.
     const tokens = 1_000_000;
-    const { sidecar } = await serve(fastEngine(tokens).engine, undefined);
+    const { client: sidecar } = await serve(fastEngine(tokens).engine, undefined);
     const abort = new AbortController();
-    const attempt = createTestGate().attempt("a", { maxTokens: tokens });
+    const attempt = createSidecarFixture().attempt("a", { maxTokens: tokens });
     const outcome = await sidecar.runSample(attempt, () => abort.abort(), abort.signal);
     expect(outcome).toMatchObject({ kind: "ran", answer: { complete: false } });
 });
 
 test("plain bodies pass both ways, and completions stream with the versions that made them", async () => {
     const plain = await serve(undefined, createFakePlainService({ clock }).backend);
-    const outcome = await plain.sidecar.callPlain(plainRequest(), never);
+    const outcome = await plain.client.callPlain(plainRequest(), never);
     const body = outcome.kind === "ran" ? (await readWhole(outcome.answer.body, 1_000)).toString() : "";
     expect(JSON.parse(body)).toMatchObject({ method: "POST", path: "/tile?x=1" });
 
     const model = await serve(fastEngine().engine, undefined);
     const ask = async (json: unknown): Promise<string> => {
         const request = plainRequest({ path: "/v1/completions", body: Buffer.from(JSON.stringify(json)) });
-        const answered = await model.sidecar.callPlain(request, never);
+        const answered = await model.client.callPlain(request, never);
         return answered.kind === "ran"
             ? (await readWhole(answered.answer.body, 100_000)).toString()
             : answered.kind;
@@ -162,7 +168,7 @@
     "an answer of %i bytes cut half way is broken for the caller, never whole",
     async bytes => {
         const { backend, control } = createFakePlainService({ clock, answer: () => new Uint8Array(bytes) });
-        const { sidecar } = await serve(undefined, backend);
+        const { client: sidecar } = await serve(undefined, backend);
         const read = async (): Promise<string> => {
             const outcome = await sidecar.callPlain(plainRequest(), never);
             if (outcome.kind !== "ran") {
@@ -224,7 +230,7 @@
 test("a request lost on the way is not run and stays so; one that arrived is unknown", async () => {
     // Guards against: a grid-tile fetch goes out twice.
     const { backend, control } = createFakePlainService({ clock });
-    const { port, sidecar: direct } = await serve(undefined, backend);
+    const { port, client: direct } = await serve(undefined, backend);
     const middle = await relay(port);
     const sidecar = createHttpSidecar({ address: `http://127.0.0.1:${middle.port}`, clock });
     cleanups.push(() => sidecar.close());
@@ -254,7 +260,7 @@
     gone.close();
 
     const { backend, control } = createFakePlainService({ clock, latencyMs: 60_000 });
-    const { sidecar, gate, close } = await serve(undefined, backend);
+    const { client: sidecar, sidecar: gate, close } = await serve(undefined, backend);
     const calling = sidecar.callPlain(plainRequest(), never);
     while (control.runsByAttempt().size === 0) {
         await new Promise(resolve => setImmediate(resolve));
@@ -266,7 +272,7 @@
 
 test("a graceful close lets the answer under way be written to its end", async () => {
     const { backend, control } = createFakePlainService({ clock, latencyMs: 30 });
-    const { sidecar, close } = await serve(undefined, backend);
+    const { client: sidecar, close } = await serve(undefined, backend);
     const calling = sidecar.callPlain(plainRequest(), never);
     while (control.runsByAttempt().size === 0) {
         await new Promise(resolve => setImmediate(resolve));
@@ -290,10 +296,16 @@
 
 test("a process without the cluster's token reaches nothing behind the sidecar", async () => {
     const { backend, control } = createFakePlainService({ clock });
-    const { gate } = await serve(undefined, backend);
+    const { sidecar: gate } = await serve(undefined, backend);
     const clusterTokenDigest = createHash("sha256").update("secret").digest("hex");
     const logger = createLogger(clock, () => {});
-    const served = await serveGate(gate, { port: 0, host: "127.0.0.1", clock, logger, clusterTokenDigest });
+    const served = await serveSidecar(gate, {
+        port: 0,
+        host: "127.0.0.1",
+        clock,
+        logger,
+        clusterTokenDigest,
+    });
     const address = `http://127.0.0.1:${served.port}`;
     const sidecars = [undefined, "wrong", "secret"].map(clusterToken =>
         createHttpSidecar({ address, clock, clusterToken })
@@ -310,7 +322,7 @@
 
 test("hostile messages get numbered codes, run nothing and stop nothing", async () => {
     const { engine, control } = fastEngine();
-    const { port, sidecar } = await serve(engine, undefined);
+    const { port, client: sidecar } = await serve(engine, undefined);
     const rpc = fc.oneof(
         fc.json(),
         fc.string(),
--- a/packages/gate/src/serveGate.ts
+++ b/packages/gate/src/serveSidecar.ts
@@ -8,10 +8,10 @@
 import { createRpcHandler } from "./createRpcHandler.js";
 import { createSampleHandler } from "./createSampleHandler.js";
 import { createTokenCheck } from "./createTokenCheck.js";
-import type { Gate } from "./Gate.js";
-import type { ServedGate } from "./ServedGate.js";
-import type { ServeGateOptions } from "./ServeGateOptions.js";
-import { writeFault } from "./writeFault.js";
+import type { ServedSidecar } from "./ServedSidecar.js";
+import type { ServeSidecarOptions } from "./ServeSidecarOptions.js";
+import type { Sidecar } from "./Sidecar.js";
+import { writeErrorAnswer } from "./writeErrorAnswer.js";
 
 type Handler = (request: IncomingMessage, response: ServerResponse) => void;
 
@@ -21,7 +21,7 @@
 const defaultHeadersTimeoutMs = 10_000;
 const keepAliveTimeoutMs = 75_000;
 const timeoutCheckMs = 1_000;
-const closeSweepMs = 25;
+const idleCloseIntervalMs = 25;
 const maxHeaderBytes = 16_384;
 
 /**
@@ -29,17 +29,17 @@
  * probes and metrics. Bodies,
  * headers, connections and the time a request may take to arrive are bounded.
  */
-export async function serveGate(gate: Gate, options: ServeGateOptions): Promise<ServedGate> {
+export async function serveSidecar(sidecar: Sidecar, options: ServeSidecarOptions): Promise<ServedSidecar> {
     const maxBodyBytes = options.maxBodyBytes ?? defaultMaxBodyBytes;
-    const incarnation = gate.report().incarnation;
+    const incarnation = sidecar.report().incarnation;
     const { clock, logger } = options;
     const tokenChecks = [options.clusterTokenDigest, options.previousClusterTokenDigest]
         .filter(digest => digest !== undefined)
         .map(createTokenCheck);
-    const samples = createSampleHandler({ gate, clock, incarnation, maxBodyBytes });
-    const plain = createPlainHandler({ gate, clock, incarnation, maxBodyBytes });
-    const probes = createProbeHandler(gate, options.renderMetrics ?? (async () => ""));
-    const rpc = createRpcHandler({ gate, incarnation, cancelSample: samples.cancel });
+    const samples = createSampleHandler({ sidecar, clock, incarnation, maxBodyBytes });
+    const plain = createPlainHandler({ sidecar, clock, incarnation, maxBodyBytes });
+    const probes = createProbeHandler(sidecar, options.renderMetrics ?? (async () => ""));
+    const rpc = createRpcHandler({ sidecar, incarnation, cancelSample: samples.cancel });
 
     function handlerOf(request: IncomingMessage): Handler | undefined {
         const url = request.url ?? "";
@@ -65,17 +65,17 @@
             return;
         }
         if (options.isPeer?.(request) === false) {
-            writeFault(response, incarnation, resultCodes.unauthenticated, "certificate");
+            writeErrorAnswer(response, incarnation, resultCodes.unauthenticated, "certificate");
             return;
         }
         const token = request.headers[sidecarHeaders.clusterToken];
         if (tokenChecks.length > 0 && !tokenChecks.some(check => check(token))) {
-            writeFault(response, incarnation, resultCodes.unauthenticated, "cluster token");
+            writeErrorAnswer(response, incarnation, resultCodes.unauthenticated, "cluster token");
             return;
         }
         const handler = handlerOf(request);
         if (handler === undefined) {
-            writeFault(response, incarnation, resultCodes.notFound, `${request.method} ${request.url}`);
+            writeErrorAnswer(response, incarnation, resultCodes.notFound, `${request.method} ${request.url}`);
             return;
         }
         handler(request, response);
@@ -86,11 +86,11 @@
     const { port } = server.address() as AddressInfo;
     logger.info("gateServed", { host: options.host, port });
 
-    function sweepIdle(): () => void {
+    function closeIdleConnections(): () => void {
         server.closeIdleConnections();
-        let cancel = clock.startTimer(closeSweepMs, function sweep() {
+        let cancel = clock.startTimer(idleCloseIntervalMs, function closeIdle() {
             server.closeIdleConnections();
-            cancel = clock.startTimer(closeSweepMs, sweep);
+            cancel = clock.startTimer(idleCloseIntervalMs, closeIdle);
         });
         return () => cancel();
     }
@@ -104,9 +104,9 @@
                 server.closeAllConnections();
             }
             // A connection kept alive after its last answer would hold the server open for its whole idle time.
-            const stopSweeping = sweepIdle();
+            const stopClosingIdle = closeIdleConnections();
             await closed;
-            stopSweeping();
+            stopClosingIdle();
         },
     };
 }
--- a/packages/gate/src/shutdownGate.ts
+++ b/packages/gate/src/shutdownSidecar.ts
@@ -1,12 +1,12 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import type { GateContext } from "./GateContext.js";
+import type { SidecarContext } from "./SidecarContext.js";
 
 const idlePollMs = 20;
 /** After the deadline the engine gets this long to confirm the cancelling. */
 const cancelGraceMs = 2_000;
 
 /** Lets everything in flight finish for up to `deadlineMs`, then cancels the rest; resolves when nothing is left. */
-export async function shutdownGate(context: GateContext, deadlineMs: number): Promise<void> {
+export async function shutdownSidecar(context: SidecarContext, deadlineMs: number): Promise<void> {
     const { flags, slots, inFlight } = context;
     const { clock, invariants, logger } = context.deps;
 
@@ -18,7 +18,7 @@
 
     flags.shuttingDown = true;
     // Waiting rollouts have not run; another sampler starts them sooner than this one would.
-    slots.refuseWaiting(place => place.preempt !== undefined, resultCodes.shuttingDown);
+    slots.refuseWaiting(entry => entry.preempt !== undefined, resultCodes.shuttingDown);
     const startedAtMs = clock.monotonicMs();
     await waitIdle(startedAtMs + deadlineMs);
     const cancelled = inFlight.size;
--- a/packages/gate/src/testing/createTestGate.ts
+++ b/packages/gate/src/testing/createSidecarFixture.ts
@@ -24,24 +24,24 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { VmId } from "@auburnarch/types/VmId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
-import { createGate } from "../createGate.js";
-import type { Gate } from "../Gate.js";
-import type { GateDeps } from "../GateDeps.js";
-import type { GateGuards } from "../GateGuards.js";
+import { createSidecar } from "../createSidecar.js";
+import type { Sidecar } from "../Sidecar.js";
+import type { SidecarDependencies } from "../SidecarDependencies.js";
+import type { SidecarGuards } from "../SidecarGuards.js";
 
-interface TestGateOptions {
+interface SidecarFixtureOptions {
     engine?: Partial<FakeEngineOptions>;
     backend?: PlainBackend;
-    guards?: GateGuards;
+    guards?: SidecarGuards;
     /** Number of the job's lease in the object API; a rejection stands for an outage. */
     readFencing?: () => Promise<number>;
     clock?: FakeClock;
     sampler?: string;
-    learnWithinMs?: number;
+    initialConfigWaitMs?: number;
 }
 
-interface TestGate {
-    gate: Gate;
+interface SidecarFixture {
+    sidecar: Sidecar;
     clock: FakeClock;
     control: ReturnType<typeof createFakeEngine>["control"];
     lines: string[];
@@ -66,7 +66,7 @@
     };
 }
 
-const makeAttempt: TestGate["attempt"] = (id, overrides) => ({
+const makeAttempt: SidecarFixture["attempt"] = (id, overrides) => ({
     attempt: id as AttemptId,
     sample: `job/0/0/${id}` as SampleId,
     job,
@@ -84,7 +84,7 @@
     ...overrides as Partial<SampleAttempt>,
 });
 
-const makeLoad: TestGate["load"] = (version, fencing) => ({
+const makeLoad: SidecarFixture["load"] = (version, fencing) => ({
     scope: job,
     order: {
         kind: "load",
@@ -96,7 +96,7 @@
 });
 
 /** A gate before a fake engine that serves `plume@1`, under a fake clock; described once `clock` has advanced. */
-export function createTestGate(options: TestGateOptions = {}): TestGate {
+export function createSidecarFixture(options: SidecarFixtureOptions = {}): SidecarFixture {
     const clock = options.clock ?? createFakeClock();
     const lines: string[] = [];
     const logger = createLogger(clock, line => lines.push(line));
@@ -108,8 +108,8 @@
         lengthOf: () => 64,
         ...options.engine,
     });
-    const deps: GateDeps = {
-        learnWithinMs: options.learnWithinMs,
+    const deps: SidecarDependencies = {
+        initialConfigWaitMs: options.initialConfigWaitMs,
         identity: identityOf(options.sampler ?? "s1"),
         clock,
         random: createRandom(8),
@@ -121,6 +121,6 @@
         weightStore: async () => {},
         readFencing: async () => (await (options.readFencing ?? (async () => 5))()) as FencingNumber,
     };
-    const gate = createGate(deps, options.guards);
-    return { gate, clock, control, lines, invariants, attempt: makeAttempt, load: makeLoad };
+    const sidecar = createSidecar(deps, options.guards);
+    return { sidecar, clock, control, lines, invariants, attempt: makeAttempt, load: makeLoad };
 }
--- a/packages/gate/src/withTimeout.ts
+++ b/packages/gate/src/withTimeout.ts
@@ -3,12 +3,12 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
 /** Settles like `asked`, or rejects with code `engineUnreachable` after `timeoutMs`. */
-export function withTimeout<T>(clock: Clock, timeoutMs: number, asked: Promise<T>): Promise<T> {
+export function withTimeout<T>(clock: Clock, timeoutMs: number, promise: Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
         const cancel = clock.startTimer(
             timeoutMs,
             () => reject(new ResultError(resultCodes.engineUnreachable, `no answer in ${timeoutMs} ms`)),
         );
-        asked.then(resolve, reject).finally(cancel);
+        promise.then(resolve, reject).finally(cancel);
     });
 }
--- a/packages/gate/src/writeFault.ts
+++ b/packages/gate/src/writeErrorAnswer.ts
@@ -6,7 +6,7 @@
 const maxDetailChars = 300;
 
 /** Answers that nothing was run, because of a fault of the message itself. */
-export function writeFault(
+export function writeErrorAnswer(
     response: ServerResponse,
     incarnation: IncarnationId,
     code: ResultCode,
--- a/packages/gateway/src/ClientAnswer.ts
+++ b/packages/gateway/src/ClientAnswer.ts
@@ -1,11 +1,11 @@
-import type { LotPage } from "@auburnarch/lots/LotPage";
+import type { ResultsPage } from "@auburnarch/lots/ResultsPage";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
 /** What a client gets. */
 export type ClientAnswer =
     | { kind: "relayed"; status: number; headers: Record<string, string>; body: AsyncIterable<Uint8Array>; }
     | { kind: "lotAccepted"; }
-    | { kind: "lotPage"; page: LotPage; }
+    | { kind: "lotPage"; page: ResultsPage; }
     | { kind: "lotItem"; body: Uint8Array; }
     | { kind: "lotEnded"; }
     | { kind: "failed"; code: ResultCode; detail: string; retryAfterMs: number | undefined; };
--- a/packages/gateway/src/ClientCall.ts
+++ b/packages/gateway/src/ClientCall.ts
@@ -1,10 +1,10 @@
-import type { LotId } from "@auburnarch/lots/LotId";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { Credential } from "@auburnarch/routing/Credential";
 import type { ClientRequest } from "./ClientRequest.js";
 
 /** From whom a call about a batch job is, and under which host it came. */
-interface LotCall {
-    lot: LotId;
+interface BatchJobCall {
+    lot: BatchJobId;
     host: string;
     credential: Credential;
 }
@@ -12,6 +12,6 @@
 /** What a client asks for. */
 export type ClientCall =
     | { kind: "request"; request: ClientRequest; }
-    | ({ kind: "readLot"; after: number; waitMs: number; } & LotCall)
-    | ({ kind: "readItem"; item: string; } & LotCall)
-    | ({ kind: "endLot"; } & LotCall);
+    | ({ kind: "readLot"; after: number; waitMs: number; } & BatchJobCall)
+    | ({ kind: "readItem"; item: string; } & BatchJobCall)
+    | ({ kind: "endLot"; } & BatchJobCall);
--- a/packages/gateway/src/Gateway.ts
+++ b/packages/gateway/src/Gateway.ts
@@ -8,5 +8,5 @@
     /** True if new clients should be sent here. */
     isReady(): boolean;
     /** Not ready any more; what comes is still served. */
-    leave(): void;
+    markNotReady(): void;
 }
--- a/packages/gateway/src/createLotDesk.ts
+++ b/packages/gateway/src/createBatchJobHandler.ts
@@ -1,7 +1,7 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import type { LotId } from "@auburnarch/lots/LotId";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { ClientAnswer } from "./ClientAnswer.js";
@@ -9,7 +9,7 @@
 import type { GatewayDeps } from "./GatewayDeps.js";
 
 /** Answers what concerns batch jobs, for the caller's team. Every call may reject with a `ResultError`. */
-interface LotDesk {
+interface BatchJobHandler {
     accept(
         id: string,
         caller: TeamId | undefined,
@@ -17,18 +17,18 @@
         table: RoutingTable,
     ): Promise<ClientAnswer>;
     read(
-        lot: LotId,
+        batchJobId: BatchJobId,
         caller: TeamId | undefined,
         after: number,
         waitMs: number,
         signal: AbortSignal,
     ): Promise<ClientAnswer>;
-    readItem(lot: LotId, caller: TeamId | undefined, item: string): Promise<ClientAnswer>;
-    end(lot: LotId, caller: TeamId | undefined): Promise<ClientAnswer>;
+    readItem(batchJobId: BatchJobId, caller: TeamId | undefined, item: string): Promise<ClientAnswer>;
+    end(batchJobId: BatchJobId, caller: TeamId | undefined): Promise<ClientAnswer>;
 }
 
 /** Makes the desk of one gateway. */
-export function createLotDesk(deps: GatewayDeps): LotDesk {
+export function createBatchJobHandler(deps: GatewayDeps): BatchJobHandler {
     const { clock, logger } = deps;
 
     async function accept(
@@ -39,15 +39,15 @@
     ): Promise<ClientAnswer> {
         const startedAtMs = clock.monotonicMs();
         const body = await request.readBody(table.clientLimits.maxBodyBytes);
-        const lot = { ...deps.decodeLot(id as LotId, request.host, request.path, body), team };
+        const lot = { ...deps.decodeBatchJob(id as BatchJobId, request.host, request.path, body), team };
         try {
-            await deps.lots.accept(lot, clock.wallMs());
+            await deps.batchJobStore.accept(lot, clock.wallMs());
         }
         catch (error) {
             const isUnknown = codeOf(error) === resultCodes.storeUnavailable;
             throw isUnknown ? new ResultError(resultCodes.acceptanceUnknown, String(error)) : error;
         }
-        deps.reader.keep(lot);
+        deps.batchJobReader.cache(lot);
         logger.info("lotAccepted", {
             lot: id,
             team,
@@ -64,14 +64,14 @@
     }
 
     async function read(
-        lot: LotId,
+        lot: BatchJobId,
         caller: TeamId | undefined,
         after: number,
         waitMs: number,
         signal: AbortSignal,
     ): Promise<ClientAnswer> {
         const startedAtMs = clock.monotonicMs();
-        const page = await deps.reader.read(lot, caller, after, waitMs, signal);
+        const page = await deps.batchJobReader.read(lot, caller, after, waitMs, signal);
         if (page === undefined) {
             throw new ResultError(resultCodes.unknownLot, lot);
         }
@@ -84,19 +84,19 @@
     }
 
     async function readItem(
-        lot: LotId,
+        lot: BatchJobId,
         caller: TeamId | undefined,
         item: string,
     ): Promise<ClientAnswer> {
-        const found = await deps.reader.readItem(lot, caller, item);
+        const found = await deps.batchJobReader.readItem(lot, caller, item);
         if (found === undefined) {
             throw new ResultError(resultCodes.unknownLot, `${lot} item ${item}`);
         }
         return { kind: "lotItem", body: Buffer.from(found.bodyBase64, "base64") };
     }
 
-    async function end(lot: LotId, caller: TeamId | undefined): Promise<ClientAnswer> {
-        if (!await deps.lots.end(lot, caller)) {
+    async function end(lot: BatchJobId, caller: TeamId | undefined): Promise<ClientAnswer> {
+        if (!await deps.batchJobStore.end(lot, caller)) {
             throw new ResultError(resultCodes.unknownLot, lot);
         }
         logger.info("lotEnded", { lot });
--- a/packages/gateway/src/createGateway.test.ts
+++ b/packages/gateway/src/createGateway.test.ts
@@ -4,14 +4,14 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import { createFakeObjectStore } from "@auburnarch/fakes/createFakeObjectStore";
-import { createLotReader } from "@auburnarch/lots/createLotReader";
-import { createLotStore } from "@auburnarch/lots/createLotStore";
-import type { Lot } from "@auburnarch/lots/Lot";
-import type { LotId } from "@auburnarch/lots/LotId";
-import type { LotStore } from "@auburnarch/lots/LotStore";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
+import { createBatchJobReader } from "@auburnarch/lots/createBatchJobReader";
+import { createBatchJobStore } from "@auburnarch/lots/createBatchJobStore";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
-import type { RelayOutcome } from "@auburnarch/relay/RelayOutcome";
-import type { RelayRequest } from "@auburnarch/relay/RelayRequest";
+import type { ForwardingOutcome } from "@auburnarch/relay/ForwardingOutcome";
+import type { RoutedRequest } from "@auburnarch/relay/RoutedRequest";
 import type { Credential } from "@auburnarch/routing/Credential";
 import type { Route } from "@auburnarch/routing/Route";
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
@@ -39,7 +39,7 @@
     deadlineMs: undefined,
     itemTtlMs: undefined,
     isSingleVersion: false,
-    isAnonymous: false,
+    allowsAnonymous: false,
     priority: undefined,
     ...over,
 });
@@ -56,15 +56,15 @@
     teams: undefined,
     faults: [],
 };
-const lotOf = (id: LotId): Lot => ({
+const batchJobOf = (id: BatchJobId): BatchJob => ({
     lot: id,
     team: undefined,
     host: "a.example",
     path: "/plume/1",
-    step: 0 as Lot["step"],
+    step: 0 as BatchJob["step"],
     policy: undefined,
     neededGroups: undefined,
-    minVersion: 0 as Lot["minVersion"],
+    minVersion: 0 as BatchJob["minVersion"],
     items: [{
         item: "item-1" as SampleId,
         group: undefined,
@@ -78,15 +78,18 @@
 });
 
 function createFixture(
-    over: { lots?: (real: LotStore) => LotStore; routing?: () => RoutingTable | undefined; } = {},
+    over: {
+        batchJobStore?: (realStore: BatchJobStore) => BatchJobStore;
+        routing?: () => RoutingTable | undefined;
+    } = {},
 ) {
     const clock = createFakeClock();
     const { store, control } = createFakeObjectStore({ clock, random: createRandom(1) });
-    const real = createLotStore(store);
-    const lots = over.lots?.(real) ?? real;
+    const real = createBatchJobStore(store);
+    const lots = over.batchJobStore?.(real) ?? real;
     const state = { storeSilentMs: 0, isKnown: true, routingAgeMs: 0 };
-    const relayedRequests: RelayRequest[] = [];
-    const relayed: RelayOutcome = {
+    const relayedRequests: RoutedRequest[] = [];
+    const forwardOutcome: ForwardingOutcome = {
         kind: "failed",
         code: resultCodes.noSampler,
         detail: "",
@@ -96,13 +99,13 @@
         routing: over.routing ?? (() => table),
         directory: { ...createTestDirectory([]), isKnown: () => state.isKnown },
         routingAgeMs: () => state.routingAgeMs,
-        relay: async request => {
+        forwardRequest: async request => {
             relayedRequests.push(request);
-            return relayed;
+            return forwardOutcome;
         },
-        lots,
-        reader: createLotReader(lots, clock, async () => undefined),
-        decodeLot: id => lotOf(id),
+        batchJobStore: lots,
+        batchJobReader: createBatchJobReader(lots, clock, async () => undefined),
+        decodeBatchJob: id => batchJobOf(id),
         storeSilentMs: () => state.storeSilentMs,
         clock,
         logger: silent,
@@ -143,18 +146,18 @@
         ? `page ${answer.page.results.length} of ${answer.page.total}`
         : answer.kind;
 };
-const lot = "r-1" as LotId;
-const nobody = { host: "a.example", credential: { kind: "none" } } as const;
+const lot = "r-1" as BatchJobId;
+const anonymousCall = { host: "a.example", credential: { kind: "none" } } as const;
 
 test("a job is accepted, read, its item shown, and ended, each as often as it is asked for", async () => {
     const { post, ask } = createFixture();
     const answers = [
         await post("/plume/1"),
         await post("/plume/1"),
-        await ask({ kind: "readLot", ...nobody, lot, after: 0, waitMs: 0 }),
-        await ask({ kind: "readItem", ...nobody, lot, item: "item-1" }),
-        await ask({ kind: "endLot", ...nobody, lot }),
-        await ask({ kind: "endLot", ...nobody, lot }),
+        await ask({ kind: "readLot", ...anonymousCall, lot, after: 0, waitMs: 0 }),
+        await ask({ kind: "readItem", ...anonymousCall, lot, item: "item-1" }),
+        await ask({ kind: "endLot", ...anonymousCall, lot }),
+        await ask({ kind: "endLot", ...anonymousCall, lot }),
     ];
     expect(answers).toEqual(["lotAccepted", "lotAccepted", "page 0 of 1", "lotItem", "lotEnded", "lotEnded"]);
 });
@@ -164,7 +167,7 @@
     const none = createFixture({ routing: () => undefined });
     expect({
         route: await post("/other/1"),
-        lot: await ask({ kind: "readLot", ...nobody, lot: "r-9" as LotId, after: 0, waitMs: 0 }),
+        lot: await ask({ kind: "readLot", ...anonymousCall, lot: "r-9" as BatchJobId, after: 0, waitMs: 0 }),
         id: await post("/plume/1", ""),
         noConfiguration: await none.post("/tiles/1"),
         noSampler: await post("/tiles/1"),
@@ -184,21 +187,21 @@
     const { post, ask, control } = createFixture();
     await post("/plume/1");
     control.setOutage(true);
-    expect(await ask({ kind: "readLot", ...nobody, lot, after: 0, waitMs: 0 })).toBe(
+    expect(await ask({ kind: "readLot", ...anonymousCall, lot, after: 0, waitMs: 0 })).toBe(
         "503 storeUnavailable 250",
     );
 });
 
 test("a job whose acceptance is not known is not refused with a promise", async () => {
     // Guards against: items ran of a job that was answered 503 at every try.
-    const lose = (real: LotStore): LotStore => ({
+    const lose = (real: BatchJobStore): BatchJobStore => ({
         ...real,
         accept: async (...args) => {
             await real.accept(...args);
             throw new ResultError(resultCodes.storeUnavailable, "answer lost");
         },
     });
-    const { post } = createFixture({ lots: lose });
+    const { post } = createFixture({ batchJobStore: lose });
     expect(await post("/plume/1")).toBe("502 acceptanceUnknown -");
 });
 
@@ -213,7 +216,7 @@
     seen.push(gateway.isReady());
     state.isKnown = true;
     seen.push(gateway.isReady());
-    gateway.leave();
+    gateway.markNotReady();
     seen.push(gateway.isReady());
     expect(seen).toEqual([true, false, false, true, false]);
 });
@@ -221,7 +224,7 @@
 const keyOf = (digest: string): Credential => ({ kind: "key", digest: digest as KeyDigest });
 const withTeams: RoutingTable = {
     ...table,
-    routes: [...table.routes, route({ name: "open", pathPrefix: "/open/", isAnonymous: true })],
+    routes: [...table.routes, route({ name: "open", pathPrefix: "/open/", allowsAnonymous: true })],
     teams: new Map([
         ["d-hule" as KeyDigest, { team: "hule" as TeamId, priority: undefined }],
         ["d-fida" as KeyDigest, { team: "fida" as TeamId, priority: undefined }],
--- a/packages/gateway/src/createGateway.ts
+++ b/packages/gateway/src/createGateway.ts
@@ -2,7 +2,7 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { Credential } from "@auburnarch/routing/Credential";
-import { isRouteOfHost } from "@auburnarch/routing/isRouteOfHost";
+import { matchesHost } from "@auburnarch/routing/matchesHost";
 import type { Route } from "@auburnarch/routing/Route";
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
 import type { TeamId } from "@auburnarch/types/TeamId";
@@ -10,7 +10,7 @@
 import type { ClientAnswer } from "./ClientAnswer.js";
 import type { ClientCall } from "./ClientCall.js";
 import type { ClientRequest } from "./ClientRequest.js";
-import { createLotDesk } from "./createLotDesk.js";
+import { createBatchJobHandler } from "./createBatchJobHandler.js";
 import type { Gateway } from "./Gateway.js";
 import type { GatewayDeps } from "./GatewayDeps.js";
 import { requireCaller } from "./requireCaller.js";
@@ -26,12 +26,12 @@
 const storeSilenceMs = 700;
 
 /** Changes are known within two seconds of their acknowledgement; an older copy may lack some. */
-const outdatedAfterMs = 2_500;
+const maxRoutingAgeMs = 2_500;
 
 /** Makes the gateway of one process. */
 export function createGateway(deps: GatewayDeps): Gateway {
     const { clock, logger, metrics, routing } = deps;
-    const lots = createLotDesk(deps);
+    const batchJobs = createBatchJobHandler(deps);
     let isLeaving = false;
 
     function fail(error: unknown): ClientAnswer {
@@ -57,16 +57,16 @@
     }
 
     /** A newer configuration may hold what an old copy does not: another process can tell, so that is no final answer. */
-    function orNotReady(error: unknown): unknown {
-        const isOld = deps.routingAgeMs() > outdatedAfterMs;
+    function notReadyIfOutdated(error: unknown): unknown {
+        const isOutdated = deps.routingAgeMs() > maxRoutingAgeMs;
         const isUnknown = codeOf(error) === resultCodes.unknownRoute
             || codeOf(error) === resultCodes.unknownKey;
-        return isOld && isUnknown
+        return isOutdated && isUnknown
             ? new ResultError(resultCodes.notReady, "the configuration here may be out of date")
             : error;
     }
 
-    async function relayRequest(
+    async function forwardRequest(
         request: ClientRequest,
         team: TeamId | undefined,
         route: Route,
@@ -82,7 +82,7 @@
             : request.headers;
         const readMs = clock.monotonicMs() - receivedAtMs;
         const deadlineMs = request.deadlineMs === undefined ? undefined : request.deadlineMs - readMs;
-        const outcome = await deps.relay(
+        const outcome = await deps.forwardRequest(
             { requestId, team, route, method, host, path, headers, body, deadlineMs },
             signal,
         );
@@ -96,44 +96,46 @@
             };
     }
 
-    async function takeRequest(request: ClientRequest, signal: AbortSignal): Promise<ClientAnswer> {
+    async function handleRequest(request: ClientRequest, signal: AbortSignal): Promise<ClientAnswer> {
         const table = requireTable();
         const route = requireRoute(table, request);
-        const team = requireCaller(table, request.credential, route.isAnonymous);
+        const team = requireCaller(table, request.credential, route.allowsAnonymous);
         return route.kind === "rollout" && request.method === "POST"
-            ? lots.accept(requireRequestId(request), team, request, table)
-            : relayRequest(request, team, route, table, signal);
+            ? batchJobs.accept(requireRequestId(request), team, request, table)
+            : forwardRequest(request, team, route, table, signal);
     }
 
     /** The path of such a call names a job and no route; a job of a route without keys has no team. */
-    function callerOfLotCall(
+    function callerOfBatchJobCall(
         { host, credential }: { host: string; credential: Credential; },
     ): TeamId | undefined {
         const table = requireTable();
         const isOpen = table.routes.some(route =>
-            route.kind === "rollout" && route.isAnonymous && isRouteOfHost(route, host)
+            route.kind === "rollout" && route.allowsAnonymous && matchesHost(route, host)
         );
         return requireCaller(table, credential, isOpen);
     }
 
     /** Without a configuration nobody can be told apart. */
-    async function answerLotCall(
+    async function handleBatchJobCall(
         call: Exclude<ClientCall, { kind: "request"; }>,
         signal: AbortSignal,
     ): Promise<ClientAnswer> {
-        const caller = callerOfLotCall(call);
+        const caller = callerOfBatchJobCall(call);
         return match(call)
             .with(
                 { kind: "readLot" },
-                ({ lot, after, waitMs }) => lots.read(lot, caller, after, waitMs, signal),
+                ({ lot, after, waitMs }) => batchJobs.read(lot, caller, after, waitMs, signal),
             )
-            .with({ kind: "readItem" }, ({ lot, item }) => lots.readItem(lot, caller, item))
-            .with({ kind: "endLot" }, ({ lot }) => lots.end(lot, caller))
+            .with({ kind: "readItem" }, ({ lot, item }) => batchJobs.readItem(lot, caller, item))
+            .with({ kind: "endLot" }, ({ lot }) => batchJobs.end(lot, caller))
             .exhaustive();
     }
 
     function dispatch(call: ClientCall, signal: AbortSignal): Promise<ClientAnswer> {
-        return call.kind === "request" ? takeRequest(call.request, signal) : answerLotCall(call, signal);
+        return call.kind === "request"
+            ? handleRequest(call.request, signal)
+            : handleBatchJobCall(call, signal);
     }
 
     const subjectOf = (call: ClientCall): string | undefined =>
@@ -142,7 +144,9 @@
     return {
         answer: async (call, signal) => {
             const startedAtMs = clock.monotonicMs();
-            const answer = await dispatch(call, signal).catch((error: unknown) => fail(orNotReady(error)));
+            const answer = await dispatch(call, signal).catch((error: unknown) =>
+                fail(notReadyIfOutdated(error))
+            );
             const tookMs = clock.monotonicMs() - startedAtMs;
             const result = answer.kind === "failed" ? answer.code.name : "answered";
             metrics.observeMs("client_calls_ms", { kind: call.kind, result }, tookMs);
@@ -164,7 +168,7 @@
             const hasStore = deps.storeSilentMs() < storeSilenceMs;
             return !isLeaving && hasStore && routing() !== undefined && deps.directory.isKnown();
         },
-        leave: () => {
+        markNotReady: () => {
             isLeaving = true;
         },
     };
--- a/packages/gateway/src/createRunnerResults.test.ts
+++ b/packages/gateway/src/createRunnerResults.test.ts
@@ -1,5 +1,5 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
-import type { LotId } from "@auburnarch/lots/LotId";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
 import { createRunnerCaller } from "@auburnarch/peers/createRunnerCaller";
 import type { Logger } from "@auburnarch/types/Logger";
@@ -7,7 +7,7 @@
 import { createRunnerResults } from "./createRunnerResults.js";
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
-const lot = "lot-1" as LotId;
+const lot = "lot-1" as BatchJobId;
 
 function createFixture(answerOf: (port: number) => ResultsAnswer) {
     const clock = createFakeClock();
--- a/packages/gateway/src/createRunnerResults.ts
+++ b/packages/gateway/src/createRunnerResults.ts
@@ -1,5 +1,5 @@
 import type { RunnerAddress } from "@auburnarch/discovery/RunnerAddress";
-import type { LotId } from "@auburnarch/lots/LotId";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
 import type { ResultsSource } from "@auburnarch/lots/ResultsSource";
 import type { RunnerCaller } from "@auburnarch/peers/RunnerCaller";
@@ -9,33 +9,33 @@
     /** Rejects if the runner does not answer in time. */
     send: (
         address: RunnerAddress,
-        query: { lot: LotId; fromChunk: number; waitMs: number; },
+        query: { lot: BatchJobId; fromChunk: number; waitMs: number; },
         timeoutMs: number,
     ) => Promise<ResultsAnswer>;
 }
 
 /** Beyond the wait of a question; an answer takes a few milliseconds between failure domains. */
-const answerSlackMs = 300;
+const answerGraceMs = 300;
 /** Jobs whose runner is remembered. */
-const maxRemembered = 256;
+const maxRememberedRunners = 256;
 
 /** Asks runners for results: any of them for a job not seen yet, which then names the one that has it. */
 export function createRunnerResults(deps: RunnerResultsDeps): ResultsSource {
-    const holders = new Map<LotId, string>();
+    const runnerByBatchJob = new Map<BatchJobId, string>();
 
-    function remember(lot: LotId, runner: string): void {
-        holders.set(lot, runner);
-        if (holders.size > maxRemembered) {
-            holders.delete(holders.keys().next().value!);
+    function remember(batchJobId: BatchJobId, runner: string): void {
+        runnerByBatchJob.set(batchJobId, runner);
+        if (runnerByBatchJob.size > maxRememberedRunners) {
+            runnerByBatchJob.delete(runnerByBatchJob.keys().next().value!);
         }
     }
 
     return async (lot, fromChunk, waitMs) => {
         const found = await deps.caller.ask(
-            holders.get(lot),
-            address => deps.send(address, { lot, fromChunk, waitMs }, waitMs + answerSlackMs),
+            runnerByBatchJob.get(lot),
+            address => deps.send(address, { lot, fromChunk, waitMs }, waitMs + answerGraceMs),
         );
-        holders.delete(lot);
+        runnerByBatchJob.delete(lot);
         if (found?.answer.kind !== "known") {
             return undefined;
         }
--- a/packages/keep/src/GroupKeepOptions.ts
+++ b/packages/keep/src/FileGroupStoreOptions.ts
@@ -3,7 +3,7 @@
 import type { FileOperations } from "./FileOperations.js";
 
 /** How a data folder keeps groups. */
-export interface GroupKeepOptions {
+export interface FileGroupStoreOptions {
     clock: Clock;
     logger: Logger;
     files?: FileOperations;
--- a/packages/keep/src/TextJournal.ts
+++ b/packages/keep/src/TextJournal.ts
@@ -5,7 +5,7 @@
     /** Texts of earlier processes, by item. Never rejects: an unreadable file is logged and counts as empty. */
     load(): Promise<Map<string, TokenSpan[]>>;
     /** Takes the present text of an item; what is new of it is written with the next batch. */
-    note(item: string, spans: TokenSpan[]): void;
+    record(item: string, spans: TokenSpan[]): void;
     /** Writes what waits; resolves once it is on disk or has failed. */
     flush(): Promise<void>;
 }
--- a/packages/keep/src/groupKeep.test.ts
+++ b/packages/keep/src/createFileGroupStore.test.ts
@@ -6,15 +6,15 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { afterEach, beforeEach, expect, test } from "vitest";
-import { createFileGroupKeep } from "./createFileGroupKeep.js";
+import { createFileGroupStore } from "./createFileGroupStore.js";
+import type { FileGroupStoreOptions } from "./FileGroupStoreOptions.js";
 import type { FileOperations } from "./FileOperations.js";
-import type { GroupKeepOptions } from "./GroupKeepOptions.js";
 import { nodeFileOperations } from "./nodeFileOperations.js";
 
 let folder = "";
 let events: string[] = [];
-const note = (event: string): void => void events.push(event);
-const logger: Logger = { info: note, warn: note, error: note, child: () => logger };
+const recordEvent = (event: string): void => void events.push(event);
+const logger: Logger = { info: recordEvent, warn: recordEvent, error: recordEvent, child: () => logger };
 
 beforeEach(async () => {
     folder = await mkdtemp(join(tmpdir(), "keep-"));
@@ -27,8 +27,8 @@
 
 /** The wall clock agrees with the files' times, which the machine sets. */
 const clockNow = (offsetMs = 0) => createFakeClock(new Date().getTime() + offsetMs);
-const openKeep = (options: Partial<GroupKeepOptions> = {}): Promise<GroupKeep> =>
-    createFileGroupKeep(folder, { clock: clockNow(), logger, ...options });
+const openStore = (options: Partial<FileGroupStoreOptions> = {}): Promise<GroupKeep> =>
+    createFileGroupStore(folder, { clock: clockNow(), logger, ...options });
 const groupOf = (group: number, fencing = 1, body = `body ${group}`) => ({
     job: "j",
     step: 4,
@@ -36,21 +36,21 @@
     fencing,
     body,
 });
-const bodiesOf = async (keep: GroupKeep): Promise<string[]> =>
-    (await keep.load("j", 4)).map(({ group, fencing, body }) => `${group}@${fencing} ${body}`).sort();
+const bodiesOf = async (store: GroupKeep): Promise<string[]> =>
+    (await store.load("j", 4)).map(({ group, fencing, body }) => `${group}@${fencing} ${body}`).sort();
 const onlyFile = async (): Promise<string> => join(folder, (await readdir(folder))[0]!);
 
 test("groups outlive the process; the highest fencing number of a group wins, dropped ones are gone", async () => {
-    const keep = await openKeep();
+    const keep = await openStore();
     await Promise.all([1, 2, 3].map(group => keep.save(groupOf(group))));
     await keep.save(groupOf(1, 5, "by a newer owner"));
     await keep.save(groupOf(1, 3, "by an older owner"));
     await keep.drop("j", 4, [2]);
-    expect(await bodiesOf(await openKeep())).toEqual(["1@5 by a newer owner", "3@1 body 3"]);
+    expect(await bodiesOf(await openStore())).toEqual(["1@5 by a newer owner", "3@1 body 3"]);
 });
 
 test("a file whose groups are all dropped is removed", async () => {
-    const keep = await openKeep();
+    const keep = await openStore();
     await keep.save(groupOf(1));
     await keep.save(groupOf(2));
     await keep.drop("j", 4, [1, 2]);
@@ -61,7 +61,7 @@
 
 test("a tail torn anywhere is cut off, the rest stays, and the file takes new groups", async () => {
     // Guards against: a trainer got half a group.
-    const keep = await openKeep();
+    const keep = await openStore();
     await keep.save(groupOf(1));
     const path = await onlyFile();
     const wholeBytes = (await stat(path)).size;
@@ -70,16 +70,16 @@
     for (let cut = wholeBytes + 1; cut < bytes.length; cut++) {
         await writeFile(path, bytes);
         await truncate(path, cut);
-        const reopened = await openKeep();
+        const reopened = await openStore();
         expect(await bodiesOf(reopened)).toEqual(["1@1 body 1"]);
         await reopened.save(groupOf(3));
-        expect(await bodiesOf(await openKeep())).toEqual(["1@1 body 1", "3@1 body 3"]);
+        expect(await bodiesOf(await openStore())).toEqual(["1@1 body 1", "3@1 body 3"]);
     }
     expect(events).toContain("recordTorn");
 });
 
 test("whatever is done to the file, what loads was saved", async () => {
-    const keep = await openKeep();
+    const keep = await openStore();
     await Promise.all([1, 2, 3, 4].map(group => keep.save(groupOf(group))));
     const path = await onlyFile();
     const whole = await readFile(path);
@@ -90,7 +90,7 @@
             const bytes = Buffer.from(whole);
             edits.forEach(({ at, byte }) => bytes.writeUInt8(byte, at));
             await writeFile(path, bytes);
-            const loaded = await bodiesOf(await openKeep());
+            const loaded = await bodiesOf(await openStore());
             expect(loaded.filter(body => !saved.has(body))).toEqual([]);
         }),
         { numRuns: 100, seed: 1 },
@@ -110,7 +110,7 @@
             await nodeFileOperations.append(path, text);
         },
     };
-    const keep = await openKeep({ files: full });
+    const keep = await openStore({ files: full });
     await keep.save(groupOf(1));
     room = false;
     await keep.save(groupOf(2));
@@ -118,15 +118,15 @@
     expect(await bodiesOf(keep)).toEqual(["1@1 body 1"]);
     room = true;
     await keep.save(groupOf(4));
-    expect(await bodiesOf(await openKeep())).toEqual(["1@1 body 1", "4@1 body 4"]);
+    expect(await bodiesOf(await openStore())).toEqual(["1@1 body 1", "4@1 body 4"]);
     expect(events).toEqual(["dataFolderFull", "dataFolderHasRoom"]);
 });
 
 test("the folder stays within its limit, counting what earlier runs left", async () => {
     const body = "x".repeat(1_000);
-    const first = await openKeep();
+    const first = await openStore();
     await first.save({ ...groupOf(1, 1, body), step: 1 });
-    const keep = await openKeep({ maxBytes: 2_500 });
+    const keep = await openStore({ maxBytes: 2_500 });
     await keep.save(groupOf(2, 1, body));
     await keep.save(groupOf(3, 1, body));
     expect((await keep.load("j", 4)).map(kept => kept.group)).toEqual([2]);
@@ -134,7 +134,7 @@
 });
 
 test("a file with more dead than live bytes is rewritten", async () => {
-    const keep = await openKeep();
+    const keep = await openStore();
     const body = "x".repeat(400_000);
     await Promise.all([1, 2, 3, 4].map(group => keep.save(groupOf(group, 1, body))));
     await keep.drop("j", 4, [1, 2, 3]);
@@ -143,7 +143,7 @@
 });
 
 test("no job's name leads out of the folder, and two names never share a file", async () => {
-    const keep = await openKeep();
+    const keep = await openStore();
     const names = ["..", "../x", "a/b", "a%2Fb", "a-4", "a"];
     for (const [group, job] of names.entries()) {
         await keep.save({ ...groupOf(group), job });
@@ -155,9 +155,9 @@
 });
 
 test("files that no owner touched for a day are removed at the start", async () => {
-    await (await openKeep()).save(groupOf(1));
+    await (await openStore()).save(groupOf(1));
     const longAgo = new Date(0);
     await utimes(await onlyFile(), longAgo, longAgo);
-    await openKeep();
+    await openStore();
     expect(await readdir(folder)).toEqual([]);
 });
--- a/packages/keep/src/createFileGroupKeep.ts
+++ b/packages/keep/src/createFileGroupStore.ts
@@ -4,46 +4,50 @@
 import type { GroupKeep } from "@auburnarch/types/GroupKeep";
 import { join } from "node:path";
 import { createStepFile } from "./createStepFile.js";
-import type { GroupKeepOptions } from "./GroupKeepOptions.js";
+import type { FileGroupStoreOptions } from "./FileGroupStoreOptions.js";
 import { nodeFileOperations } from "./nodeFileOperations.js";
 
 type StepFile = Awaited<ReturnType<typeof createStepFile>>;
 
 const defaultMaxBytes = 1_000_000_000;
 const defaultMaxAgeMs = 24 * 3_600_000;
-const fileEnd = ".groups";
+const fileExtension = ".groups";
 /** Errors of the system that mean that the disk takes no more. */
 const fullDiskCodes = new Set<unknown>(["ENOSPC", "EDQUOT", "EROFS"]);
 
-const isFull = (error: unknown): boolean =>
+const isDiskFullError = (error: unknown): boolean =>
     fullDiskCodes.has((error as NodeJS.ErrnoException).code) || codeOf(error) === resultCodes.diskFull;
 
 /** A job's name as one path component; encoded and prefixed, so that no name leads out of the folder. */
-const fileNameOf = (job: string, step: number): string => `job-${encodeURIComponent(job)}-${step}${fileEnd}`;
+const fileNameOf = (job: string, step: number): string =>
+    `job-${encodeURIComponent(job)}-${step}${fileExtension}`;
 
 /**
  * Keeps groups in a data folder, one append-only file for each step. Appends are not synced one by one: a machine
  * that loses power may lose the last groups, which costs making them again and no promise. A full disk does not
  * reject either; it is logged with code `diskFull`, and the group lives in its owner's memory only.
  */
-export async function createFileGroupKeep(folder: string, options: GroupKeepOptions): Promise<GroupKeep> {
+export async function createFileGroupStore(
+    folder: string,
+    options: FileGroupStoreOptions,
+): Promise<GroupKeep> {
     const { clock, logger, files = nodeFileOperations } = options;
     const { maxBytes = defaultMaxBytes, maxAgeMs = defaultMaxAgeMs } = options;
     const steps = new Map<string, StepFile>();
-    let queue: Promise<unknown> = Promise.resolve();
+    let lastCall: Promise<unknown> = Promise.resolve();
     /** Bytes of files left by earlier runs and not opened by this one. */
     const unopenedBytes = new Map<string, number>();
-    let full = false;
+    let isFull = false;
 
     /** One call after the other: two appends at once could mix their lines, and a drop could race a save. */
-    function inTurn<T>(run: () => Promise<T>): Promise<T> {
-        const turn = queue.then(run, run);
-        queue = turn.catch(() => undefined);
-        return turn;
+    function runInSequence<T>(run: () => Promise<T>): Promise<T> {
+        const call = lastCall.then(run, run);
+        lastCall = call.catch(() => undefined);
+        return call;
     }
 
-    async function removeOld(): Promise<void> {
-        const present = (await files.list(folder)).filter(file => file.path.endsWith(fileEnd));
+    async function removeExpired(): Promise<void> {
+        const present = (await files.list(folder)).filter(file => file.path.endsWith(fileExtension));
         for (const file of present) {
             if (clock.wallMs() - file.modifiedAtMs > maxAgeMs) {
                 await files.remove(file.path);
@@ -76,8 +80,8 @@
         return [...unopenedBytes.values()].reduce((sum, bytes) => sum + bytes, opened);
     }
 
-    function noteFull(isNowFull: boolean, error: unknown): void {
-        if (isNowFull && !full) {
+    function updateDiskFull(isNowFull: boolean, error: unknown): void {
+        if (isNowFull && !isFull) {
             const { number, name } = resultCodes.diskFull;
             logger.error("dataFolderFull", {
                 code: number,
@@ -86,10 +90,10 @@
                 usedBytes: usedBytes(),
             });
         }
-        if (!isNowFull && full) {
+        if (!isNowFull && isFull) {
             logger.info("dataFolderHasRoom", { usedBytes: usedBytes() });
         }
-        full = isNowFull;
+        isFull = isNowFull;
     }
 
     async function save({ job, step, ...group }: Parameters<GroupKeep["save"]>[0]): Promise<void> {
@@ -98,28 +102,28 @@
                 throw new ResultError(resultCodes.diskFull, `limit of ${maxBytes} bytes`);
             }
             await (await stepFile(job, step)).save(group);
-            noteFull(false, undefined);
+            updateDiskFull(false, undefined);
         }
         catch (error) {
-            if (!isFull(error)) {
+            if (!isDiskFullError(error)) {
                 throw error;
             }
-            noteFull(true, error);
+            updateDiskFull(true, error);
         }
     }
 
     async function drop(job: string, step: number, groups: number[]): Promise<void> {
-        const isGone = await (await stepFile(job, step)).drop(groups);
-        if (isGone) {
+        const isRemoved = await (await stepFile(job, step)).drop(groups);
+        if (isRemoved) {
             steps.delete(fileNameOf(job, step));
         }
     }
 
     await files.makeFolder(folder);
-    await removeOld();
+    await removeExpired();
     return {
-        save: record => inTurn(() => save(record)),
-        load: (job, step) => inTurn(async () => (await stepFile(job, step)).load()),
-        drop: (job, step, groups) => inTurn(() => drop(job, step, groups)),
+        save: record => runInSequence(() => save(record)),
+        load: (job, step) => runInSequence(async () => (await stepFile(job, step)).load()),
+        drop: (job, step, groups) => runInSequence(() => drop(job, step, groups)),
     };
 }
--- a/packages/keep/src/createSnapshotFile.ts
+++ b/packages/keep/src/createSnapshotFile.ts
@@ -33,10 +33,10 @@
 ): SnapshotFile<T> {
     const { format, schema, logger, files = nodeFileOperations } = options;
     const path = join(folder, `${name}.json`);
-    let next: T | undefined;
+    let pendingValue: T | undefined;
     let writing: Promise<void> | undefined;
 
-    function leaveOut(reason: string): undefined {
+    function rejectSnapshot(reason: string): undefined {
         logger.warn("snapshotLeftOut", { name, reason });
         return undefined;
     }
@@ -44,13 +44,13 @@
     function decode(text: string): T | undefined {
         const outer = envelope.safeParse(JSON.parse(text));
         if (!outer.success || outer.data.checksum !== checksumOf(outer.data.json)) {
-            return leaveOut("damaged");
+            return rejectSnapshot("damaged");
         }
         if (outer.data.format !== format) {
-            return leaveOut("otherFormat");
+            return rejectSnapshot("otherFormat");
         }
         const inner = schema.safeParse(JSON.parse(outer.data.json));
-        return inner.success ? inner.data : leaveOut("otherShape");
+        return inner.success ? inner.data : rejectSnapshot("otherShape");
     }
 
     async function read(): Promise<T | undefined> {
@@ -62,7 +62,7 @@
             return decode(bytes.toString("utf8"));
         }
         catch {
-            return leaveOut("damaged");
+            return rejectSnapshot("damaged");
         }
     }
 
@@ -78,10 +78,10 @@
         }
     }
 
-    async function writeAll(): Promise<void> {
-        while (next !== undefined) {
-            const value = next;
-            next = undefined;
+    async function writePending(): Promise<void> {
+        while (pendingValue !== undefined) {
+            const value = pendingValue;
+            pendingValue = undefined;
             await writeOnce(value);
         }
         writing = undefined;
@@ -90,8 +90,8 @@
     return {
         read,
         write: value => {
-            next = value;
-            writing ??= writeAll();
+            pendingValue = value;
+            writing ??= writePending();
             return writing;
         },
     };
--- a/packages/keep/src/createStepFile.ts
+++ b/packages/keep/src/createStepFile.ts
@@ -2,7 +2,7 @@
 import type { FileOperations } from "./FileOperations.js";
 import { parseRecords } from "./parseRecords.js";
 
-interface KeptGroup {
+interface StoredGroup {
     group: number;
     fencing: number;
     body: string;
@@ -10,15 +10,15 @@
 
 interface StepFile {
     /** Appends a group unless one with a higher fencing number is kept. */
-    save(group: KeptGroup): Promise<void>;
-    load(): Promise<KeptGroup[]>;
+    save(group: StoredGroup): Promise<void>;
+    load(): Promise<StoredGroup[]>;
     /** True if nothing is left and the file is gone. */
     drop(groups: number[]): Promise<boolean>;
     bytes(): number;
 }
 
 /** What is known of a kept group without its body. */
-interface Live {
+interface LiveEntry {
     fencing: number;
     bytes: number;
 }
@@ -39,13 +39,13 @@
 }
 
 /** A kept group with the length of its line. */
-interface LiveGroup extends KeptGroup {
+interface StoredLine extends StoredGroup {
     bytes: number;
 }
 
 /** Applies records in order; of one group the last with the highest fencing number stays. */
-function liveGroups(records: Awaited<ReturnType<typeof parseRecords>>["records"]): LiveGroup[] {
-    const live = new Map<number, LiveGroup>();
+function liveGroups(records: Awaited<ReturnType<typeof parseRecords>>["records"]): StoredLine[] {
+    const live = new Map<number, StoredLine>();
     for (const { record, bytes } of records) {
         if (record.kind === "drop") {
             record.groups.forEach(group => live.delete(group));
@@ -64,10 +64,10 @@
     path: string,
     onTorn: (lines: number) => void,
 ): Promise<StepFile> {
-    const live = new Map<number, Live>();
+    const live = new Map<number, LiveEntry>();
     let sizeBytes = 0;
 
-    async function readLive(): Promise<LiveGroup[]> {
+    async function readLive(): Promise<StoredLine[]> {
         const { records, torn, wholeBytes } = await parseRecords(await readOrEmpty(files, path));
         if (torn > 0) {
             onTorn(torn);
@@ -79,11 +79,11 @@
     async function open(): Promise<void> {
         const kept = await readLive();
         kept.forEach(({ group, fencing, bytes }) => live.set(group, { fencing, bytes }));
-        await cutTail();
+        await truncateTail();
     }
 
     /** Cuts what a broken append left, so that the next line does not run on behind it. */
-    async function cutTail(): Promise<void> {
+    async function truncateTail(): Promise<void> {
         await files.truncate(path, sizeBytes).catch((error: unknown) => {
             if (!isMissing(error)) {
                 throw error;
@@ -97,7 +97,7 @@
             sizeBytes += Buffer.byteLength(line);
         }
         catch (error) {
-            await cutTail().catch(() => undefined);
+            await truncateTail().catch(() => undefined);
             throw error;
         }
     }
--- a/packages/keep/src/createTextJournal.test.ts
+++ b/packages/keep/src/createTextJournal.test.ts
@@ -37,15 +37,15 @@
 test("a process goes on behind the texts of the one before, also over several lives", async () => {
     const { openAndLoad } = await createFixture();
     const { journal } = await openAndLoad();
-    journal.note("a", [span(1, "one", "two")]);
+    journal.record("a", [span(1, "one", "two")]);
     await journal.flush();
-    journal.note("a", [span(1, "one", "two"), span(2, "three")]);
-    journal.note("b", [span(1, "x")]);
+    journal.record("a", [span(1, "one", "two"), span(2, "three")]);
+    journal.record("b", [span(1, "x")]);
     await journal.flush();
     const second = await openAndLoad();
     expect(second.texts.get("a")?.map(each => [each.version, each.tokens])).toEqual([[1, 2], [2, 1]]);
     expect(textOf(second.texts.get("a"))).toBe("one\ntwo\nthree\n");
-    second.journal.note("b", [span(1, "x", "y")]);
+    second.journal.record("b", [span(1, "x", "y")]);
     await second.journal.flush();
     const third = await openAndLoad();
     expect([...third.texts].map(([item, spans]) => [item, textOf(spans)])).toEqual([
@@ -57,9 +57,9 @@
 test("a text that was begun anew replaces the one before", async () => {
     const { openAndLoad } = await createFixture();
     const { journal } = await openAndLoad();
-    journal.note("a", [span(1, "old", "text")]);
+    journal.record("a", [span(1, "old", "text")]);
     await journal.flush();
-    journal.note("a", [span(3, "new")]);
+    journal.record("a", [span(3, "new")]);
     await journal.flush();
     const { texts } = await openAndLoad();
     expect(texts.get("a")).toEqual([span(3, "new")]);
@@ -70,8 +70,8 @@
     const { folder, openAndLoad } = await createFixture();
     const { journal } = await openAndLoad();
     for (const words of [["one"], ["one", "two"], ["one", "two", "three"]]) {
-        journal.note("a", [span(1, ...words)]);
-        journal.note("b", [span(1, ...words)]);
+        journal.record("a", [span(1, ...words)]);
+        journal.record("b", [span(1, ...words)]);
         await journal.flush();
     }
     const [name] = await readdir(folder);
@@ -96,10 +96,10 @@
         },
     };
     const { journal } = await openAndLoad(files);
-    journal.note("a", [span(1, "one")]);
+    journal.record("a", [span(1, "one")]);
     await journal.flush();
     isFull = false;
-    journal.note("a", [span(1, "one", "two")]);
+    journal.record("a", [span(1, "one", "two")]);
     await journal.flush();
     const { texts } = await openAndLoad();
     expect(textOf(texts.get("a"))).toBe("one\ntwo\n");
@@ -109,7 +109,7 @@
     const { folder, openAndLoad } = await createFixture();
     const { journal } = await openAndLoad(nodeFileOperations, 2_000);
     for (let index = 0; index < 60; index++) {
-        journal.note(`item-${index}`, [span(1, "x".repeat(100))]);
+        journal.record(`item-${index}`, [span(1, "x".repeat(100))]);
         await journal.flush();
     }
     const sizes = (await nodeFileOperations.list(folder)).map(file => file.bytes);
--- a/packages/keep/src/createTextJournal.ts
+++ b/packages/keep/src/createTextJournal.ts
@@ -20,7 +20,7 @@
 }
 
 /** What of an item's text stands in the journal. */
-interface Written {
+interface WrittenText {
     text: string;
     tokens: number;
 }
@@ -39,7 +39,7 @@
 /** A trainer's step comes to half a megabyte of text, so two files hold several steps, and are read in 0.1 s. */
 const defaultMaxFileBytes = 3_000_000;
 /** What a power loss may cost of each text; a sync takes 1 to 5 ms. */
-const gatherMs = 250;
+const batchDelayMs = 250;
 /** Items remembered at most; those of ended jobs are never asked for again. */
 const maxItems = 4_096;
 const fileNames = ["texts-0.journal", "texts-1.journal"] as const;
@@ -76,10 +76,10 @@
 export function createTextJournal(options: TextJournalOptions): TextJournal {
     const { folder, clock, logger, files = nodeFileOperations } = options;
     const { maxFileBytes = defaultMaxFileBytes } = options;
-    const written = new Map<string, Written>();
-    const waiting = new Map<string, TokenSpan[]>();
+    const written = new Map<string, WrittenText>();
+    const pending = new Map<string, TokenSpan[]>();
     const paths = fileNames.map(name => join(folder, name));
-    let current = 0;
+    let currentFile = 0;
     let currentBytes = 0;
     let isFailing = false;
     let writing: Promise<void> | undefined;
@@ -101,22 +101,22 @@
         return added.length === 0 ? "" : `${checksumOf(json)} ${json}\n`;
     }
 
-    async function turnOver(): Promise<void> {
-        current = 1 - current;
+    async function rotateFiles(): Promise<void> {
+        currentFile = 1 - currentFile;
         currentBytes = 0;
         written.clear();
-        await files.remove(paths[current]!);
+        await files.remove(paths[currentFile]!);
     }
 
     async function write(): Promise<void> {
         if (currentBytes > maxFileBytes) {
-            await turnOver();
+            await rotateFiles();
         }
-        const lines = [...waiting].map(([item, spans]) => encode(item, spans)).join("");
-        waiting.clear();
+        const lines = [...pending].map(([item, spans]) => encode(item, spans)).join("");
+        pending.clear();
         if (lines !== "") {
             currentBytes += Buffer.byteLength(lines);
-            await files.appendSynced(paths[current]!, lines);
+            await files.appendSynced(paths[currentFile]!, lines);
         }
     }
 
@@ -147,9 +147,9 @@
     }
 
     function schedule(): void {
-        if (waiting.size > 0 && !isTimerSet && writing === undefined) {
+        if (pending.size > 0 && !isTimerSet && writing === undefined) {
             isTimerSet = true;
-            clock.startTimer(gatherMs, () => {
+            clock.startTimer(batchDelayMs, () => {
                 isTimerSet = false;
                 void start();
             });
@@ -183,8 +183,8 @@
                     await readFile(file.path, texts);
                 }
                 // The newer file stays as it is; what comes now goes into the other one.
-                current = Math.max(0, paths.indexOf(byAge.at(-1)?.path ?? paths[1]!));
-                await turnOver();
+                currentFile = Math.max(0, paths.indexOf(byAge.at(-1)?.path ?? paths[1]!));
+                await rotateFiles();
                 logger.info("textJournalLoaded", { folder, texts: texts.size });
             }
             catch (error) {
@@ -192,8 +192,8 @@
             }
             return texts;
         },
-        note: (item, spans) => {
-            waiting.set(item, spans);
+        record: (item, spans) => {
+            pending.set(item, spans);
             schedule();
         },
         flush: async () => {
--- a/packages/lots/src/Lot.ts
+++ b/packages/lots/src/BatchJob.ts
@@ -2,12 +2,12 @@
 import type { StepNumber } from "@auburnarch/types/StepNumber";
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
-import type { LotId } from "./LotId.js";
-import type { LotItem } from "./LotItem.js";
+import type { BatchJobId } from "./BatchJobId.js";
+import type { BatchJobItem } from "./BatchJobItem.js";
 
 /** A batch job as it was submitted. */
-export interface Lot {
-    lot: LotId;
+export interface BatchJob {
+    lot: BatchJobId;
     /** Whose job it is; undefined where it was accepted without a key. */
     team: TeamId | undefined;
     host: string;
@@ -19,5 +19,5 @@
     minVersion: WeightVersion;
     /** Whole groups that the trainer waits for, whichever they are; undefined where it names no number. */
     neededGroups: number | undefined;
-    items: LotItem[];
+    items: BatchJobItem[];
 }
--- a/packages/lots/src/LotEntry.ts
+++ b/packages/lots/src/BatchJobEntry.ts
@@ -2,7 +2,7 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 
 /** What is small about an accepted batch job; runners watch these. */
-export interface LotEntry {
+export interface BatchJobEntry {
     total: number;
     /** Whose job it is; undefined where it was accepted without a key. */
     team: TeamId | undefined;
--- a/packages/lots/src/LotItem.ts
+++ b/packages/lots/src/BatchJobItem.ts
@@ -2,7 +2,7 @@
 import type { RewardCall } from "./RewardCall.js";
 
 /** One item of a batch job: a request for tokens that is run later. */
-export interface LotItem {
+export interface BatchJobItem {
     item: SampleId;
     /** Items of one group share their prompt; undefined where the job has no groups. */
     group: string | undefined;
--- a/packages/lots/src/LotResult.ts
+++ b/packages/lots/src/ItemResult.ts
@@ -2,7 +2,7 @@
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
 /** The final result of one item. */
-export interface LotResult {
+export interface ItemResult {
     item: SampleId;
     state: "completed" | "terminated";
     /** Data of all events in order, joined by line feeds. */
--- a/packages/lots/src/ResultChunk.ts
+++ b/packages/lots/src/ResultChunk.ts
@@ -1,10 +1,10 @@
-import type { LotResult } from "./LotResult.js";
+import type { ItemResult } from "./ItemResult.js";
 
 /** Results at consecutive positions. Created once in the store and never changed. */
 export interface ResultChunk {
     /** Position of the first result. */
     from: number;
-    results: LotResult[];
+    results: ItemResult[];
     /** Unique to the append, so that a writer recognises its own chunk when an answer was lost. */
     writer: string;
 }
--- a/packages/lots/src/LotPage.ts
+++ b/packages/lots/src/ResultsPage.ts
@@ -1,10 +1,10 @@
-import type { LotResult } from "./LotResult.js";
+import type { ItemResult } from "./ItemResult.js";
 
 /** A part of a batch job's results. */
-export interface LotPage {
+export interface ResultsPage {
     /** Items of the job. */
     total: number;
-    results: LotResult[];
+    results: ItemResult[];
     /** Position behind the last result of the page. */
     next: number;
 }
--- a/packages/lots/src/lotKinds.ts
+++ b/packages/lots/src/batchJobKinds.ts
@@ -1,5 +1,5 @@
 /** Kinds of the store's objects that hold batch jobs. */
-export const lotKinds = {
+export const batchJobKinds = {
     /** `LotEntry` by job. */
     entries: "lots",
     /** `Lot` by job. */
--- a/packages/lots/src/lotSchemas.ts
+++ b/packages/lots/src/batchJobSchemas.ts
@@ -4,7 +4,7 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import { z } from "zod";
-import type { LotId } from "./LotId.js";
+import type { BatchJobId } from "./BatchJobId.js";
 
 const count = z.number().int().nonnegative();
 const version = count.transform(value => value as WeightVersion);
@@ -49,7 +49,7 @@
 });
 
 /** How batch jobs stand in the store, and how runners tell their results. */
-export const lotSchemas = {
+export const batchJobSchemas = {
     entry: z.object({
         total: count,
         team,
@@ -63,8 +63,8 @@
         policy: value.policy,
         expectedTokens: value.expectedTokens,
     })),
-    lot: z.object({
-        lot: z.string().transform(value => value as LotId),
+    batchJob: z.object({
+        lot: z.string().transform(value => value as BatchJobId),
         team,
         host: z.string(),
         path: z.string(),
@@ -82,7 +82,7 @@
     chunk,
     /** What a gateway asks a runner. */
     resultsQuery: z.object({
-        lot: z.string().transform(value => value as LotId),
+        lot: z.string().transform(value => value as BatchJobId),
         fromChunk: count,
         waitMs: z.number().nonnegative(),
     }),
--- a/packages/lots/src/createLotReader.test.ts
+++ b/packages/lots/src/createBatchJobReader.test.ts
@@ -1,26 +1,26 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { expect, test } from "vitest";
-import { createLotReader } from "./createLotReader.js";
-import type { LotId } from "./LotId.js";
-import type { LotPage } from "./LotPage.js";
-import type { LotResult } from "./LotResult.js";
-import type { LotStore } from "./LotStore.js";
+import type { BatchJobId } from "./BatchJobId.js";
+import type { BatchJobStore } from "./BatchJobStore.js";
+import { createBatchJobReader } from "./createBatchJobReader.js";
+import type { ItemResult } from "./ItemResult.js";
 import type { ResultChunk } from "./ResultChunk.js";
+import type { ResultsPage } from "./ResultsPage.js";
 
-const lot = "lot-1" as LotId;
+const batchJobId = "lot-1" as BatchJobId;
 const chunkOf = (from: number, item: string): ResultChunk => ({
     from,
     writer: "w",
-    results: [{ item, state: "completed", output: item, versions: [], score: "s" } as unknown as LotResult],
+    results: [{ item, state: "completed", output: item, versions: [], score: "s" } as unknown as ItemResult],
 });
 const signal = new AbortController().signal;
-const show = (page: LotPage | undefined): string =>
+const show = (page: ResultsPage | undefined): string =>
     `${page?.results.map(each => each.item).join("") ?? "-"}>${page?.next}`;
 
 function createFixture() {
     const clock = createFakeClock();
     const state = { isRunnerThere: true, chunks: [] as ResultChunk[], reads: 0, mostChunks: 100 };
-    const lots = {
+    const store = {
         readEntry: async () => {
             state.reads++;
             return {
@@ -31,12 +31,12 @@
                 isEnded: false,
             };
         },
-        readChunk: async (_lot: LotId, number: number) => {
+        readChunk: async (_lot: BatchJobId, number: number) => {
             state.reads++;
             return state.chunks[number];
         },
-    } as unknown as LotStore;
-    const reader = createLotReader(lots, clock, async (_lot, from, waitMs) => {
+    } as unknown as BatchJobStore;
+    const reader = createBatchJobReader(store, clock, async (_lot, from, waitMs) => {
         if (!state.isRunnerThere) {
             return undefined;
         }
@@ -47,7 +47,7 @@
         return { total: 3, team: undefined, chunks, hasMore: from + chunks.length < state.chunks.length };
     });
     const read = async (after: number, waitMs: number): Promise<string> => {
-        const reading = reader.read(lot, undefined, after, waitMs, signal);
+        const reading = reader.read(batchJobId, undefined, after, waitMs, signal);
         await clock.advance(waitMs + 100);
         return show(await reading);
     };
@@ -59,7 +59,7 @@
     const { clock, state, reader, read } = createFixture();
     state.chunks.push(chunkOf(0, "a"));
     const seen = [await read(0, 0), await read(1, 400)];
-    const waiting = reader.read(lot, undefined, 1, 1_000, signal);
+    const waiting = reader.read(batchJobId, undefined, 1, 1_000, signal);
     await clock.advance(200);
     state.chunks.push(chunkOf(1, "b"));
     await clock.advance(100);
@@ -80,15 +80,16 @@
 
 test("readers who wait and readers who do not add each chunk once", async () => {
     const { clock, state, reader } = createFixture();
-    const waiting = reader.read(lot, undefined, 0, 1_000, signal);
+    const waiting = reader.read(batchJobId, undefined, 0, 1_000, signal);
     await clock.advance(100);
     state.chunks.push(chunkOf(0, "a"));
-    const [now] = await Promise.all([reader.read(lot, undefined, 0, 0, signal), clock.advance(200)]);
-    expect([show(now), show(await waiting), show(await reader.read(lot, undefined, 0, 0, signal))]).toEqual([
-        "a>1",
-        "a>1",
-        "a>1",
-    ]);
+    const [now] = await Promise.all([reader.read(batchJobId, undefined, 0, 0, signal), clock.advance(200)]);
+    expect([show(now), show(await waiting), show(await reader.read(batchJobId, undefined, 0, 0, signal))])
+        .toEqual([
+            "a>1",
+            "a>1",
+            "a>1",
+        ]);
 });
 
 test("a client that reads from the start again sees what has come since", async () => {
--- a/packages/lots/src/createLotStore.test.ts
+++ b/packages/lots/src/createBatchJobStore.test.ts
@@ -2,16 +2,16 @@
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { createFakeObjectStore } from "@auburnarch/fakes/createFakeObjectStore";
 import { expect, test } from "vitest";
-import { createLotStore } from "./createLotStore.js";
-import type { Lot } from "./Lot.js";
-import type { LotId } from "./LotId.js";
+import type { BatchJob } from "./BatchJob.js";
+import type { BatchJobId } from "./BatchJobId.js";
+import { createBatchJobStore } from "./createBatchJobStore.js";
 
-const lot = "lot-1" as LotId;
-const job = {
-    lot,
+const batchJobId = "lot-1" as BatchJobId;
+const batchJob = {
+    lot: batchJobId,
     items: [{ maxOutputTokens: 10 }, { maxOutputTokens: 10 }],
     policy: undefined,
-} as unknown as Lot;
+} as unknown as BatchJob;
 
 function createFixture() {
     const clock = createFakeClock();
@@ -20,35 +20,41 @@
         const { read, write } = control.calls();
         return read + write;
     };
-    return { control, calls, here: createLotStore(store), elsewhere: createLotStore(store) };
+    return { control, calls, here: createBatchJobStore(store), elsewhere: createBatchJobStore(store) };
 }
 
 test("the gateway that took a job asks nothing before it ends it, nor when it comes or ends again", async () => {
     // 76 of 1,060 calls of a calm day read an entry that was known.
     const { calls, here } = createFixture();
-    await here.accept(job, 5);
-    await here.accept(job, 6);
+    await here.accept(batchJob, 5);
+    await here.accept(batchJob, 6);
     const accepted = calls();
-    expect([await here.end(lot, undefined), await here.end(lot, undefined)]).toEqual([true, true]);
+    expect([await here.end(batchJobId, undefined), await here.end(batchJobId, undefined)]).toEqual([
+        true,
+        true,
+    ]);
     expect([accepted, calls()]).toEqual([2, 3]);
-    expect(await here.readEntry(lot)).toMatchObject({ total: 2, isEnded: true, submittedAtMs: 5 });
+    expect(await here.readEntry(batchJobId)).toMatchObject({ total: 2, isEnded: true, submittedAtMs: 5 });
 });
 
 test("an end at another gateway is found before the entry is changed once more", async () => {
     const { here, elsewhere } = createFixture();
-    await here.accept(job, 5);
-    expect([await elsewhere.end(lot, undefined), await here.end(lot, undefined)]).toEqual([true, true]);
-    expect(await elsewhere.end("lot-2" as LotId, undefined)).toBe(false);
+    await here.accept(batchJob, 5);
+    expect([await elsewhere.end(batchJobId, undefined), await here.end(batchJobId, undefined)]).toEqual([
+        true,
+        true,
+    ]);
+    expect(await elsewhere.end("lot-2" as BatchJobId, undefined)).toBe(false);
 });
 
 test("an end whose answer is lost is read back before it is told", async () => {
     // Guards against: an end was told though the job ran on.
     const { control, here, elsewhere } = createFixture();
-    await here.accept(job, 5);
+    await here.accept(batchJob, 5);
     control.setOutage(true);
-    await expect(here.end(lot, undefined)).rejects.toThrow();
+    await expect(here.end(batchJobId, undefined)).rejects.toThrow();
     control.setOutage(false);
-    expect((await elsewhere.readEntry(lot))?.isEnded).toBe(false);
-    expect(await here.end(lot, undefined)).toBe(true);
-    expect((await elsewhere.readEntry(lot))?.isEnded).toBe(true);
+    expect((await elsewhere.readEntry(batchJobId))?.isEnded).toBe(false);
+    expect(await here.end(batchJobId, undefined)).toBe(true);
+    expect((await elsewhere.readEntry(batchJobId))?.isEnded).toBe(true);
 });
--- a/packages/membership/src/FailureDetector.ts
+++ b/packages/membership/src/FailureDetector.ts
@@ -9,9 +9,9 @@
 /** Judges who of a set of subjects is down, from when each was last heard. */
 export interface FailureDetector {
     /** Fresh evidence that a subject lives; it promised the next sign within about `expectedGapMs`. */
-    heard(subject: string, expectedGapMs?: number): void;
+    recordAlive(subject: string, expectedGapMs?: number): void;
     /** A connection to it failed just now. */
-    unreachable(subject: string): void;
+    recordFailedConnection(subject: string): void;
     forget(subject: string): void;
     /** Judges all subjects as of now. */
     judge(): ReadonlyMap<string, Verdict>;
--- a/packages/membership/src/Membership.ts
+++ b/packages/membership/src/Membership.ts
@@ -17,14 +17,14 @@
     /** Takes a sidecar's report, unchecked as it came. Throws `badRequest` if it is malformed. */
     receiveReport(message: unknown): ReportAnswer;
     /** Takes a report that came beside an answer. */
-    takeReport(report: ReportMessage["report"]): void;
+    acceptReport(report: ReportMessage["report"]): void;
     /** Other entries, suspected ones too. */
     listEntries(): EntryView[];
     /** Other entries neither suspected nor leaving. */
     listPeers(): EntryTarget[];
     listReports(): ReportView[];
     /** Evidence from a call to a sampler: whether a connection came about. */
-    noteSampler(sampler: SamplerId, reached: boolean): void;
+    recordSamplerContact(sampler: SamplerId, reached: boolean): void;
     /** True while this entry is among the few that watch the object API. */
     isRelay(): boolean;
 }
--- a/packages/membership/src/MembershipDeps.ts
+++ b/packages/membership/src/MembershipDeps.ts
@@ -24,6 +24,6 @@
     /** Names of the documents of `theirs` of which this entry has no version. */
     absentDocuments: (theirs: DocumentDigest) => string[];
     /** Documents that a sidecar sent because they are absent here. */
-    takeDocuments: (documents: DocumentTransfer[]) => void;
+    acceptDocuments: (documents: DocumentTransfer[]) => void;
     timing?: Partial<MembershipTiming>;
 }
--- a/packages/membership/src/MembershipTiming.ts
+++ b/packages/membership/src/MembershipTiming.ts
@@ -4,7 +4,7 @@
     gossipIntervalMs: number;
     gossipTimeoutMs: number;
     /** Changes in one message, beside the sender's and the receiver's own heartbeat. */
-    beatsPerMessage: number;
+    heartbeatsPerMessage: number;
     /** Full records in one message. */
     recordsPerMessage: number;
     /** A silence shorter than this never suspects. */
@@ -14,7 +14,7 @@
     /** At most this part of the subjects is suspected at once. */
     maxSuspectedRatio: number;
     /** Silent this long and absent from the VM list: forgotten. */
-    forgetMs: number;
+    forgetAfterMs: number;
     vmListIntervalMs: number;
     /** Entries that a sidecar reports to. */
     reportTargets: number;
@@ -24,5 +24,5 @@
     reportBytesPerSecond: number;
     reportTimeoutMs: number;
     /** Entries that watch the object API. */
-    relays: number;
+    relayCount: number;
 }
--- a/packages/membership/src/chooseOverDomains.ts
+++ b/packages/membership/src/chooseOverDomains.ts
@@ -16,21 +16,21 @@
     count: number,
     weights?: Map<string, string>,
 ): T[] {
-    let left = rankByRendezvous(key, candidates, candidate => candidate.address, weights);
+    let remaining = rankByRendezvous(key, candidates, candidate => candidate.address, weights);
     const chosen: T[] = [];
-    while (chosen.length < count && left.length > 0) {
-        const usedThisRound = new Set<FailureDomain>();
-        const passedOver: T[] = [];
-        for (const candidate of left) {
-            if (chosen.length < count && !usedThisRound.has(candidate.failureDomain)) {
-                usedThisRound.add(candidate.failureDomain);
+    while (chosen.length < count && remaining.length > 0) {
+        const usedInRound = new Set<FailureDomain>();
+        const deferred: T[] = [];
+        for (const candidate of remaining) {
+            if (chosen.length < count && !usedInRound.has(candidate.failureDomain)) {
+                usedInRound.add(candidate.failureDomain);
                 chosen.push(candidate);
             }
             else {
-                passedOver.push(candidate);
+                deferred.push(candidate);
             }
         }
-        left = passedOver;
+        remaining = deferred;
     }
     return chosen;
 }
--- a/packages/membership/src/createEntryDirectory.ts
+++ b/packages/membership/src/createEntryDirectory.ts
@@ -3,9 +3,9 @@
 
 /** Entries that a sidecar knows, and which of them fail. */
 interface EntryDirectory {
-    learn(targets: EntryTarget[]): void;
-    noteAnswered(address: string): void;
-    noteFailed(address: string): void;
+    add(targets: EntryTarget[]): void;
+    recordSuccess(address: string): void;
+    recordFailure(address: string): void;
     /** Those not to be left alone after a failure; all of them where none is left. */
     listUsable(): EntryTarget[];
     /** How many are usable; 0 where all fail. */
@@ -20,62 +20,62 @@
 
 const minRetryMs = 2_000;
 const maxRetryMs = 60_000;
-const forgottenAfterFailures = 8;
-const maxKnown = 512;
-const noDomain = "" as FailureDomain;
+const failuresToForget = 8;
+const maxEntries = 512;
+const unknownDomain = "" as FailureDomain;
 
 /** Makes a sidecar's directory of entries. Seeds have no known failure domain until an answer names them. */
 export function createEntryDirectory(nowMs: () => number, seeds: string[]): EntryDirectory {
     const rows = new Map<string, Row>();
 
-    function learn(targets: EntryTarget[]): void {
+    function add(targets: EntryTarget[]): void {
         for (const target of targets) {
             const known = rows.get(target.address);
             if (known !== undefined) {
                 known.target = target;
             }
-            else if (rows.size < maxKnown) {
+            else if (rows.size < maxEntries) {
                 rows.set(target.address, { target, failures: 0, retryAtMs: 0 });
             }
         }
     }
 
-    function learnSeeds(): void {
-        learn(
+    function addSeeds(): void {
+        add(
             seeds.filter(address => !rows.has(address)).map(address => ({
                 address,
-                failureDomain: noDomain,
+                failureDomain: unknownDomain,
             })),
         );
     }
 
     const usableRows = (): Row[] => [...rows.values()].filter(row => row.retryAtMs <= nowMs());
 
-    function noteFailed(address: string): void {
+    function recordFailure(address: string): void {
         const row = rows.get(address);
         if (row === undefined) {
             return;
         }
         row.failures++;
         row.retryAtMs = nowMs() + Math.min(maxRetryMs, minRetryMs * 2 ** (row.failures - 1));
-        if (row.failures >= forgottenAfterFailures && rows.size > 1) {
+        if (row.failures >= failuresToForget && rows.size > 1) {
             rows.delete(address);
         }
     }
 
-    learnSeeds();
+    addSeeds();
     return {
-        learn,
-        noteAnswered: address => {
+        add,
+        recordSuccess: address => {
             const row = rows.get(address);
             if (row !== undefined) {
                 row.failures = 0;
                 row.retryAtMs = 0;
             }
         },
-        noteFailed,
+        recordFailure,
         listUsable: () => {
-            learnSeeds();
+            addSeeds();
             const usable = usableRows();
             return (usable.length > 0 ? usable : [...rows.values()]).map(row => row.target);
         },
--- a/packages/membership/src/createFailureDetector.test.ts
+++ b/packages/membership/src/createFailureDetector.test.ts
@@ -13,7 +13,7 @@
     const hear = async (seconds: number, from: readonly string[]): Promise<void> => {
         for (let second = 0; second < seconds; second++) {
             awake.tick();
-            from.forEach(detector.heard);
+            from.forEach(detector.recordAlive);
             await clock.advance(1_000);
         }
     };
@@ -52,7 +52,7 @@
 test("failed connections suspect at most half, the longest silent first", async () => {
     const { hear, detector, suspected } = await build();
     await hear(2, subjects.slice(0, 7));
-    subjects.forEach(name => [1, 2].forEach(() => detector.unreachable(name)));
+    subjects.forEach(name => [1, 2].forEach(() => detector.recordFailedConnection(name)));
     expect(suspected()).toHaveLength(5);
     expect(suspected()).toEqual(expect.arrayContaining(subjects.slice(7)));
 });
@@ -61,7 +61,7 @@
     const { hear, detector, suspected, clock } = await build();
     for (let round = 0; round < 12; round++) {
         await hear(6, subjects.slice(1));
-        detector.heard("sampler-0");
+        detector.recordAlive("sampler-0");
         await clock.advance(0);
     }
     await hear(6, subjects.slice(1));
--- a/packages/membership/src/createFailureDetector.ts
+++ b/packages/membership/src/createFailureDetector.ts
@@ -2,7 +2,7 @@
 import type { MembershipTiming } from "./MembershipTiming.js";
 
 interface Subject {
-    lastHeardMs: number;
+    lastAliveAtMs: number;
     /** Mean gap between two signs of life, and mean deviation from it. */
     meanGapMs: number;
     deviationMs: number;
@@ -16,7 +16,7 @@
 const deviationsAllowed = 4;
 const gapsAllowed = 3;
 /** Failed connections since the last sign of life that count as proof without waiting for the silence. */
-const connectionsAllowed = 2;
+const failedConnectionsToSuspect = 2;
 
 type Verdict = ReturnType<FailureDetector["judge"]> extends ReadonlyMap<string, infer V> ? V : never;
 
@@ -30,12 +30,12 @@
 export function createFailureDetector(nowMs: () => number, timing: MembershipTiming): FailureDetector {
     const subjects = new Map<string, Subject>();
 
-    function heard(name: string, expectedGapMs = 0): void {
+    function recordAlive(name: string, expectedGapMs = 0): void {
         const subject = subjects.get(name);
         if (subject === undefined) {
             const meanGapMs = timing.minSuspectMs / gapsAllowed;
             const first = {
-                lastHeardMs: nowMs(),
+                lastAliveAtMs: nowMs(),
                 meanGapMs,
                 deviationMs: 0,
                 expectedGapMs,
@@ -45,48 +45,48 @@
             return;
         }
         subject.expectedGapMs = expectedGapMs;
-        const gapMs = nowMs() - subject.lastHeardMs;
+        const gapMs = nowMs() - subject.lastAliveAtMs;
         const offMs = Math.abs(gapMs - subject.meanGapMs);
         subject.meanGapMs += gapWeight * (gapMs - subject.meanGapMs);
         subject.deviationMs += gapWeight * (offMs - subject.deviationMs);
-        subject.lastHeardMs = nowMs();
+        subject.lastAliveAtMs = nowMs();
         subject.failedConnections = 0;
     }
 
-    function allowedMs(subject: Subject): number {
+    function allowedSilenceMs(subject: Subject): number {
         const gapMs = Math.max(subject.meanGapMs, subject.expectedGapMs);
         const usualMs = gapsAllowed * gapMs + deviationsAllowed * subject.deviationMs;
         return Math.min(timing.maxSuspectMs, Math.max(timing.minSuspectMs, usualMs));
     }
 
-    function firstVerdict(subject: Subject): Verdict {
-        const ageMs = nowMs() - subject.lastHeardMs;
-        if (subject.failedConnections >= connectionsAllowed) {
+    function judgeSubject(subject: Subject): Verdict {
+        const ageMs = nowMs() - subject.lastAliveAtMs;
+        if (subject.failedConnections >= failedConnectionsToSuspect) {
             return { ageMs, suspected: true, reason: "unreachable" };
         }
-        const silent = ageMs > allowedMs(subject);
+        const silent = ageMs > allowedSilenceMs(subject);
         return { ageMs, suspected: silent, reason: silent ? "silent" : "heard" };
     }
 
-    function spare(verdict: Verdict): void {
+    function clearSuspicion(verdict: Verdict): void {
         verdict.suspected = false;
         verdict.reason = "spared";
     }
 
-    function applyFloor(verdicts: Verdict[]): void {
+    function limitSuspicions(verdicts: Verdict[]): void {
         const allowed = Math.max(1, Math.floor(verdicts.length * timing.maxSuspectedRatio));
         let suspected = verdicts.filter(verdict => verdict.suspected);
         if (suspected.length <= allowed) {
             return;
         }
-        suspected.filter(verdict => verdict.reason === "silent").forEach(spare);
+        suspected.filter(verdict => verdict.reason === "silent").forEach(clearSuspicion);
         suspected = suspected.filter(verdict => verdict.suspected).sort((a, b) => b.ageMs - a.ageMs);
-        suspected.slice(allowed).forEach(spare);
+        suspected.slice(allowed).forEach(clearSuspicion);
     }
 
     return {
-        heard,
-        unreachable: name => {
+        recordAlive,
+        recordFailedConnection: name => {
             const subject = subjects.get(name);
             if (subject !== undefined) {
                 subject.failedConnections++;
@@ -94,8 +94,8 @@
         },
         forget: name => void subjects.delete(name),
         judge: () => {
-            const verdicts = new Map([...subjects].map(([name, subject]) => [name, firstVerdict(subject)]));
-            applyFloor([...verdicts.values()]);
+            const verdicts = new Map([...subjects].map(([name, subject]) => [name, judgeSubject(subject)]));
+            limitSuspicions([...verdicts.values()]);
             return verdicts;
         },
     };
--- a/packages/membership/src/createForgottenEntries.ts
+++ b/packages/membership/src/createForgottenEntries.ts
@@ -3,10 +3,10 @@
 
 /** Last heartbeats of entries that were forgotten. */
 interface ForgottenEntries {
-    note(beat: Heartbeat): void;
+    add(beat: Heartbeat): void;
     /** Its last heartbeat, while it is remembered. */
-    lastBeat(entry: EntryId): Heartbeat | undefined;
-    forget(entry: EntryId): void;
+    lastHeartbeat(entry: EntryId): Heartbeat | undefined;
+    remove(entry: EntryId): void;
     prune(): void;
 }
 
@@ -14,15 +14,15 @@
  * Makes the memory of forgotten entries, kept for `keptMs`. Without it, the gossip of a peer that has not forgotten
  * yet would bring a dead entry back as a new one.
  */
-export function createForgottenEntries(nowMs: () => number, keptMs: number): ForgottenEntries {
+export function createForgottenEntries(nowMs: () => number, retentionMs: number): ForgottenEntries {
     const forgotten = new Map<EntryId, { beat: Heartbeat; atMs: number; }>();
     return {
-        note: beat => void forgotten.set(beat.entry, { beat, atMs: nowMs() }),
-        lastBeat: entry => forgotten.get(entry)?.beat,
-        forget: entry => void forgotten.delete(entry),
+        add: beat => void forgotten.set(beat.entry, { beat, atMs: nowMs() }),
+        lastHeartbeat: entry => forgotten.get(entry)?.beat,
+        remove: entry => void forgotten.delete(entry),
         prune: () => {
             for (const [entry, { atMs }] of forgotten) {
-                if (nowMs() - atMs > keptMs) {
+                if (nowMs() - atMs > retentionMs) {
                     forgotten.delete(entry);
                 }
             }
--- a/packages/membership/src/createGossipMessages.ts
+++ b/packages/membership/src/createGossipMessages.ts
@@ -1,6 +1,6 @@
 import { drawOne } from "@auburnarch/spread/drawOne";
 import type { EntryId } from "@auburnarch/types/EntryId";
-import type { EntryBook } from "./EntryBook.js";
+import type { EntryRegistry } from "./EntryRegistry.js";
 import type { GossipMessage } from "./GossipMessage.js";
 import type { Heartbeat } from "./Heartbeat.js";
 import type { MembershipDeps } from "./MembershipDeps.js";
@@ -9,16 +9,16 @@
 
 /** Builds and takes the messages between entries. */
 interface GossipMessages {
-    take(message: GossipMessage): void;
-    build(to: EntryId | undefined, wanted: EntryId[]): GossipMessage;
+    applyMessage(message: GossipMessage): void;
+    buildMessage(to: EntryId | undefined, wanted: EntryId[]): GossipMessage;
     recordsFor(wanted: EntryId[]): RecordRow[];
 }
 
 /** Makes the building and taking of messages; `own` is this entry's heartbeat. */
 export function createGossipMessages(
     deps: Pick<MembershipDeps, "self" | "random" | "logger">,
-    own: Heartbeat,
-    book: EntryBook,
+    ownHeartbeat: Heartbeat,
+    registry: EntryRegistry,
     timing: MembershipTiming,
 ): GossipMessages {
     const { self } = deps;
@@ -27,42 +27,49 @@
      * Another run of this entry is known with a higher generation: the wall clock went back between the two.
      * Peers would drop all our heartbeats as old and take us for dead.
      */
-    function overtake(beat: Heartbeat): void {
-        const isAhead = beat.generation > own.generation
-            || (beat.generation === own.generation && beat.counter > own.counter);
+    function raiseGeneration(beat: Heartbeat): void {
+        const isAhead = beat.generation > ownHeartbeat.generation
+            || (beat.generation === ownHeartbeat.generation && beat.counter > ownHeartbeat.counter);
         if (isAhead) {
-            own.generation = beat.generation + 1;
-            deps.logger.warn("generationRaised", { entry: self.entry, generation: own.generation });
+            ownHeartbeat.generation = beat.generation + 1;
+            deps.logger.warn("generationRaised", { entry: self.entry, generation: ownHeartbeat.generation });
         }
     }
 
-    function take(message: GossipMessage): void {
+    function applyMessage(message: GossipMessage): void {
         for (const beat of message.beats) {
             if (beat.entry === self.entry) {
-                overtake(beat);
+                raiseGeneration(beat);
             }
             else {
-                book.takeBeat(beat);
+                registry.applyHeartbeat(beat);
             }
         }
-        message.records.filter(({ record }) => record.entry !== self.entry).forEach(book.takeRecord);
+        message.records.filter(({ record }) => record.entry !== self.entry).forEach(registry.applyRecord);
     }
 
     function recordsFor(wanted: EntryId[]): RecordRow[] {
-        const ownRow = { record: self, generation: own.generation };
+        const ownRow = { record: self, generation: ownHeartbeat.generation };
         return wanted
             .slice(0, timing.recordsPerMessage)
-            .map(entry => entry === self.entry ? ownRow : book.record(entry))
+            .map(entry => entry === self.entry ? ownRow : registry.record(entry))
             .filter(record => record !== undefined);
     }
 
-    function build(to: EntryId | undefined, wanted: EntryId[]): GossipMessage {
+    function buildMessage(to: EntryId | undefined, wanted: EntryId[]): GossipMessage {
         // The receiver's own beat goes along, so that it can raise its generation over an earlier run of itself.
-        const receiver = to === undefined ? undefined : book.beat(to);
+        const receiver = to === undefined ? undefined : registry.beat(to);
         // A row at random repairs what the news missed.
-        const repair = drawOne(book.beats(), deps.random);
+        const repair = drawOne(registry.beats(), deps.random);
         const beats = new Map<EntryId, Heartbeat>();
-        for (const beat of [{ ...own }, receiver, repair, ...book.drawNews(timing.beatsPerMessage)]) {
+        for (
+            const beat of [
+                { ...ownHeartbeat },
+                receiver,
+                repair,
+                ...registry.nextBroadcasts(timing.heartbeatsPerMessage),
+            ]
+        ) {
             if (beat !== undefined) {
                 beats.set(beat.entry, beat);
             }
@@ -71,9 +78,9 @@
             from: self.entry,
             beats: [...beats.values()],
             records: recordsFor(wanted),
-            wanted: book.withoutRecord(timing.recordsPerMessage),
+            wanted: registry.listWithoutRecord(timing.recordsPerMessage),
         };
     }
 
-    return { take, build, recordsFor };
+    return { applyMessage, buildMessage, recordsFor };
 }
--- a/packages/membership/src/createMembership.test.ts
+++ b/packages/membership/src/createMembership.test.ts
@@ -42,19 +42,22 @@
     const random = createRandom(5);
     const nodes = new Map<string, Membership>();
     /** Timers of entries that stand still, run when these go on. */
-    const held = new Map<number, (() => void)[]>();
-    const pausable = (at: number): Clock => {
+    const pausedTimers = new Map<number, (() => void)[]>();
+    const createPausableClock = (at: number): Clock => {
         const startTimer: Clock["startTimer"] = (delayMs, run) =>
-            clock.startTimer(delayMs, () => held.has(at) ? void held.get(at)!.push(run) : run());
+            clock.startTimer(
+                delayMs,
+                () => pausedTimers.has(at) ? void pausedTimers.get(at)!.push(run) : run(),
+            );
         return { ...clock, startTimer, sleep: createSleep(startTimer) };
     };
     const pause = (at: number, paused: boolean): void => {
-        const waiting = held.get(at) ?? [];
+        const waiting = pausedTimers.get(at) ?? [];
         if (paused) {
-            held.set(at, []);
+            pausedTimers.set(at, []);
             return;
         }
-        held.delete(at);
+        pausedTimers.delete(at);
         waiting.forEach(run => run());
     };
     const net = { connected: (_from: number, _to: string): boolean => true };
@@ -63,7 +66,7 @@
         const self = { ...recordOf(at, regions), ...(address === undefined ? {} : { address }) };
         const node = createMembership({
             self,
-            clock: { ...pausable(at), wallMs: () => clock.wallMs() + wallShiftMs },
+            clock: { ...createPausableClock(at), wallMs: () => clock.wallMs() + wallShiftMs },
             random: random.fork(),
             logger: silent,
             vmList: () => Promise.resolve(vms.list),
@@ -72,7 +75,7 @@
                 const wire = JSON.stringify(message);
                 await clock.sleep(1);
                 const target = nodes.get(address);
-                if (held.has(Number(address.split(".")[3]!.split(":")[0]))) {
+                if (pausedTimers.has(Number(address.split(".")[3]!.split(":")[0]))) {
                     // A process that stands still takes messages and answers none.
                     return new Promise(() => undefined);
                 }
@@ -84,7 +87,7 @@
             },
             newerDocuments: () => [],
             absentDocuments: () => [],
-            takeDocuments: () => undefined,
+            acceptDocuments: () => undefined,
         });
         nodes.set(self.address, node);
         node.start();
--- a/packages/membership/src/createMembership.ts
+++ b/packages/membership/src/createMembership.ts
@@ -1,11 +1,11 @@
 import { drawSome } from "@auburnarch/spread/drawSome";
-import { parseWith } from "@auburnarch/spread/parseWith";
+import { parseMessage } from "@auburnarch/spread/parseMessage";
 import { chooseOverDomains } from "./chooseOverDomains.js";
 import { createAwakeTime } from "./createAwakeTime.js";
-import { createEntryBook } from "./createEntryBook.js";
+import { createEntryRegistry } from "./createEntryRegistry.js";
 import { createGossip } from "./createGossip.js";
-import { createReportBook } from "./createReportBook.js";
 import { createReportPacer } from "./createReportPacer.js";
+import { createReportRegistry } from "./createReportRegistry.js";
 import { createVmView } from "./createVmView.js";
 import { defaultMembershipTiming } from "./defaultMembershipTiming.js";
 import type { EntryTarget } from "./EntryTarget.js";
@@ -19,14 +19,14 @@
 import type { ReportView } from "./ReportView.js";
 
 const relayKey = "relay";
-const usableMs = 1_000;
+const usableCacheMs = 1_000;
 /** Relays of each region, however many regions there are: one may die while the other goes on. */
 const minRelaysPerRegion = 2;
 /** A sidecar that knows fewer entries than this many times its targets is told of more. */
-const knownFactor = 4;
+const enoughEntriesFactor = 4;
 const entriesPerAnswer = 4;
 /** Part of the answers that name an entry all the same, so that new entries become known. */
-const unaskedRatio = 0.1;
+const unsolicitedEntryRatio = 0.1;
 
 /** Makes the membership of an entry: heartbeats with other entries, reports of sidecars, the VM list. */
 export function createMembership(deps: MembershipDeps): Membership {
@@ -35,8 +35,8 @@
     const stopped = new AbortController();
     const awake = createAwakeTime(clock, timing.gossipIntervalMs);
     const vmView = createVmView({ ...deps, intervalMs: timing.vmListIntervalMs });
-    const entries = createEntryBook(awake.nowMs, timing, logger);
-    const reports = createReportBook(awake.nowMs, timing, logger);
+    const entries = createEntryRegistry(awake.nowMs, timing, logger);
+    const reports = createReportRegistry(awake.nowMs, timing, logger);
     const gossip = createGossip(deps, entries, awake, timing);
     const pacer = createReportPacer(timing);
 
@@ -58,16 +58,19 @@
         }));
     }
 
-    let usable: { views: EntryView[]; revision: number; untilMs: number; } | undefined;
+    let usableCache: { views: EntryView[]; revision: number; untilMs: number; } | undefined;
 
     /** Entries neither suspected nor leaving; kept for a moment, since every message asks for them. */
     function listUsable(): EntryView[] {
         const nowMs = clock.monotonicMs();
-        if (usable === undefined || usable.revision !== entries.revision() || nowMs >= usable.untilMs) {
+        if (
+            usableCache === undefined || usableCache.revision !== entries.revision()
+            || nowMs >= usableCache.untilMs
+        ) {
             const views = listEntries().filter(view => !view.suspected && !view.leaving);
-            usable = { views, revision: entries.revision(), untilMs: nowMs + usableMs };
+            usableCache = { views, revision: entries.revision(), untilMs: nowMs + usableCacheMs };
         }
-        return usable.views;
+        return usableCache.views;
     }
 
     const toTarget = ({ record }: EntryView): EntryTarget => ({
@@ -78,53 +81,55 @@
     function computeRelay(): boolean {
         const records = listUsable().map(view => view.record);
         const regions = new Set([self, ...records].map(record => record.region)).size;
-        const count = Math.max(minRelaysPerRegion, Math.ceil(timing.relays / regions));
-        const near = records.filter(record => record.region === self.region);
+        const count = Math.max(minRelaysPerRegion, Math.ceil(timing.relayCount / regions));
+        const sameRegion = records.filter(record => record.region === self.region);
         // Each region has relays of its own, so that one that is cut off needs no election to go on.
-        const chosen = chooseOverDomains(`${relayKey}/${self.region}`, [self, ...near], count);
+        const chosen = chooseOverDomains(`${relayKey}/${self.region}`, [self, ...sameRegion], count);
         return chosen.includes(self);
     }
 
-    let relay: { isRelay: boolean; among: string; } | undefined;
+    let relayStatus: { isRelay: boolean; among: string; } | undefined;
 
     function isRelay(): boolean {
         // Hashing all entries at each question would cost more than all the rest.
         const among = listUsable().map(view => view.record.address).join(" ");
-        if (relay?.among !== among) {
-            const before = relay?.isRelay ?? false;
-            relay = { isRelay: computeRelay(), among };
-            if (relay.isRelay !== before) {
+        if (relayStatus?.among !== among) {
+            const before = relayStatus?.isRelay ?? false;
+            relayStatus = { isRelay: computeRelay(), among };
+            if (relayStatus.isRelay !== before) {
                 logger.info("relayChosen", {
                     entry: self.entry,
-                    isRelay: relay.isRelay,
+                    isRelay: relayStatus.isRelay,
                     among: listUsable().length + 1,
                 });
             }
         }
-        return relay.isRelay;
+        return relayStatus.isRelay;
     }
 
-    function tellEntries(knownEntries: number): EntryTarget[] {
-        const enough = Math.min(knownFactor * timing.reportTargets, listUsable().length + 1);
+    function chooseEntriesToName(knownEntries: number): EntryTarget[] {
+        const enough = Math.min(enoughEntriesFactor * timing.reportTargets, listUsable().length + 1);
         if (knownEntries < enough) {
             return drawSome(listUsable(), entriesPerAnswer, random).map(toTarget);
         }
-        return random.nextUnit() < unaskedRatio ? drawSome(listUsable(), 1, random).map(toTarget) : [];
+        return random.nextUnit() < unsolicitedEntryRatio
+            ? drawSome(listUsable(), 1, random).map(toTarget)
+            : [];
     }
 
     function receiveReport(message: unknown): ReportAnswer {
-        const parsed = parseWith<ReportMessage>(reportMessageSchema, message);
+        const parsed = parseMessage<ReportMessage>(reportMessageSchema, message);
         const { report, digest, knownEntries, documents = [] } = parsed;
-        deps.takeDocuments(documents);
+        deps.acceptDocuments(documents);
         const nextReportMs = pacer.intervalMs(reports.size());
-        reports.take(report, nextReportMs);
-        pacer.note(message);
+        reports.accept(report, nextReportMs);
+        pacer.measure(message);
         const wanted = deps.absentDocuments(digest);
         return {
             documents: deps.newerDocuments(digest),
             ...(wanted.length > 0 ? { wanted } : {}),
             nextReportMs,
-            entries: tellEntries(knownEntries),
+            entries: chooseEntriesToName(knownEntries),
             leaving: vmView.isLeaving(report.vm),
         };
     }
@@ -149,11 +154,11 @@
         beginLeaving: gossip.beginLeaving,
         receiveGossip: gossip.receive,
         receiveReport,
-        takeReport: report => void reports.take(report, timing.maxReportIntervalMs),
+        acceptReport: report => void reports.accept(report, timing.maxReportIntervalMs),
         listEntries,
         listPeers: () => listUsable().map(toTarget),
         listReports,
-        noteSampler: reports.note,
+        recordSamplerContact: reports.recordContact,
         isRelay,
     };
 }
--- a/packages/membership/src/createProbeHealth.ts
+++ b/packages/membership/src/createProbeHealth.ts
@@ -1,11 +1,11 @@
 /** Whether this process's own probes mostly fail. */
 interface ProbeHealth {
-    note(answered: boolean): void;
+    record(answered: boolean): void;
     isPoor(): boolean;
 }
 
-const keptOutcomes = 8;
-const poorFailures = 6;
+const maxOutcomes = 8;
+const minFailuresForPoor = 6;
 
 /**
  * Makes the memory of a process's last probes. Where nearly all fail, the fault is most likely on this side (cut
@@ -14,12 +14,12 @@
 export function createProbeHealth(): ProbeHealth {
     const outcomes: boolean[] = [];
     return {
-        note: answered => {
+        record: answered => {
             outcomes.push(answered);
-            if (outcomes.length > keptOutcomes) {
+            if (outcomes.length > maxOutcomes) {
                 outcomes.shift();
             }
         },
-        isPoor: () => outcomes.filter(answered => !answered).length >= poorFailures,
+        isPoor: () => outcomes.filter(answered => !answered).length >= minFailuresForPoor,
     };
 }
--- a/packages/membership/src/createReportBook.ts
+++ b/packages/membership/src/createReportRegistry.ts
@@ -7,10 +7,10 @@
 import type { ReportView } from "./ReportView.js";
 
 /** Newest report of each sampler. */
-interface ReportBook {
+interface ReportRegistry {
     /** Takes a report if it is newer; the next is expected within about `expectedGapMs`. */
-    take(report: SamplerReport, expectedGapMs: number): boolean;
-    note(sampler: SamplerId, reached: boolean): void;
+    accept(report: SamplerReport, expectedGapMs: number): boolean;
+    recordContact(sampler: SamplerId, reached: boolean): void;
     list(): ReportView[];
     /** Drops samplers that are silent for long and that `isListed` does not know. */
     prune(isListed: (report: SamplerReport) => boolean): void;
@@ -24,21 +24,21 @@
     suspected: boolean;
 }
 
-const keptIncarnations = 4;
+const maxIncarnations = 4;
 
 /**
  * Makes the book of reports. A report counts only if its sequence is the highest seen of its incarnation: one that
  * was overtaken on the way, or that a dead incarnation sent, would otherwise replace newer knowledge.
  */
-export function createReportBook(
+export function createReportRegistry(
     nowMs: () => number,
     timing: MembershipTiming,
     logger: Logger,
-): ReportBook {
+): ReportRegistry {
     const rows = new Map<SamplerId, Row>();
     const detector = createFailureDetector(nowMs, timing);
 
-    function take(report: SamplerReport, expectedGapMs: number): boolean {
+    function accept(report: SamplerReport, expectedGapMs: number): boolean {
         const row = rows.get(report.sampler);
         const sequences = row?.sequences ?? new Map<IncarnationId, number>();
         if (report.sequence <= (sequences.get(report.incarnation) ?? -1)) {
@@ -54,11 +54,11 @@
         }
         sequences.delete(report.incarnation);
         sequences.set(report.incarnation, report.sequence);
-        if (sequences.size > keptIncarnations) {
+        if (sequences.size > maxIncarnations) {
             sequences.delete(sequences.keys().next().value!);
         }
         rows.set(report.sampler, { report, sequences, suspected: row?.suspected ?? false });
-        detector.heard(report.sampler, expectedGapMs);
+        detector.recordAlive(report.sampler, expectedGapMs);
         return true;
     }
 
@@ -86,7 +86,7 @@
 
     function prune(isListed: (report: SamplerReport) => boolean): void {
         for (const { report, ageMs } of list()) {
-            if (ageMs > timing.forgetMs && !isListed(report)) {
+            if (ageMs > timing.forgetAfterMs && !isListed(report)) {
                 rows.delete(report.sampler);
                 detector.forget(report.sampler);
                 logger.info("samplerForgotten", { sampler: report.sampler, ageMs: Math.round(ageMs) });
@@ -95,13 +95,13 @@
     }
 
     return {
-        take,
-        note: (sampler, reached) => {
+        accept,
+        recordContact: (sampler, reached) => {
             if (!reached) {
-                detector.unreachable(sampler);
+                detector.recordFailedConnection(sampler);
             }
             else if (rows.has(sampler)) {
-                detector.heard(sampler, timing.maxReportIntervalMs);
+                detector.recordAlive(sampler, timing.maxReportIntervalMs);
             }
         },
         list,
--- a/packages/membership/src/createReporter.test.ts
+++ b/packages/membership/src/createReporter.test.ts
@@ -32,7 +32,7 @@
     child: () => silent,
 };
 
-function build(answers: (address: string, message: ReportMessage) => Promise<unknown>) {
+function build(answerReport: (address: string, message: ReportMessage) => Promise<unknown>) {
     const clock = createFakeClock();
     const state = { leaving: 0, sent: [] as { address: string; atMs: number; state: string; }[] };
     const vms = [...entryVms];
@@ -59,7 +59,7 @@
         seeds: [],
         exchange: (address, message) => {
             state.sent.push({ address, atMs: clock.monotonicMs(), state: message.report.state });
-            return answers(address, message);
+            return answerReport(address, message);
         },
     });
     return { clock, reporter, state, reported, vms };
@@ -67,13 +67,13 @@
 
 const ownRow = { role: "sidecar", sampler: "rollout-1" as SamplerId, state: "leaving" } as const;
 
-const fine = { documents: [], nextReportMs: 1_000, entries: [], leaving: false };
+const okAnswer = { documents: [], nextReportMs: 1_000, entries: [], leaving: false };
 
 test("an entry that has no version of a document gets the one held here with the next report, at once", async () => {
     const brought: unknown[] = [];
     const { clock, reporter } = build((_address, message) => {
         brought.push(...message.documents ?? []);
-        return Promise.resolve(brought.length > 0 ? fine : { ...fine, wanted: ["manifest"] });
+        return Promise.resolve(brought.length > 0 ? okAnswer : { ...okAnswer, wanted: ["manifest"] });
     });
     reporter.start();
     await clock.advance(100);
@@ -82,7 +82,7 @@
 });
 
 test("reports go to three entries in three failure domains, about once a second", async () => {
-    const { clock, reporter, state } = build(() => Promise.resolve(fine));
+    const { clock, reporter, state } = build(() => Promise.resolve(okAnswer));
     reporter.start();
     await clock.advance(10_000);
     reporter.stop();
@@ -98,7 +98,7 @@
     // Guards against: a change of configuration reaches some sidecars only after a whole interval.
     const intervalOf = (address: string): number => 8_600 + 200 * Number(address.at(-3));
     const { clock, reporter, state } = build(address =>
-        Promise.resolve({ ...fine, nextReportMs: intervalOf(address) })
+        Promise.resolve({ ...okAnswer, nextReportMs: intervalOf(address) })
     );
     reporter.start();
     await clock.advance(100_000);
@@ -113,7 +113,7 @@
     // Guards against: an entry's VM is gone and the sampler is known to two entries only.
     const down = new Set<string>();
     const { clock, reporter } = build(address =>
-        down.has(address) ? Promise.reject(new Error("refused")) : Promise.resolve(fine)
+        down.has(address) ? Promise.reject(new Error("refused")) : Promise.resolve(okAnswer)
     );
     reporter.start();
     await clock.advance(3_000);
@@ -137,7 +137,7 @@
     reported.state = "swapping";
     reporter.reportNow();
     expect(state.sent.length).toBe(before);
-    answer!({ ...fine, nextReportMs: 10_000 });
+    answer!({ ...okAnswer, nextReportMs: 10_000 });
     await clock.advance(0);
     expect(state.sent.slice(before).map(sent => sent.state)).toEqual(["swapping"]);
     reporter.stop();
@@ -145,7 +145,7 @@
 
 test("a malformed answer counts as a failure and a leaving VM is noticed through the answer", async () => {
     const { clock, reporter, state } = build(address =>
-        Promise.resolve(address.endsWith("1:1") ? { nonsense: true } : { ...fine, leaving: true })
+        Promise.resolve(address.endsWith("1:1") ? { nonsense: true } : { ...okAnswer, leaving: true })
     );
     reporter.start();
     await clock.advance(1_500);
