--- a/packages/membership/src/createReporter.ts
+++ b/packages/membership/src/createReporter.ts
@@ -1,7 +1,7 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
-import { callInTime } from "@auburnarch/spread/callInTime";
+import { callWithTimeout } from "@auburnarch/spread/callWithTimeout";
 import type { DocumentTransfer } from "@auburnarch/spread/DocumentTransfer";
-import { parseWith } from "@auburnarch/spread/parseWith";
+import { parseMessage } from "@auburnarch/spread/parseMessage";
 import type { DocumentDigest } from "@auburnarch/types/DocumentDigest";
 import { createEntryDirectory } from "./createEntryDirectory.js";
 import { createTargetChooser } from "./createTargetChooser.js";
@@ -32,9 +32,9 @@
     const dueAtMs = new Map<string, number>();
     const inFlight = new Set<string>();
     /** Where in the interval this sidecar's second report lies, so that not all report at the same time. */
-    const ownPlace = deps.random.nextUnit();
+    const phase = deps.random.nextUnit();
     let vmListDueMs = 0;
-    let answeredAtMs = clock.monotonicMs();
+    let lastAnswerAtMs = clock.monotonicMs();
     /** Counts the calls of `reportNow`. */
     let changes = 0;
 
@@ -44,22 +44,22 @@
             if (isOwnVmLeaving(deps.report().vm, listed)) {
                 deps.onLeaving();
             }
-            learn(listEntryTargets(listed));
+            addEntries(listEntryTargets(listed));
         }
         catch (error) {
             deps.logger.warn("vmListFailed", { code: codeOf(error).name });
         }
     }
 
-    function isListWanted(): boolean {
+    function isVmListDue(): boolean {
         const nowMs = clock.monotonicMs();
-        const isSilent = nowMs - answeredAtMs > timing.maxReportIntervalMs;
+        const isSilent = nowMs - lastAnswerAtMs > timing.maxReportIntervalMs;
         return nowMs >= vmListDueMs && (isSilent || directory.countUsable() < timing.reportTargets);
     }
 
-    function learn(entries: EntryTarget[]): void {
+    function addEntries(entries: EntryTarget[]): void {
         if (entries.length > 0) {
-            directory.learn(entries);
+            directory.add(entries);
             chooser.invalidate();
         }
     }
@@ -68,18 +68,18 @@
         const targets = chooser.choose().map(target => target.address);
         const plannedMs = targets.filter(each => each !== address).map(each => dueAtMs.get(each) ?? 0);
         const nowMs = clock.monotonicMs();
-        return planNextReportMs({ nowMs, plannedMs, targets: targets.length, intervalMs, ownPlace });
+        return planNextReportMs({ nowMs, plannedMs, targets: targets.length, intervalMs, phase });
     }
 
-    function takeAnswer(address: string, answer: ReportAnswer, changesSent: number): void {
-        directory.noteAnswered(address);
-        answeredAtMs = clock.monotonicMs();
-        learn(answer.entries);
-        const owed = deps.wholeDocuments(answer.wanted ?? []);
-        if (owed.length > 0) {
-            void reportTo(address, owed);
+    function handleAnswer(address: string, answer: ReportAnswer, reportedChanges: number): void {
+        directory.recordSuccess(address);
+        lastAnswerAtMs = clock.monotonicMs();
+        addEntries(answer.entries);
+        const requestedDocuments = deps.wholeDocuments(answer.wanted ?? []);
+        if (requestedDocuments.length > 0) {
+            void reportTo(address, requestedDocuments);
         }
-        else if (changesSent === changes) {
+        else if (reportedChanges === changes) {
             dueAtMs.set(address, nextReportAtMs(address, answer.nextReportMs));
         }
         else {
@@ -98,7 +98,7 @@
      * The documents to ask for. One that is to come whole is asked of one entry at a time: at the start all
      * entries chosen would send a manifest of some hundred kilobytes at once.
      */
-    function askOnce(): DocumentDigest {
+    function digestToRequest(): DocumentDigest {
         const digest = deps.digest();
         const isAlone = inFlight.size <= 1;
         return isAlone
@@ -108,24 +108,24 @@
 
     async function reportTo(address: string, documents: DocumentTransfer[] = []): Promise<void> {
         inFlight.add(address);
-        const changesSent = changes;
+        const reportedChanges = changes;
         const message = {
             report: deps.report(),
-            digest: askOnce(),
+            digest: digestToRequest(),
             knownEntries: directory.countUsable(),
             ...(documents.length > 0 ? { documents } : {}),
         };
         const call = (): Promise<ReportAnswer> =>
             deps.exchange(address, message).then(answer =>
-                parseWith<ReportAnswer>(reportAnswerSchema, answer)
+                parseMessage<ReportAnswer>(reportAnswerSchema, answer)
             );
-        const outcome = await callInTime(clock, timing.reportTimeoutMs, call);
+        const outcome = await callWithTimeout(clock, timing.reportTimeoutMs, call);
         inFlight.delete(address);
         if (outcome !== undefined) {
-            takeAnswer(address, outcome.answer, changesSent);
+            handleAnswer(address, outcome.answer, reportedChanges);
             return;
         }
-        directory.noteFailed(address);
+        directory.recordFailure(address);
         dueAtMs.delete(address);
         chooser.invalidate();
         deps.logger.warn("reportFailed", { sampler: deps.sampler, entry: address });
@@ -148,9 +148,9 @@
 
     async function run(): Promise<void> {
         while (!stopped.signal.aborted) {
-            if (isListWanted()) {
+            if (isVmListDue()) {
                 vmListDueMs = clock.monotonicMs() + timing.vmListIntervalMs;
-                await callInTime(clock, timing.reportTimeoutMs, readVmList);
+                await callWithTimeout(clock, timing.reportTimeoutMs, readVmList);
             }
             reportWhereDue();
             await clock.sleep(nextSleepMs(), stopped.signal);
--- a/packages/membership/src/createTargetChooser.ts
+++ b/packages/membership/src/createTargetChooser.ts
@@ -11,7 +11,7 @@
 }
 
 /** How long a choice stands while nothing fails; hashing all entries each time would cost more. */
-const choiceMs = 5_000;
+const choiceCacheMs = 5_000;
 const maxWeights = 2_048;
 
 /** Makes the choice of `count` entries for `key` out of those that answer. */
@@ -24,7 +24,7 @@
     const weights = new Map<string, string>();
     let chosen: { targets: EntryTarget[]; untilMs: number; } | undefined;
 
-    function chooseAnew(): EntryTarget[] {
+    function recomputeChoice(): EntryTarget[] {
         // Addresses come and go for as long as the sidecar runs.
         if (weights.size > maxWeights) {
             weights.clear();
@@ -36,7 +36,7 @@
         choose: () => {
             const nowMs = clock.monotonicMs();
             if (chosen === undefined || nowMs >= chosen.untilMs) {
-                chosen = { targets: chooseAnew(), untilMs: nowMs + choiceMs };
+                chosen = { targets: recomputeChoice(), untilMs: nowMs + choiceCacheMs };
             }
             return chosen.targets;
         },
--- a/packages/own/src/Authority.ts
+++ b/packages/own/src/Authority.ts
@@ -5,15 +5,15 @@
     /** Starting and delivering samples. */
     mayRun(): boolean;
     /** Accepting steps and weights. */
-    mayTakeIntent(): boolean;
+    mayAcceptIntent(): boolean;
     /** True while the object API is known not to answer. */
-    isStoreSilent(): boolean;
+    isStoreUnreachable(): boolean;
     /** Tells of a fencing number seen outside; false, and the end of this owner, if it is newer than its own. */
-    noteFencing(seen: number, where: string): boolean;
+    checkFencing(seen: number, source: string): boolean;
     /** The end of this owner, whatever the lease says. */
-    stopForGood(code: ResultCode, reason: string): void;
+    stopPermanently(code: ResultCode, reason: string): void;
     /** Why the owner has ended; undefined while it has not. */
-    stoppedBy(): ResultCode | undefined;
+    stopCode(): ResultCode | undefined;
     /** Stops probing. */
     close(): void;
 }
--- a/packages/own/src/ReaderDeps.ts
+++ b/packages/own/src/GroupReaderDeps.ts
@@ -8,17 +8,17 @@
 import type { Authority } from "./Authority.js";
 import type { createNotifier } from "./createNotifier.js";
 import type { JobState } from "./JobState.js";
-import type { Maker } from "./Maker.js";
 import type { OpenStep } from "./OpenStep.js";
 import type { OwnerGuards } from "./OwnerGuards.js";
+import type { SampleProducer } from "./SampleProducer.js";
 
 /** What a reader is built from. */
-export interface ReaderDeps {
+export interface GroupReaderDeps {
     state: JobState;
     fencing: FencingNumber;
     codec: CursorCodec;
     authority: Authority;
-    maker: Maker;
+    producer: SampleProducer;
     guards: OwnerGuards;
     invariants: Invariants;
     clock: Clock;
@@ -30,5 +30,5 @@
     /** The trainer has shown that it has these groups, for the first time. */
     onAcknowledged: (step: OpenStep, cursor: CursorState, groups: number[]) => void;
     /** Resolves once the end of a step is durable, or after a short while if it cannot be made so now. */
-    whenCompleted: () => Promise<void>;
+    flushCheckpoint: () => Promise<void>;
 }
--- a/packages/own/src/OpenStep.ts
+++ b/packages/own/src/OpenStep.ts
@@ -9,9 +9,9 @@
     document: StepDocument;
     ledger: StepLedger;
     /** The cursor with the most groups that the trainer has shown. */
-    furthest: CursorState;
+    furthestCursor: CursorState;
     /** Pages issued, by what their reader's cursor said. */
-    pages: Map<string, GroupsPage>;
+    issuedPages: Map<string, GroupsPage>;
     /**
      * Samples that are with the dispatcher, being scored, or about to be tried again, each with the number of its
      * submission: a sample withdrawn and wanted again is another submission, and the first one's answer is dropped.
--- a/packages/own/src/OwnerGuards.ts
+++ b/packages/own/src/OwnerGuards.ts
@@ -6,11 +6,11 @@
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import type { SampleProblem } from "@auburnarch/verify/SampleProblem";
 import type { VersionBounds } from "@auburnarch/verify/VersionBounds";
-import type { ActingState } from "./ActingState.js";
+import type { AuthorityState } from "./AuthorityState.js";
 
 /** The checks that keep an owner's promises. The fault bench replaces one at a time and shows what is lost. */
 export interface OwnerGuards extends LedgerGuards {
-    mayRun: (state: ActingState) => boolean;
+    mayRun: (state: AuthorityState) => boolean;
     /** False if a number that came back from outside shows a newer owner than this one. */
     isOwnNumberCurrent: (seen: number, own: number) => boolean;
     isGenuineCursor: typeof isGenuineCursor;
@@ -22,5 +22,5 @@
     /** True if a page issued for a cursor is to be issued again for the same cursor. */
     repeatsPage: () => boolean;
     /** True if a published version may follow the one that stands. */
-    isHigherVersion: (version: number, standing: number) => boolean;
+    isHigherVersion: (version: number, current: number) => boolean;
 }
--- a/packages/own/src/MakerDeps.ts
+++ b/packages/own/src/SampleProducerDeps.ts
@@ -10,7 +10,7 @@
 import type { OwnerGuards } from "./OwnerGuards.js";
 
 /** What a maker is built from. */
-export interface MakerDeps {
+export interface SampleProducerDeps {
     state: JobState;
     guards: OwnerGuards;
     clock: Clock;
@@ -21,5 +21,5 @@
     dispatcher: Dispatcher;
     isStopped: () => boolean;
     /** A group has become whole. */
-    onWhole: (step: OpenStep, group: SampleGroup) => void;
+    onGroupComplete: (step: OpenStep, group: SampleGroup) => void;
 }
--- a/packages/own/src/buildCheckpoint.ts
+++ b/packages/own/src/buildCheckpoint.ts
@@ -14,7 +14,7 @@
         discardedEngineMs: state.discardedEngineMs,
         cursors: [...state.steps.values()].map(step => ({
             step: step.document.step,
-            cursor: codec.encode(step.furthest),
+            cursor: codec.encode(step.furthestCursor),
         })),
     };
 }
--- a/packages/own/src/makeTask.ts
+++ b/packages/own/src/buildSampleTask.ts
@@ -8,13 +8,13 @@
 import type { StepDocument } from "./StepDocument.js";
 
 const seedDigits = 8;
-const largestSeed = 0x7fffffff;
+const maxSeed = 0x7fffffff;
 
 /**
  * Makes the task of one sample. Its seed follows from its identity, so that a sample made again by another owner
  * asks for the same thing. Its digest leaves the seed out: a prompt that kills samplers does so under any seed.
  */
-export function makeTask(
+export function buildSampleTask(
     job: JobManifest,
     document: StepDocument,
     group: number,
@@ -32,7 +32,7 @@
         index,
         prompt,
         maxTokens,
-        seed: Number.parseInt(seedHex, 16) & largestSeed,
+        seed: Number.parseInt(seedHex, 16) & maxSeed,
         digest: digestOf([job.policy, prompt, maxTokens]),
         needAtMs: clock.monotonicMs() + (document.needAtMs - clock.wallMs()),
         minVersion,
--- a/packages/own/src/checkPage.ts
+++ b/packages/own/src/checkPageInvariants.ts
@@ -17,23 +17,23 @@
 }
 
 /** Asserts the promises on a page about to be delivered; false if one would break. Uses none of the guards. */
-export function checkPage(invariants: Invariants, page: PageToCheck): boolean {
+export function checkPageInvariants(invariants: Invariants, page: PageToCheck): boolean {
     const { job, step, groupSize, bounds } = page;
     return page.groups.every(group => {
         const fields = { job, step, group: group.group };
         const spans = group.samples.flatMap(sample => sample.spans);
-        const isNamed = group.samples.every(sample => sample.spans.length > 0)
+        const hasProvenance = group.samples.every(sample => sample.spans.length > 0)
             && spans.every(span => Number.isSafeInteger(span.version));
-        const isOwn = group.samples.length === groupSize
+        const hasExpectedSamples = group.samples.length === groupSize
             && group.samples.every((sample, index) =>
                 sample.sample === sampleIdOf(job, step, group.group, index)
             );
-        const isRecent = spans.every(span => span.version >= bounds.minVersion);
+        const isWithinStalenessBound = spans.every(span => span.version >= bounds.minVersion);
         return [
-            invariants.check(resultCodes.provenanceMissing, isNamed, fields),
-            invariants.check(resultCodes.answerMixed, isOwn, fields),
-            invariants.check(resultCodes.staleDelivered, isRecent, fields),
+            invariants.check(resultCodes.provenanceMissing, hasProvenance, fields),
+            invariants.check(resultCodes.answerMixed, hasExpectedSamples, fields),
+            invariants.check(resultCodes.staleDelivered, isWithinStalenessBound, fields),
             invariants.check(resultCodes.deliveredTwice, !hasGroup(page.delivered, group.group), fields),
-        ].every(holds => holds);
+        ].every(isSatisfied => isSatisfied);
     });
 }
--- a/packages/own/src/claimWithRetries.ts
+++ b/packages/own/src/claimWithRetries.ts
@@ -28,9 +28,9 @@
         }
         catch (error) {
             const code = codeOf(error);
-            const isPassing = code.number === resultCodes.storeUnavailable.number
+            const isTransient = code.number === resultCodes.storeUnavailable.number
                 || code.number === resultCodes.storeThrottled.number;
-            if (!isPassing || !lease.isHeld()) {
+            if (!isTransient || !lease.isHeld()) {
                 throw error;
             }
             logger.warn("claimFailed", { code: code.number, name: code.name, failures });
--- a/packages/own/src/createAuthority.ts
+++ b/packages/own/src/createAuthority.ts
@@ -5,13 +5,13 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
-import type { ActingState } from "./ActingState.js";
 import type { Authority } from "./Authority.js";
-import { mayTakeIntent } from "./mayTakeIntent.js";
+import type { AuthorityState } from "./AuthorityState.js";
+import { mayAcceptIntent } from "./mayAcceptIntent.js";
 import type { OwnerGuards } from "./OwnerGuards.js";
 
-const probeEveryMs = 1_000;
-const probeAnswerMs = 2_000;
+const probeIntervalMs = 1_000;
+const probeTimeoutMs = 2_000;
 
 interface AuthorityDeps {
     lease: Lease;
@@ -32,39 +32,41 @@
 export function createAuthority(deps: AuthorityDeps): Authority {
     const { lease, store, clock, logger, guards } = deps;
     const closed = new AbortController();
-    let stopped: ResultCode | undefined;
-    let isFencedOff = false;
-    let silentSinceMs: number | undefined;
+    let stopCode: ResultCode | undefined;
+    let isFenced = false;
+    let unansweredProbeSentAtMs: number | undefined;
 
-    const state = (): ActingState => ({
+    const currentState = (): AuthorityState => ({
         isLeaseLost: lease.lost.aborted,
-        isFencedOff,
+        isFenced,
         isLeaseHeld: lease.isHeld(),
-        storeSilentAgeMs: silentSinceMs === undefined ? undefined : clock.monotonicMs() - silentSinceMs,
+        unansweredProbeAgeMs: unansweredProbeSentAtMs === undefined
+            ? undefined
+            : clock.monotonicMs() - unansweredProbeSentAtMs,
     });
 
-    function stopForGood(code: ResultCode, reason: string): void {
-        if (stopped !== undefined) {
+    function stopPermanently(code: ResultCode, reason: string): void {
+        if (stopCode !== undefined) {
             return;
         }
-        stopped = code;
+        stopCode = code;
         closed.abort();
         logger.warn("ownerStopped", { code: code.number, name: code.name, reason, fencing: lease.fencing });
         deps.onStopped();
     }
 
-    function noteFencing(seen: number, where: string): boolean {
+    function checkFencing(seen: number, source: string): boolean {
         if (guards.isOwnNumberCurrent(seen, lease.fencing)) {
             return true;
         }
-        isFencedOff = true;
-        stopForGood(resultCodes.fenced, where);
+        isFenced = true;
+        stopPermanently(resultCodes.fenced, source);
         return false;
     }
 
-    async function readLeaseNumber(): Promise<number> {
-        const silence = clock.sleep(probeAnswerMs, closed.signal).then((): "silent" => "silent");
-        const answer = await Promise.race([store.read(lease.key), silence]);
+    async function readLeaseFencing(): Promise<number> {
+        const timeout = clock.sleep(probeTimeoutMs, closed.signal).then((): "silent" => "silent");
+        const answer = await Promise.race([store.read(lease.key), timeout]);
         if (answer === "silent") {
             throw new Error("no answer");
         }
@@ -74,46 +76,46 @@
     async function probe(): Promise<void> {
         const sentAtMs = clock.monotonicMs();
         try {
-            noteFencing(await readLeaseNumber(), "lease");
-            silentSinceMs = undefined;
+            checkFencing(await readLeaseFencing(), "lease");
+            unansweredProbeSentAtMs = undefined;
         }
         catch {
             // Counted from the sending: a process paused in the middle of a probe learns nothing from it.
-            silentSinceMs = sentAtMs;
+            unansweredProbeSentAtMs = sentAtMs;
         }
     }
 
-    async function probeWhilePastLease(): Promise<void> {
+    async function probeWhileLeaseExpired(): Promise<void> {
         let couldRun = true;
         while (!closed.signal.aborted) {
             if (lease.isHeld()) {
-                silentSinceMs = undefined;
+                unansweredProbeSentAtMs = undefined;
             }
             else {
-                couldRun = couldRun && guards.mayRun(state());
+                couldRun = couldRun && guards.mayRun(currentState());
                 await probe();
             }
-            const canRun = guards.mayRun(state());
+            const canRun = guards.mayRun(currentState());
             if (canRun && !couldRun) {
                 deps.onMayRunAgain();
             }
             couldRun = canRun;
-            await clock.sleep(probeEveryMs, closed.signal);
+            await clock.sleep(probeIntervalMs, closed.signal);
         }
     }
 
-    lease.lost.addEventListener("abort", () => stopForGood(resultCodes.notOwner, "leaseLost"), {
+    lease.lost.addEventListener("abort", () => stopPermanently(resultCodes.notOwner, "leaseLost"), {
         once: true,
     });
-    void probeWhilePastLease();
+    void probeWhileLeaseExpired();
 
     return {
-        mayRun: () => stopped === undefined && guards.mayRun(state()),
-        mayTakeIntent: () => stopped === undefined && mayTakeIntent(state()),
-        isStoreSilent: () => silentSinceMs !== undefined,
-        noteFencing,
-        stopForGood,
-        stoppedBy: () => stopped,
+        mayRun: () => stopCode === undefined && guards.mayRun(currentState()),
+        mayAcceptIntent: () => stopCode === undefined && mayAcceptIntent(currentState()),
+        isStoreUnreachable: () => unansweredProbeSentAtMs !== undefined,
+        checkFencing,
+        stopPermanently,
+        stopCode: () => stopCode,
         close: () => closed.abort(),
     };
 }
--- a/packages/own/src/createCheckpointer.ts
+++ b/packages/own/src/createCheckpointer.ts
@@ -23,25 +23,27 @@
 export function createCheckpointer(deps: CheckpointerDeps): Checkpointer {
     const { clock, random, logger } = deps;
     const closed = new AbortController();
-    let changes = 0;
-    let durable = 0;
+    let changeCount = 0;
+    let durableCount = 0;
     let failures = 0;
     let isWriting = false;
     let cancelTimer: (() => void) | undefined;
-    let waiters: { changes: number; resolve: () => void; }[] = [];
+    let waiters: { changeCount: number; resolve: () => void; }[] = [];
 
-    function settle(): void {
-        const met = waiters.filter(waiter => waiter.changes <= durable || closed.signal.aborted);
-        waiters = waiters.filter(waiter => !met.includes(waiter));
-        met.forEach(waiter => waiter.resolve());
+    function resolveWaiters(): void {
+        const resolvable = waiters.filter(waiter =>
+            waiter.changeCount <= durableCount || closed.signal.aborted
+        );
+        waiters = waiters.filter(waiter => !resolvable.includes(waiter));
+        resolvable.forEach(waiter => waiter.resolve());
     }
 
     async function write(): Promise<void> {
-        const covered = changes;
+        const writtenCount = changeCount;
         isWriting = true;
         try {
             await deps.write(deps.build());
-            durable = covered;
+            durableCount = writtenCount;
             failures = 0;
         }
         catch (error) {
@@ -53,12 +55,12 @@
             }
         }
         isWriting = false;
-        settle();
+        resolveWaiters();
         schedule(waiters.length > 0 && failures === 0 ? 0 : batchMs);
     }
 
     function schedule(delayMs: number): void {
-        if (closed.signal.aborted || isWriting || changes === durable) {
+        if (closed.signal.aborted || isWriting || changeCount === durableCount) {
             return;
         }
         if (cancelTimer !== undefined && (delayMs > 0 || failures > 0)) {
@@ -72,16 +74,16 @@
         });
     }
 
-    function note(): void {
-        changes++;
+    function markChanged(): void {
+        changeCount++;
         schedule(batchMs);
     }
 
     function flush(): Promise<void> {
-        if (changes === durable || closed.signal.aborted) {
+        if (changeCount === durableCount || closed.signal.aborted) {
             return Promise.resolve();
         }
-        const flushed = new Promise<void>(resolve => waiters.push({ changes, resolve }));
+        const flushed = new Promise<void>(resolve => waiters.push({ changeCount, resolve }));
         schedule(0);
         return flushed;
     }
@@ -89,8 +91,8 @@
     function close(): void {
         closed.abort();
         cancelTimer?.();
-        settle();
+        resolveWaiters();
     }
 
-    return { note, flush, close };
+    return { markChanged, flush, close };
 }
--- a/packages/own/src/createFencedObject.ts
+++ b/packages/own/src/createFencedObject.ts
@@ -6,7 +6,7 @@
 import type { WriteOutcome } from "@auburnarch/types/WriteOutcome";
 
 /** A write whose answer was lost is sent again; if it took effect, the second comes back as a conflict that shows it. */
-const maxTries = 3;
+const maxAttempts = 3;
 
 interface FencedObjectDeps<T> {
     store: ObjectStore;
@@ -15,7 +15,7 @@
     parse: (value: unknown) => T | undefined;
     fencingOf: (value: T) => number;
     /** False, and the owner's end, if the stored number is newer than the owner's. */
-    noteFencing: (seen: number) => boolean;
+    checkFencing: (seen: number) => boolean;
 }
 
 /** An object that only its owner with the highest fencing number can change. */
@@ -25,7 +25,7 @@
      * value that stands and its version.
      */
     update(
-        change: (standing: T | undefined) => T | undefined,
+        change: (current: T | undefined) => T | undefined,
     ): Promise<{ value: T | undefined; version: number; }>;
 }
 
@@ -36,24 +36,24 @@
  */
 export function createFencedObject<T>(deps: FencedObjectDeps<T>): FencedObject<T> {
     const { store, key, parse } = deps;
-    let known: { value: T | undefined; version: ObjectVersion; } | undefined;
+    let cached: { value: T | undefined; version: ObjectVersion; } | undefined;
 
-    function take(object: { value: unknown; version: ObjectVersion; } | undefined): void {
+    function updateCache(object: { value: unknown; version: ObjectVersion; } | undefined): void {
         const value = object === undefined ? undefined : parse(object.value);
-        known = { value, version: object?.version ?? 0 as ObjectVersion };
-        if (value !== undefined && !deps.noteFencing(deps.fencingOf(value))) {
+        cached = { value, version: object?.version ?? 0 as ObjectVersion };
+        if (value !== undefined && !deps.checkFencing(deps.fencingOf(value))) {
             throw new ResultError(resultCodes.fenced, key);
         }
     }
 
     async function write(value: T, expected: ObjectVersion): Promise<WriteOutcome> {
-        for (let tries = 1;; tries++) {
+        for (let attempts = 1;; attempts++) {
             try {
                 return await store.write(key, value, expected);
             }
             catch (error) {
                 const isUnknown = codeOf(error).number === resultCodes.storeUnavailable.number;
-                if (!isUnknown || tries === maxTries) {
+                if (!isUnknown || attempts === maxAttempts) {
                     throw error;
                 }
             }
@@ -61,23 +61,23 @@
     }
 
     async function update(
-        change: (standing: T | undefined) => T | undefined,
+        change: (current: T | undefined) => T | undefined,
     ): Promise<{ value: T | undefined; version: number; }> {
         for (;;) {
-            if (known === undefined) {
-                take(await store.read(key));
+            if (cached === undefined) {
+                updateCache(await store.read(key));
             }
-            const standing = known!;
+            const standing = cached!;
             const value = change(standing.value);
             if (value === undefined) {
                 return standing;
             }
             const outcome = await write(value, standing.version);
             if (outcome.kind === "written") {
-                known = { value, version: outcome.version };
-                return known;
+                cached = { value, version: outcome.version };
+                return cached;
             }
-            take(outcome.current);
+            updateCache(outcome.current);
         }
     }
 
--- a/packages/own/src/createGroupKeeper.ts
+++ b/packages/own/src/createGroupBackup.ts
@@ -3,16 +3,16 @@
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 import type { GroupKeep } from "@auburnarch/types/GroupKeep";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { GroupKeeper } from "./GroupKeeper.js";
+import type { GroupBackup } from "./GroupBackup.js";
 import type { JobState } from "./JobState.js";
 import type { OpenStep } from "./OpenStep.js";
-import { parseKeptGroup } from "./parseKeptGroup.js";
+import { parseStoredGroup } from "./parseStoredGroup.js";
 
 /** A takeover does not wait longer than this for kept groups; making them again is slower, but sure. */
-const restoreWaitMs = 5_000;
+const restoreTimeoutMs = 5_000;
 
-interface GroupKeeperDeps {
-    keep: GroupKeep | undefined;
+interface GroupBackupDeps {
+    groupStore: GroupKeep | undefined;
     state: JobState;
     fencing: FencingNumber;
     clock: Clock;
@@ -20,8 +20,8 @@
 }
 
 /** Makes the keeper over a `GroupKeep`; without one it keeps nothing. */
-export function createGroupKeeper(deps: GroupKeeperDeps): GroupKeeper {
-    const { keep, state, fencing, clock, logger } = deps;
+export function createGroupBackup(deps: GroupBackupDeps): GroupBackup {
+    const { groupStore, state, fencing, clock, logger } = deps;
     const { job } = state.job;
 
     function logFailure(action: string, step: number): (error: unknown) => void {
@@ -32,11 +32,11 @@
     }
 
     async function load(step: number): Promise<{ group: number; fencing: number; body: string; }[]> {
-        if (keep === undefined) {
+        if (groupStore === undefined) {
             return [];
         }
-        const timeout = clock.sleep(restoreWaitMs).then(() => []);
-        const loaded = keep.load(job, step).catch((error: unknown) => {
+        const timeout = clock.sleep(restoreTimeoutMs).then(() => []);
+        const loaded = groupStore.load(job, step).catch((error: unknown) => {
             logFailure("load", step)(error);
             return [];
         });
@@ -50,7 +50,7 @@
             .filter(record => record.fencing <= fencing)
             .sort((a, b) => b.fencing - a.fencing);
         const groups = usable
-            .flatMap(record => parseKeptGroup(job, step.document, record.body, state.bounds()) ?? []);
+            .flatMap(record => parseStoredGroup(job, step.document, record.body, state.bounds()) ?? []);
         groups.flatMap(group => group.samples).forEach(sample => step.ledger.commit(sample));
         logger.info("groupsRestored", {
             step: step.document.step,
@@ -69,11 +69,11 @@
                 fencing,
                 body: JSON.stringify(group),
             };
-            void keep?.save(record).catch(logFailure("save", record.step));
+            void groupStore?.save(record).catch(logFailure("save", record.step));
         },
         drop: (step, groups) => {
             if (groups.length > 0) {
-                void keep?.drop(job, step.document.step, [...groups]).catch(
+                void groupStore?.drop(job, step.document.step, [...groups]).catch(
                     logFailure("drop", step.document.step),
                 );
             }
--- a/packages/own/src/createReader.ts
+++ b/packages/own/src/createGroupReader.ts
@@ -7,14 +7,14 @@
 import type { GroupsPage } from "@auburnarch/types/GroupsPage";
 import type { StepNumber } from "@auburnarch/types/StepNumber";
 import { createPageIssuer } from "./createPageIssuer.js";
+import type { GroupReaderDeps } from "./GroupReaderDeps.js";
 import type { OpenStep } from "./OpenStep.js";
-import type { ReaderDeps } from "./ReaderDeps.js";
 
 const maxWaitMs = 60_000;
 const retryAfterMs = 500;
 
 /** Reads groups of a step for its trainer. */
-type Reader = (step: StepNumber, cursor: string | undefined, waitMs: number) => Promise<GroupsPage>;
+type GroupReader = (step: StepNumber, cursor: string | undefined, waitMs: number) => Promise<GroupsPage>;
 
 const isComplete = (cursor: CursorState): boolean => countGroups(cursor) === cursor.groups;
 
@@ -24,8 +24,8 @@
  * Makes the reader: a long poll whose cursor is the authority on what the trainer has. `done` answers a cursor that
  * covers every group, so a trainer reads once more after its last groups, and that read acknowledges them.
  */
-export function createReader(deps: ReaderDeps): Reader {
-    const { state, codec, authority, maker, clock } = deps;
+export function createGroupReader(deps: GroupReaderDeps): GroupReader {
+    const { state, codec, authority, producer, clock } = deps;
     const nextPage = createPageIssuer(deps);
     const { job } = state.job;
 
@@ -34,7 +34,7 @@
         if (decoded === undefined) {
             throw new ResultError(resultCodes.cursorInvalid, `step ${step}`);
         }
-        if (!authority.noteFencing(decoded.fencing, "cursor")) {
+        if (!authority.checkFencing(decoded.fencing, "cursor")) {
             throw new ResultError(resultCodes.fenced, `step ${step}`);
         }
         return decoded;
@@ -66,13 +66,13 @@
     }
 
     function acknowledge(step: OpenStep, cursor: CursorState): void {
-        const fresh = allGroups(step).filter(group =>
-            hasGroup(cursor.delivered, group) && !hasGroup(step.furthest.delivered, group)
+        const newlyDelivered = allGroups(step).filter(group =>
+            hasGroup(cursor.delivered, group) && !hasGroup(step.furthestCursor.delivered, group)
         );
-        if (fresh.length > 0 && countGroups(cursor) > countGroups(step.furthest)) {
-            step.furthest = cursor;
-            maker.withdraw(step, fresh);
-            deps.onAcknowledged(step, cursor, fresh);
+        if (newlyDelivered.length > 0 && countGroups(cursor) > countGroups(step.furthestCursor)) {
+            step.furthestCursor = cursor;
+            producer.withdraw(step, newlyDelivered);
+            deps.onAcknowledged(step, cursor, newlyDelivered);
         }
     }
 
@@ -80,52 +80,52 @@
         return { ...donePage(cursor), done: false };
     }
 
-    function refuseIfStopped(): void {
-        const stopped = authority.stoppedBy();
-        if (stopped !== undefined) {
-            throw new ResultError(stopped, "", retryAfterMs);
+    function throwIfStopped(): void {
+        const stopCode = authority.stopCode();
+        if (stopCode !== undefined) {
+            throw new ResultError(stopCode, "", retryAfterMs);
         }
     }
 
     async function pollStep(step: OpenStep, cursor: CursorState, waitMs: number): Promise<GroupsPage> {
-        const endMs = clock.monotonicMs() + Math.min(Math.max(0, waitMs), maxWaitMs);
+        const deadlineMs = clock.monotonicMs() + Math.min(Math.max(0, waitMs), maxWaitMs);
         for (;;) {
-            refuseIfStopped();
+            throwIfStopped();
             const page = authority.mayRun() ? nextPage(step, cursor) : undefined;
             if (page !== undefined) {
                 return page;
             }
-            const leftMs = endMs - clock.monotonicMs();
-            if (leftMs <= 0 && !authority.mayRun()) {
+            const remainingMs = deadlineMs - clock.monotonicMs();
+            if (remainingMs <= 0 && !authority.mayRun()) {
                 throw new ResultError(resultCodes.notOwner, "the lease is past its time", retryAfterMs);
             }
-            if (leftMs <= 0) {
+            if (remainingMs <= 0) {
                 return emptyPage(cursor);
             }
-            await deps.notifier.wait(leftMs);
+            await deps.notifier.wait(remainingMs);
         }
     }
 
-    async function finish(cursor: CursorState): Promise<GroupsPage> {
-        await deps.whenCompleted();
-        refuseIfStopped();
+    async function confirmCompletion(cursor: CursorState): Promise<GroupsPage> {
+        await deps.flushCheckpoint();
+        throwIfStopped();
         return donePage(cursor);
     }
 
-    return async (number, cursorText, waitMs) => {
-        refuseIfStopped();
-        const shown = cursorText === undefined ? undefined : decode(number, cursorText);
-        const found = state.steps.get(number) ?? await deps.findStep(number);
-        if (found === undefined && shown !== undefined && isComplete(shown)) {
-            return donePage(shown);
+    return async (number, encodedCursor, waitMs) => {
+        throwIfStopped();
+        const decodedCursor = encodedCursor === undefined ? undefined : decode(number, encodedCursor);
+        const knownStep = state.steps.get(number) ?? await deps.findStep(number);
+        if (knownStep === undefined && decodedCursor !== undefined && isComplete(decodedCursor)) {
+            return donePage(decodedCursor);
         }
-        const step = checkStep(number, found, shown);
-        const cursor = shown ?? emptyCursor(job, number, step.document.prompts.length, deps.fencing);
+        const step = checkStep(number, knownStep, decodedCursor);
+        const cursor = decodedCursor ?? emptyCursor(job, number, step.document.prompts.length, deps.fencing);
         acknowledge(step, cursor);
         if (isComplete(cursor)) {
-            return finish(cursor);
+            return confirmCompletion(cursor);
         }
-        maker.want(step, allGroups(step).filter(group => !hasGroup(cursor.delivered, group)));
+        producer.requestMissing(step, allGroups(step).filter(group => !hasGroup(cursor.delivered, group)));
         return pollStep(step, cursor, waitMs);
     };
 }
--- a/packages/own/src/createIntent.ts
+++ b/packages/own/src/createIntentWriter.ts
@@ -4,24 +4,24 @@
 import type { PublishedWeights } from "@auburnarch/types/PublishedWeights";
 import type { StepSpec } from "@auburnarch/types/StepSpec";
 import type { Authority } from "./Authority.js";
-import { createSerial } from "./createSerial.js";
+import { createSerialQueue } from "./createSerialQueue.js";
 import { digestOf } from "./digestOf.js";
-import type { Intent } from "./Intent.js";
+import type { IntentWriter } from "./IntentWriter.js";
 import type { JobState } from "./JobState.js";
 import type { JobStore } from "./JobStore.js";
 import { promptsSchema } from "./promptsSchema.js";
-import type { StepBook } from "./StepBook.js";
 import type { StepDocument } from "./StepDocument.js";
+import type { StepRegistry } from "./StepRegistry.js";
 
 const maxWaitingChanges = 16;
 const maxGroups = 65_536;
 const retryAfterMs = 1_000;
 
-interface IntentDeps {
+interface IntentWriterDeps {
     state: JobState;
     authority: Authority;
     jobStore: JobStore;
-    book: StepBook;
+    steps: StepRegistry;
     clock: Clock;
     /** The weights that stand in the object API, once they are known. */
     onWeights: (weights: PublishedWeights) => void;
@@ -32,16 +32,16 @@
 const isCount = (value: number): boolean => Number.isSafeInteger(value) && value >= 0;
 
 /** Makes the taker of intent: one durable change at a time, refused while the lease is not held. */
-export function createIntent(deps: IntentDeps): Intent {
-    const { state, authority, jobStore, book, clock } = deps;
-    const inTurn = createSerial(maxWaitingChanges);
+export function createIntentWriter(deps: IntentWriterDeps): IntentWriter {
+    const { state, authority, jobStore, steps, clock } = deps;
+    const runSerially = createSerialQueue(maxWaitingChanges);
 
-    function refuseWithoutLease(): void {
-        const stopped = authority.stoppedBy();
-        if (stopped !== undefined) {
-            throw new ResultError(stopped, "", retryAfterMs);
+    function throwUnlessLeaseHeld(): void {
+        const stopCode = authority.stopCode();
+        if (stopCode !== undefined) {
+            throw new ResultError(stopCode, "", retryAfterMs);
         }
-        if (!authority.mayTakeIntent()) {
+        if (!authority.mayAcceptIntent()) {
             throw new ResultError(resultCodes.intentRefused, "the lease is past its time", retryAfterMs);
         }
     }
@@ -61,10 +61,10 @@
     }
 
     /** True if the step stands with this content; throws if it stands with another or is long over. */
-    function stands(document: StepDocument): boolean {
+    function isAlreadyOpened(document: StepDocument): boolean {
         const digest = state.steps.get(document.step)?.document.digest ?? state.completed.get(document.step);
-        const isForgotten = digest === undefined && document.step < state.retiredBelow;
-        if (isForgotten || (digest !== undefined && digest !== document.digest)) {
+        const isRetired = digest === undefined && document.step < state.retiredBelow;
+        if (isRetired || (digest !== undefined && digest !== document.digest)) {
             throw new ResultError(resultCodes.stepConflict, `step ${document.step}`);
         }
         return digest !== undefined;
@@ -72,14 +72,14 @@
 
     async function openStep(spec: StepSpec): Promise<void> {
         const document = toDocument(spec);
-        refuseWithoutLease();
-        if (stands(document)) {
+        throwUnlessLeaseHeld();
+        if (isAlreadyOpened(document)) {
             return;
         }
-        await inTurn(async () => {
-            refuseWithoutLease();
-            if (!stands(document)) {
-                await book.open(await jobStore.createStep(document));
+        await runSerially(async () => {
+            throwUnlessLeaseHeld();
+            if (!isAlreadyOpened(document)) {
+                await steps.open(await jobStore.createStep(document));
             }
         });
     }
@@ -88,13 +88,13 @@
         if (weights.policy !== state.job.policy || !isCount(weights.version)) {
             throw badRequest(`weights: a version from 0 of policy ${state.job.policy}`);
         }
-        refuseWithoutLease();
-        await inTurn(async () => {
-            refuseWithoutLease();
-            const standing = await jobStore.writeWeights(weights);
-            deps.onWeights(standing);
-            if (standing.version !== weights.version || standing.location !== weights.location) {
-                throw new ResultError(resultCodes.versionNotHigher, `published: ${standing.version}`);
+        throwUnlessLeaseHeld();
+        await runSerially(async () => {
+            throwUnlessLeaseHeld();
+            const stored = await jobStore.writeWeights(weights);
+            deps.onWeights(stored);
+            if (stored.version !== weights.version || stored.location !== weights.location) {
+                throw new ResultError(resultCodes.versionNotHigher, `published: ${stored.version}`);
             }
         });
     }
--- a/packages/own/src/createJobStore.ts
+++ b/packages/own/src/createJobStore.ts
@@ -9,7 +9,7 @@
 import type { Checkpoint } from "./Checkpoint.js";
 import { checkpointSchema } from "./checkpointSchema.js";
 import { createFencedObject } from "./createFencedObject.js";
-import { createStepRecords } from "./createStepRecords.js";
+import { createStepStore } from "./createStepStore.js";
 import type { JobStore } from "./JobStore.js";
 import type { OwnerGuards } from "./OwnerGuards.js";
 import { weightsRecordSchema } from "./weightsRecordSchema.js";
@@ -19,7 +19,7 @@
     job: JobId;
     fencing: FencingNumber;
     guards: Pick<OwnerGuards, "isHigherVersion">;
-    noteFencing: (seen: number, where: string) => boolean;
+    checkFencing: (seen: number, source: string) => boolean;
 }
 
 type WeightsRecord = z.infer<typeof weightsRecordSchema>;
@@ -29,7 +29,7 @@
 /** Makes a job's durable state under its keys `jobs/<job>/…`. */
 export function createJobStore(deps: JobStoreDeps): JobStore {
     const { store, job, fencing, guards } = deps;
-    const steps = createStepRecords(store, job);
+    const steps = createStepStore(store, job);
     const weightsKey = `jobs/${job}/weights`;
 
     const weightsObject = createFencedObject<WeightsRecord>({
@@ -37,26 +37,26 @@
         key: weightsKey,
         parse: value => weightsRecordSchema.safeParse(value).data,
         fencingOf: value => value.fencing,
-        noteFencing: seen => deps.noteFencing(seen, "weights"),
+        checkFencing: seen => deps.checkFencing(seen, "weights"),
     });
     const checkpointObject = createFencedObject<Checkpoint>({
         store,
         key: `jobs/${job}/checkpoint`,
         parse: value => checkpointSchema.safeParse(value).data,
         fencingOf: value => value.fencing,
-        noteFencing: seen => deps.noteFencing(seen, "checkpoint"),
+        checkFencing: seen => deps.checkFencing(seen, "checkpoint"),
     });
 
     async function claim(): ReturnType<JobStore["claim"]> {
-        const weights = await weightsObject.update(standing => ({ fencing, published: standing?.published }));
-        const checkpoint = await checkpointObject.update(standing => ({
-            completed: standing?.completed ?? [],
-            retiredBelow: standing?.retiredBelow ?? 0,
-            deliveredEngineMs: standing?.deliveredEngineMs ?? 0,
-            deliveredSamples: standing?.deliveredSamples ?? 0,
-            deliveredTokens: standing?.deliveredTokens ?? 0,
-            discardedEngineMs: standing?.discardedEngineMs ?? 0,
-            cursors: standing?.cursors ?? [],
+        const weights = await weightsObject.update(stored => ({ fencing, published: stored?.published }));
+        const checkpoint = await checkpointObject.update(stored => ({
+            completed: stored?.completed ?? [],
+            retiredBelow: stored?.retiredBelow ?? 0,
+            deliveredEngineMs: stored?.deliveredEngineMs ?? 0,
+            deliveredSamples: stored?.deliveredSamples ?? 0,
+            deliveredTokens: stored?.deliveredTokens ?? 0,
+            discardedEngineMs: stored?.discardedEngineMs ?? 0,
+            cursors: stored?.cursors ?? [],
             fencing,
         }));
         return {
@@ -70,9 +70,9 @@
         await store.read(weightsKey).catch((error: unknown) => {
             throw new ResultError(resultCodes.intentRefused, codeOf(error).name, retryAfterMs);
         });
-        const { value } = await weightsObject.update(standing => {
-            const standingVersion = standing?.published?.version ?? -1;
-            const isHigher = guards.isHigherVersion(weights.version, standingVersion);
+        const { value } = await weightsObject.update(stored => {
+            const storedVersion = stored?.published?.version ?? -1;
+            const isHigher = guards.isHigherVersion(weights.version, storedVersion);
             return isHigher ? { fencing, published: weights } : undefined;
         });
         return value!.published as PublishedWeights;
--- a/packages/own/src/createNotifier.ts
+++ b/packages/own/src/createNotifier.ts
@@ -12,9 +12,9 @@
     let changed = new AbortController();
     return {
         notify: () => {
-            const last = changed;
+            const previous = changed;
             changed = new AbortController();
-            last.abort();
+            previous.abort();
         },
         wait: waitMs => clock.sleep(waitMs, changed.signal),
     };
--- a/packages/own/src/createOpenStep.ts
+++ b/packages/own/src/createOpenStep.ts
@@ -13,8 +13,8 @@
     return {
         document,
         ledger: createStepLedger(document.prompts.length, document.groupSize, guards),
-        furthest,
-        pages: new Map(),
+        furthestCursor: furthest,
+        issuedPages: new Map(),
         outstanding: new Map(),
     };
 }
--- a/packages/own/src/createOwner.test.ts
+++ b/packages/own/src/createOwner.test.ts
@@ -151,7 +151,7 @@
 
 test("a sample that fails verification is made again", async () => {
     const world = createTestWorld({ samplers: 1 });
-    world.sidecars[0]!.spoilAnswers(2);
+    world.sidecars[0]!.returnEmptyAnswers(2);
     const { owner } = await settle(world, world.startOwner());
     await settle(world, owner.openStep(spec()));
     expect(groupsIn(await readAll(world, owner)).sort()).toEqual([0, 1, 2]);
--- a/packages/own/src/createOwner.ts
+++ b/packages/own/src/createOwner.ts
@@ -6,26 +6,26 @@
 import { claimWithRetries } from "./claimWithRetries.js";
 import { createAuthority } from "./createAuthority.js";
 import { createCheckpointer } from "./createCheckpointer.js";
-import { createGroupKeeper } from "./createGroupKeeper.js";
-import { createIntent } from "./createIntent.js";
+import { createGroupBackup } from "./createGroupBackup.js";
+import { createGroupReader } from "./createGroupReader.js";
+import { createIntentWriter } from "./createIntentWriter.js";
 import { createJobState } from "./createJobState.js";
 import { createJobStore } from "./createJobStore.js";
 import { createNotifier } from "./createNotifier.js";
-import { createPipe } from "./createPipe.js";
-import { createReader } from "./createReader.js";
 import { createRunningCounts } from "./createRunningCounts.js";
-import { createStepBook } from "./createStepBook.js";
-import { createWeightsTaker } from "./createWeightsTaker.js";
+import { createSamplePipeline } from "./createSamplePipeline.js";
+import { createStepRegistry } from "./createStepRegistry.js";
+import { createWeightUpdater } from "./createWeightUpdater.js";
 import { defaultOwnerGuards } from "./defaultOwnerGuards.js";
 import { defaultOwnerParts } from "./defaultOwnerParts.js";
 import { describeOwner } from "./describeOwner.js";
 import type { Owner } from "./Owner.js";
 import type { OwnerDeps } from "./OwnerDeps.js";
 import type { OwnerParts } from "./OwnerParts.js";
-import { takeUpSteps } from "./takeUpSteps.js";
+import { resumeSteps } from "./resumeSteps.js";
 
 /** A read that ends a step, or a graceful stop, waits this long for the checkpoint to be durable. */
-const flushWaitMs = 1_000;
+const flushTimeoutMs = 1_000;
 
 /**
  * Makes the owner of one job under its lease's fencing number. It first claims the job's durable state, so that an
@@ -42,7 +42,7 @@
     const logger = deps.logger.child({ job: deps.job.job, fencing });
     const codec = createCursorCodec(deps.cursorKey, guards.isGenuineCursor);
     const notifier = createNotifier(clock);
-    const endings: (() => void)[] = [];
+    const stopHandlers: (() => void)[] = [];
     const ended = new AbortController();
 
     const authority = createAuthority({
@@ -51,7 +51,7 @@
         clock,
         logger,
         guards,
-        onStopped: () => endings.forEach(end => end()),
+        onStopped: () => stopHandlers.forEach(end => end()),
         onMayRunAgain: notifier.notify,
     });
     const jobStore = createJobStore({
@@ -59,7 +59,7 @@
         job: deps.job.job,
         fencing,
         guards,
-        noteFencing: authority.noteFencing,
+        checkFencing: authority.checkFencing,
     });
     const claimed = await claimWithRetries({ jobStore, lease, clock, random, logger }).catch(
         (error: unknown) => {
@@ -70,8 +70,8 @@
     const state = createJobState(deps.job, claimed);
 
     const runningCounts = createRunningCounts();
-    const keeper = createGroupKeeper({ keep: deps.keep, state, fencing, clock, logger });
-    const { maker, dispatcher, roller } = createPipe({
+    const groupBackup = createGroupBackup({ groupStore: deps.keep, state, fencing, clock, logger });
+    const { producer, dispatcher, roller } = createSamplePipeline({
         deps,
         parts,
         guards,
@@ -79,15 +79,15 @@
         authority,
         logger,
         onRunning: runningCounts.change,
-        onWhole: (step, group) => {
-            keeper.save(step, group);
+        onGroupComplete: (step, group) => {
+            groupBackup.save(step, group);
             notifier.notify();
         },
     });
 
     async function writeCheckpoint(checkpoint: Checkpoint): Promise<void> {
         await jobStore.writeCheckpoint(checkpoint);
-        void book.removeOver(checkpoint.completed.map(({ step }) => step));
+        void steps.removeFinished(checkpoint.completed.map(({ step }) => step));
     }
     const checkpointer = createCheckpointer({
         clock,
@@ -96,45 +96,45 @@
         build: () => buildCheckpoint(state, codec, fencing),
         write: writeCheckpoint,
     });
-    const book = createStepBook({
+    const steps = createStepRegistry({
         state,
         fencing,
         guards,
         jobStore,
-        keeper,
-        maker,
+        groupBackup,
+        producer,
         checkpointer,
         logger,
         alreadyRemoved: [...state.completed.keys()].filter(step => !claimed.storedSteps.includes(step)),
     });
 
-    async function flushForAWhile(): Promise<void> {
-        if (!authority.isStoreSilent()) {
-            await Promise.race([checkpointer.flush(), clock.sleep(flushWaitMs)]);
+    async function flushWithTimeout(): Promise<void> {
+        if (!authority.isStoreUnreachable()) {
+            await Promise.race([checkpointer.flush(), clock.sleep(flushTimeoutMs)]);
         }
     }
 
-    const readGroups = createReader({
+    const readGroups = createGroupReader({
         state,
         fencing,
         codec,
         authority,
-        maker,
+        producer,
         guards,
         invariants,
         clock,
         logger,
         metrics,
         notifier,
-        findStep: book.find,
-        onAcknowledged: book.acknowledge,
-        whenCompleted: flushForAWhile,
+        findStep: steps.find,
+        onAcknowledged: steps.acknowledge,
+        flushCheckpoint: flushWithTimeout,
     });
 
-    const weightsTaker = createWeightsTaker({ state, guards, invariants, logger, dispatcher, roller, maker });
-    const intent = createIntent({ state, authority, jobStore, book, clock, onWeights: weightsTaker.take });
+    const updater = createWeightUpdater({ state, guards, invariants, logger, dispatcher, roller, producer });
+    const intent = createIntentWriter({ state, authority, jobStore, steps, clock, onWeights: updater.apply });
 
-    endings.push(
+    stopHandlers.push(
         () => void dispatcher.stop(),
         roller.stop,
         checkpointer.close,
@@ -143,17 +143,17 @@
     );
 
     // The lease may have been lost while the state was claimed, when there was nothing to end yet.
-    const stoppedBefore = authority.stoppedBy();
-    if (stoppedBefore !== undefined) {
-        endings.forEach(end => end());
-        throw new ResultError(stoppedBefore, deps.job.job);
+    const stopCode = authority.stopCode();
+    if (stopCode !== undefined) {
+        stopHandlers.forEach(end => end());
+        throw new ResultError(stopCode, deps.job.job);
     }
 
     dispatcher.raiseMinVersion(state.publishedVersion, state.bounds().minVersion);
     if (claimed.weights !== undefined) {
         roller.publish(claimed.weights);
     }
-    await takeUpSteps({ claimed, state, codec, book });
+    await resumeSteps({ claimed, state, codec, steps });
     logger.info("ownerStarted", { steps: state.steps.size, publishedVersion: state.publishedVersion });
 
     return {
@@ -162,13 +162,13 @@
         readGroups,
         updateJob: job => {
             state.job = job;
-            weightsTaker.applyBounds();
+            updater.applyBounds();
         },
         ended: ended.signal,
         status: () => describeOwner(state, fencing, runningCounts.ofStep),
         stop: async () => {
-            await flushForAWhile();
-            authority.stopForGood(resultCodes.shuttingDown, "stop");
+            await flushWithTimeout();
+            authority.stopPermanently(resultCodes.shuttingDown, "stop");
             await dispatcher.stop();
         },
     };
--- a/packages/own/src/createOwnerTakeover.test.ts
+++ b/packages/own/src/createOwnerTakeover.test.ts
@@ -5,9 +5,9 @@
 import type { StepSpec } from "@auburnarch/types/StepSpec";
 import { expect, test } from "vitest";
 import type { Owner } from "./Owner.js";
+import { connectToOwner } from "./testing/connectToOwner.js";
 import { createTestTrainer } from "./testing/createTestTrainer.js";
 import { createTestWorld } from "./testing/createTestWorld.js";
-import { routeToOwner } from "./testing/routeToOwner.js";
 import type { TestWorld } from "./testing/TestWorld.js";
 
 type Started = Awaited<ReturnType<TestWorld["startOwner"]>>;
@@ -42,7 +42,7 @@
 
 function startTrainer(
     world: TestWorld,
-    route: () => Owner | undefined,
+    currentOwner: () => Owner | undefined,
     faults: { steps: number; rereadChance: number; loseAnswerChance: number; } = {
         steps: 2,
         rereadChance: 0,
@@ -58,9 +58,9 @@
         maxStalenessVersions: world.job.maxStalenessVersions,
         groupsPerStep: 2,
         maxTokens: 4,
-        route: () => {
-            const owner = route();
-            return owner === undefined ? undefined : routeToOwner(owner);
+        connect: () => {
+            const owner = currentOwner();
+            return owner === undefined ? undefined : connectToOwner(owner);
         },
         trainMs: 100,
         steps: faults.steps,
@@ -72,7 +72,7 @@
 }
 
 /** Starts a new owner whenever there is none alive, as the entries would once the lease has run out. */
-function keepOwner(
+function ensureOwner(
     world: TestWorld,
     onStart: (count: number) => Promise<Started>,
 ): () => Owner | undefined {
@@ -151,13 +151,13 @@
     await settle(world, first.owner.openStep(spec));
     await world.clock.advance(2_000);
     first.process.kill();
-    const records = await world.keep.load(world.job.job, 0);
+    const records = await world.groupStore.load(world.job.job, 0);
     const [sample] = records as [typeof records[number]];
     const kept = { job: world.job.job, step: 0, fencing: sample.fencing };
     const bodyOf = (group: number): string => records.find(record => record.group === group)!.body;
-    await world.keep.save({ ...kept, group: 0, body: bodyOf(0).slice(0, -3) });
-    await world.keep.save({ ...kept, group: 1, fencing: 1_000, body: bodyOf(1) });
-    await world.keep.save({ ...kept, group: 2, body: bodyOf(2).replaceAll("humo/0/", "humo/1/") });
+    await world.groupStore.save({ ...kept, group: 0, body: bodyOf(0).slice(0, -3) });
+    await world.groupStore.save({ ...kept, group: 1, fencing: 1_000, body: bodyOf(1) });
+    await world.groupStore.save({ ...kept, group: 2, body: bodyOf(2).replaceAll("humo/0/", "humo/1/") });
     const second = await settle(world, world.startOwner());
     expect(second.owner.status().steps[0]).toMatchObject({ ready: 0 });
     await world.clock.advance(2_000);
@@ -285,7 +285,7 @@
     const world = createTestWorld();
     let calls = 0;
     let struck = false;
-    const route = keepOwner(world, count =>
+    const currentOwner = ensureOwner(world, count =>
         world.startOwner({
             onCall: (callPhase, _name, process) => {
                 const isDue = count === 0 && callPhase === phase && calls++ === killAt;
@@ -295,13 +295,15 @@
                 }
             },
         }));
-    const trainer = startTrainer(world, route);
+    const trainer = startTrainer(world, currentOwner);
     const isWhole = await world.clock.runUntil(trainer.isFinished, 300_000);
-    const usage = route()?.status().deliveredEngineMs;
+    const usage = currentOwner()?.status().deliveredEngineMs;
     const problems = [
         ...trainer.report.problems,
         ...world.violations(),
-        ...isWhole && trainer.report.taken.size === 4 ? [] : [`unfinished ${trainer.report.taken.size}`],
+        ...isWhole && trainer.report.receivedGroups.size === 4
+            ? []
+            : [`unfinished ${trainer.report.receivedGroups.size}`],
         ...usage === trainer.report.engineMs ? [] : [`usage ${usage} of ${trainer.report.engineMs}`],
     ];
     return { struck, problems };
@@ -329,7 +331,7 @@
         const random = createRandom(seed);
         let current: Started | undefined;
         let kills = 0;
-        const route = keepOwner(world, async () => {
+        const route = ensureOwner(world, async () => {
             current = await world.startOwner();
             return current;
         });
@@ -346,7 +348,7 @@
         expect(await world.clock.runUntil(trainer.isFinished, 600_000)).toBe(true);
         expect(trainer.report.problems).toEqual([]);
         expect(world.violations()).toEqual([]);
-        expect(trainer.report.taken.size).toBe(20);
+        expect(trainer.report.receivedGroups.size).toBe(20);
         expect(kills).toBeGreaterThan(3);
     },
 );
--- a/packages/own/src/createPageIssuer.ts
+++ b/packages/own/src/createPageIssuer.ts
@@ -6,10 +6,10 @@
 import type { GroupsPage } from "@auburnarch/types/GroupsPage";
 import type { SampleGroup } from "@auburnarch/types/SampleGroup";
 import type { StepNumber } from "@auburnarch/types/StepNumber";
-import { checkPage } from "./checkPage.js";
+import { checkPageInvariants } from "./checkPageInvariants.js";
+import type { GroupReaderDeps } from "./GroupReaderDeps.js";
 import type { OpenStep } from "./OpenStep.js";
 import { pageKey } from "./pageKey.js";
-import type { ReaderDeps } from "./ReaderDeps.js";
 
 const maxPageGroups = 64;
 
@@ -23,14 +23,14 @@
  * samples has gone over the staleness bound since: the old cursor proves that the trainer does not have them, so
  * they are made again.
  */
-export function createPageIssuer(deps: ReaderDeps): PageIssuer {
-    const { state, codec, maker, guards, logger, metrics } = deps;
+export function createPageIssuer(deps: GroupReaderDeps): PageIssuer {
+    const { state, codec, producer, guards, logger, metrics } = deps;
     const { job } = state.job;
 
-    function holdsPromises(step: OpenStep, cursor: CursorState, groups: SampleGroup[]): boolean {
+    function passesInvariants(step: OpenStep, cursor: CursorState, groups: SampleGroup[]): boolean {
         const { step: number, groupSize } = step.document;
         const { delivered } = cursor;
-        return checkPage(deps.invariants, {
+        return checkPageInvariants(deps.invariants, {
             job,
             step: number,
             groupSize,
@@ -46,7 +46,7 @@
             if (ready.length === maxPageGroups) {
                 break;
             }
-            if (!guards.isUndelivered(cursor.delivered, group) || maker.remakeStale(step, group)) {
+            if (!guards.isUndelivered(cursor.delivered, group) || producer.regenerateStale(step, group)) {
                 continue;
             }
             const whole = step.ledger.wholeGroup(group);
@@ -59,7 +59,7 @@
 
     function issuePage(step: OpenStep, cursor: CursorState, groups: SampleGroup[]): GroupsPage {
         const number = step.document.step;
-        if (!holdsPromises(step, cursor, groups)) {
+        if (!passesInvariants(step, cursor, groups)) {
             throw new ResultError(resultCodes.internal, "a promise would break; the page is withheld");
         }
         const next = advanceCursor(cursor, groups, deps.fencing);
@@ -73,13 +73,13 @@
             cursor: codec.encode(next),
             done: false,
         };
-        step.pages.set(pageKey(cursor), page);
+        step.issuedPages.set(pageKey(cursor), page);
         return page;
     }
 
     /** The page issued for this cursor before, if all of it may still be delivered. */
     function repeatPage(step: OpenStep, cursor: CursorState): GroupsPage | undefined {
-        const issued = step.pages.get(pageKey(cursor));
+        const issued = step.issuedPages.get(pageKey(cursor));
         if (issued === undefined || !guards.repeatsPage()) {
             return undefined;
         }
@@ -87,10 +87,10 @@
         const isFresh = issued.groups
             .every(group => group.samples.every(sample => guards.isFresh(sample.spans, minVersion)));
         if (!isFresh) {
-            step.pages.delete(pageKey(cursor));
+            step.issuedPages.delete(pageKey(cursor));
             return undefined;
         }
-        return holdsPromises(step, cursor, issued.groups) ? issued : undefined;
+        return passesInvariants(step, cursor, issued.groups) ? issued : undefined;
     }
 
     return (step, cursor) => {
--- a/packages/own/src/createPipe.ts
+++ b/packages/own/src/createSamplePipeline.ts
@@ -7,16 +7,16 @@
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { Authority } from "./Authority.js";
-import { createMaker } from "./createMaker.js";
+import { createSampleProducer } from "./createSampleProducer.js";
 import type { JobState } from "./JobState.js";
-import type { Maker } from "./Maker.js";
 import type { OpenStep } from "./OpenStep.js";
 import type { OwnerDeps } from "./OwnerDeps.js";
 import type { OwnerGuards } from "./OwnerGuards.js";
 import type { OwnerParts } from "./OwnerParts.js";
+import type { SampleProducer } from "./SampleProducer.js";
 import { watchFencing } from "./watchFencing.js";
 
-interface PipeDeps {
+interface SamplePipelineDeps {
     deps: OwnerDeps;
     parts: OwnerParts;
     guards: OwnerGuards;
@@ -24,24 +24,24 @@
     authority: Authority;
     logger: Logger;
     onRunning: (sample: SampleId, change: 1 | -1) => void;
-    onWhole: (step: OpenStep, group: SampleGroup) => void;
+    onGroupComplete: (step: OpenStep, group: SampleGroup) => void;
 }
 
 /** The parts of an owner that samples and weights go through. */
-interface Pipe {
-    maker: Maker;
+interface SamplePipeline {
+    producer: SampleProducer;
     dispatcher: Dispatcher;
     roller: SwapRoller;
 }
 
 /** Joins dispatcher, swap roller and maker. All of them act only while `authority` lets the owner run. */
-export function createPipe(pipe: PipeDeps): Pipe {
-    const { deps, parts, guards, state, authority, logger } = pipe;
+export function createSamplePipeline(options: SamplePipelineDeps): SamplePipeline {
+    const { deps, parts, guards, state, authority, logger } = options;
     const { clock, random, metrics, limits, listSamplers } = deps;
     const sidecar = (sampler: SamplerId): SidecarPort =>
         watchFencing(deps.sidecar(sampler), {
-            onFenced: () => authority.stopForGood(resultCodes.fenced, "sidecar"),
-            onRunning: pipe.onRunning,
+            onFenced: () => authority.stopPermanently(resultCodes.fenced, "sidecar"),
+            onRunning: options.onRunning,
         });
     const roller = parts.createSwapRoller({
         job: state.job.job,
@@ -69,9 +69,9 @@
         sidecar,
         mayAct: authority.mayRun,
         isAboutToSwap: roller.isAboutToSwap,
-        onMade: made => void maker.takeMade(made),
+        onSampleGenerated: generated => void producer.handleGenerated(generated),
     });
-    const maker = createMaker({
+    const producer = createSampleProducer({
         state,
         guards,
         clock,
@@ -80,8 +80,8 @@
         metrics,
         scoring: deps.scoring,
         dispatcher,
-        isStopped: () => authority.stoppedBy() !== undefined,
-        onWhole: pipe.onWhole,
+        isStopped: () => authority.stopCode() !== undefined,
+        onGroupComplete: options.onGroupComplete,
     });
-    return { maker, dispatcher, roller };
+    return { producer, dispatcher, roller };
 }
--- a/packages/own/src/createMaker.ts
+++ b/packages/own/src/createSampleProducer.ts
@@ -2,11 +2,11 @@
 import type { Sample } from "@auburnarch/types/Sample";
 import type { SampleTask } from "@auburnarch/types/SampleTask";
 import { backoffMs } from "./backoffMs.js";
-import type { Maker } from "./Maker.js";
-import type { MakerDeps } from "./MakerDeps.js";
-import { makeTask } from "./makeTask.js";
+import { buildSampleTask } from "./buildSampleTask.js";
 import type { OpenStep } from "./OpenStep.js";
 import { sampleIdOf } from "./sampleIdOf.js";
+import type { SampleProducer } from "./SampleProducer.js";
+import type { SampleProducerDeps } from "./SampleProducerDeps.js";
 
 const firstBackoffMs = 100;
 const maxBackoffMs = 10_000;
@@ -15,10 +15,10 @@
  * Makes the maker: dispatch → verify → score → commit. Nothing unverified or unscored is committed; what fails
  * verification is made again after a backoff, and a scoring service that is down is asked until it answers.
  */
-export function createMaker(deps: MakerDeps): Maker {
+export function createSampleProducer(deps: SampleProducerDeps): SampleProducer {
     const { state, guards, clock, random, logger, metrics } = deps;
     const failures = new Map<string, number>();
-    let submissions = 0;
+    let submissionCount = 0;
 
     const isOpen = (step: OpenStep): boolean =>
         !deps.isStopped() && state.steps.get(step.document.step) === step;
@@ -26,16 +26,16 @@
     function missingTasks(step: OpenStep, group: number): SampleTask[] {
         const { minVersion } = state.bounds();
         return step.ledger.missing(group)
-            .map(index => makeTask(state.job, step.document, group, index, minVersion, clock))
+            .map(index => buildSampleTask(state.job, step.document, group, index, minVersion, clock))
             .filter(task => !step.outstanding.has(task.sample));
     }
 
-    function want(step: OpenStep, groups: readonly number[]): void {
+    function requestMissing(step: OpenStep, groups: readonly number[]): void {
         const tasks = groups.flatMap(group => missingTasks(step, group));
         if (tasks.length === 0 || !isOpen(step)) {
             return;
         }
-        tasks.forEach(task => step.outstanding.set(task.sample, ++submissions));
+        tasks.forEach(task => step.outstanding.set(task.sample, ++submissionCount));
         deps.dispatcher.submit(tasks);
     }
 
@@ -51,7 +51,7 @@
         }
     }
 
-    function remakeStale(step: OpenStep, group: number): boolean {
+    function regenerateStale(step: OpenStep, group: number): boolean {
         const { minVersion } = state.bounds();
         const stale = step.ledger.present(group).filter(sample => !guards.isFresh(sample.spans, minVersion));
         if (stale.length === 0) {
@@ -60,11 +60,11 @@
         logger.info("groupStale", { step: step.document.step, group, samples: stale.length, minVersion });
         metrics.count("samples_remade_total", { reason: "staleVersion" }, stale.length);
         step.ledger.reopen(group, stale.map(sample => sample.index));
-        want(step, [group]);
+        requestMissing(step, [group]);
         return true;
     }
 
-    async function makeAgain(
+    async function regenerate(
         step: OpenStep,
         task: SampleTask,
         submission: number,
@@ -77,29 +77,34 @@
         await clock.sleep(backoffMs(count, firstBackoffMs, maxBackoffMs, random));
         if (step.outstanding.get(task.sample) === submission) {
             step.outstanding.delete(task.sample);
-            want(step, [task.group]);
+            requestMissing(step, [task.group]);
         }
     }
 
     /** Undefined if the sample is no longer wanted before the service has answered. */
-    async function score(step: OpenStep, made: MadeSample, submission: number): Promise<number | undefined> {
-        const text = made.answer.spans.map(span => span.text).join("");
-        const isWanted = (): boolean => isOpen(step) && step.outstanding.get(made.task.sample) === submission;
-        for (let tries = 1; isWanted(); tries++) {
+    async function score(
+        step: OpenStep,
+        generated: MadeSample,
+        submission: number,
+    ): Promise<number | undefined> {
+        const text = generated.answer.spans.map(span => span.text).join("");
+        const isWanted = (): boolean =>
+            isOpen(step) && step.outstanding.get(generated.task.sample) === submission;
+        for (let attempts = 1; isWanted(); attempts++) {
             try {
-                const points = await deps.scoring(state.job.scoring, made.task.prompt, text);
-                return isWanted() ? points : undefined;
+                const result = await deps.scoring(state.job.scoring, generated.task.prompt, text);
+                return isWanted() ? result : undefined;
             }
             catch {
                 metrics.count("scoring_failures_total", { service: state.job.scoring });
-                await clock.sleep(backoffMs(tries, firstBackoffMs, maxBackoffMs, random));
+                await clock.sleep(backoffMs(attempts, firstBackoffMs, maxBackoffMs, random));
             }
         }
         return undefined;
     }
 
-    function toSample(made: MadeSample, score: number): Sample {
-        const { task, answer } = made;
+    function toSample(generated: MadeSample, score: number): Sample {
+        const { task, answer } = generated;
         return {
             sample: task.sample,
             group: task.group,
@@ -117,34 +122,34 @@
         failures.delete(sample.sample);
         const result = step.ledger.commit(sample);
         metrics.count("samples_committed_total", { result });
-        const whole = result === "groupWhole" ? step.ledger.wholeGroup(sample.group) : undefined;
-        if (whole !== undefined) {
-            deps.onWhole(step, whole);
+        const group = result === "groupWhole" ? step.ledger.wholeGroup(sample.group) : undefined;
+        if (group !== undefined) {
+            deps.onGroupComplete(step, group);
         }
     }
 
-    async function takeMade(made: MadeSample): Promise<void> {
-        const step = state.steps.get(made.task.step);
-        const submission = step?.outstanding.get(made.task.sample);
+    async function handleGenerated(generated: MadeSample): Promise<void> {
+        const step = state.steps.get(generated.task.step);
+        const submission = step?.outstanding.get(generated.task.sample);
         if (step === undefined || submission === undefined) {
             return;
         }
-        const problem = guards.findSampleProblem(state.job.job, made, state.bounds());
+        const problem = guards.findSampleProblem(state.job.job, generated, state.bounds());
         if (problem !== undefined) {
-            await makeAgain(step, made.task, submission, problem);
+            await regenerate(step, generated.task, submission, problem);
             return;
         }
-        const points = await score(step, made, submission);
-        if (points === undefined) {
+        const sampleScore = await score(step, generated, submission);
+        if (sampleScore === undefined) {
             return;
         }
         // Weights may have been published while the score was awaited.
-        if (!guards.isFresh(made.answer.spans, state.bounds().minVersion)) {
-            await makeAgain(step, made.task, submission, "staleVersion");
+        if (!guards.isFresh(generated.answer.spans, state.bounds().minVersion)) {
+            await regenerate(step, generated.task, submission, "staleVersion");
             return;
         }
-        commit(step, toSample(made, points));
+        commit(step, toSample(generated, sampleScore));
     }
 
-    return { want, withdraw, remakeStale, takeMade };
+    return { requestMissing, withdraw, regenerateStale, handleGenerated };
 }
--- a/packages/own/src/createStepBook.ts
+++ b/packages/own/src/createStepRegistry.ts
@@ -7,24 +7,24 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { Checkpointer } from "./Checkpointer.js";
 import { createOpenStep } from "./createOpenStep.js";
-import type { GroupKeeper } from "./GroupKeeper.js";
+import type { GroupBackup } from "./GroupBackup.js";
 import type { JobState } from "./JobState.js";
 import type { JobStore } from "./JobStore.js";
-import type { Maker } from "./Maker.js";
 import type { OpenStep } from "./OpenStep.js";
 import type { OwnerGuards } from "./OwnerGuards.js";
-import type { StepBook } from "./StepBook.js";
+import type { SampleProducer } from "./SampleProducer.js";
 import type { StepDocument } from "./StepDocument.js";
+import type { StepRegistry } from "./StepRegistry.js";
 
-const maxCompletedRemembered = 256;
+const maxCompletedSteps = 256;
 
-interface StepBookDeps {
+interface StepRegistryDeps {
     state: JobState;
     fencing: FencingNumber;
     guards: OwnerGuards;
     jobStore: JobStore;
-    keeper: GroupKeeper;
-    maker: Maker;
+    groupBackup: GroupBackup;
+    producer: SampleProducer;
     checkpointer: Checkpointer;
     logger: Logger;
     /** Completed steps that have no objects any more. */
@@ -34,26 +34,31 @@
 const groupsOf = (step: OpenStep): number[] => step.document.prompts.map((_, group) => group);
 
 /** Makes the book of a job's steps over its shared state. */
-export function createStepBook(deps: StepBookDeps): StepBook {
-    const { state, keeper, maker, logger } = deps;
+export function createStepRegistry(deps: StepRegistryDeps): StepRegistry {
+    const { state, groupBackup, producer, logger } = deps;
     const removed = new Set(deps.alreadyRemoved);
     const opening = new Map<number, Promise<OpenStep>>();
 
-    const isOver = (step: number): boolean => state.completed.has(step) || step < state.retiredBelow;
+    const isFinished = (step: number): boolean => state.completed.has(step) || step < state.retiredBelow;
 
-    async function takeIn(document: StepDocument, furthest: CursorState | undefined): Promise<OpenStep> {
-        const nothing = emptyCursor(state.job.job, document.step, document.prompts.length, deps.fencing);
-        const step = createOpenStep(document, furthest ?? nothing, deps.guards);
-        await keeper.restore(step);
+    async function addStep(document: StepDocument, furthest: CursorState | undefined): Promise<OpenStep> {
+        const initialCursor = emptyCursor(
+            state.job.job,
+            document.step,
+            document.prompts.length,
+            deps.fencing,
+        );
+        const step = createOpenStep(document, furthest ?? initialCursor, deps.guards);
+        await groupBackup.restore(step);
         state.steps.set(document.step, step);
-        const wanted = groupsOf(step).filter(group => !hasGroup(step.furthest.delivered, group));
+        const wanted = groupsOf(step).filter(group => !hasGroup(step.furthestCursor.delivered, group));
         logger.info("stepOpened", {
             step: document.step,
             groups: document.prompts.length,
             wanted: wanted.length,
             made: step.ledger.size(),
         });
-        maker.want(step, wanted);
+        producer.requestMissing(step, wanted);
         return step;
     }
 
@@ -62,23 +67,23 @@
         if (known !== undefined) {
             return Promise.resolve(known);
         }
-        const started = opening.get(document.step)
-            ?? takeIn(document, furthest).finally(() => opening.delete(document.step));
-        opening.set(document.step, started);
-        return started;
+        const openingStep = opening.get(document.step)
+            ?? addStep(document, furthest).finally(() => opening.delete(document.step));
+        opening.set(document.step, openingStep);
+        return openingStep;
     }
 
     async function find(number: number): Promise<OpenStep | undefined> {
         const known = state.steps.get(number) ?? await opening.get(number);
-        if (known !== undefined || isOver(number)) {
+        if (known !== undefined || isFinished(number)) {
             return known;
         }
         const document = await deps.jobStore.readStep(number);
-        return document === undefined || isOver(number) ? undefined : open(document);
+        return document === undefined || isFinished(number) ? undefined : open(document);
     }
 
-    function forgetOldest(): void {
-        if (state.completed.size <= maxCompletedRemembered) {
+    function evictOldestCompleted(): void {
+        if (state.completed.size <= maxCompletedSteps) {
             return;
         }
         const oldest = Math.min(...state.completed.keys());
@@ -94,24 +99,24 @@
         state.completedEngineMs += cursor.engineMs;
         state.completedSamples += cursor.samples;
         state.completedTokens += cursor.tokens;
-        forgetOldest();
+        evictOldestCompleted();
         logger.info("stepCompleted", { step: number, samples: cursor.samples, engineMs: cursor.engineMs });
-        keeper.drop(step, groupsOf(step));
+        groupBackup.drop(step, groupsOf(step));
         void deps.checkpointer.flush();
     }
 
     function acknowledge(step: OpenStep, cursor: CursorState, groups: number[]): void {
-        deps.checkpointer.note();
-        keeper.drop(step, groups);
+        deps.checkpointer.markChanged();
+        groupBackup.drop(step, groups);
         if (countGroups(cursor) === cursor.groups) {
             complete(step, cursor);
         }
     }
 
-    async function removeOver(steps: readonly number[]): Promise<void> {
-        const todo = steps.filter(step => isOver(step) && !removed.has(step));
-        todo.forEach(step => removed.add(step));
-        for (const step of todo) {
+    async function removeFinished(steps: readonly number[]): Promise<void> {
+        const finished = steps.filter(step => isFinished(step) && !removed.has(step));
+        finished.forEach(step => removed.add(step));
+        for (const step of finished) {
             try {
                 await deps.jobStore.removeStep(step);
             }
@@ -122,5 +127,5 @@
         }
     }
 
-    return { open, find, acknowledge, removeOver };
+    return { open, find, acknowledge, removeFinished };
 }
--- a/packages/own/src/createStepRecords.ts
+++ b/packages/own/src/createStepStore.ts
@@ -9,18 +9,18 @@
 import { promptsSchema } from "./promptsSchema.js";
 import { splitPrompts } from "./splitPrompts.js";
 import type { StepDocument } from "./StepDocument.js";
-import type { StepRecords } from "./StepRecords.js";
 import { stepRecordSchema } from "./stepRecordSchema.js";
+import type { StepStore } from "./StepStore.js";
 
 const absent = 0 as ObjectVersion;
-const maxTries = 3;
+const maxAttempts = 3;
 const retryAfterMs = 1_000;
 
 /**
  * Makes the stored steps of a job: `jobs/<job>/steps/<step>` commits a step, `…/<step>/<digest>/<chunk>` hold its
  * prompts. A step exists once its commit object does.
  */
-export function createStepRecords(store: ObjectStore, job: JobId): StepRecords {
+export function createStepStore(store: ObjectStore, job: JobId): StepStore {
     const stepsPrefix = `jobs/${job}/steps/`;
     const stepKey = (step: number): string => `${stepsPrefix}${step}`;
     // Content in the name, so that two owners opening one step with different prompts cannot mix their chunks.
@@ -67,7 +67,7 @@
     }
 
     /** Everything before the commit object: if it fails, no step has come about. */
-    async function prepareStep(document: StepDocument): Promise<number> {
+    async function writeChunks(document: StepDocument): Promise<number> {
         const chunks = splitPrompts(document.prompts);
         try {
             for (const [index, chunk] of chunks.entries()) {
@@ -82,7 +82,7 @@
     }
 
     async function writeStepRecord(key: string, record: unknown): Promise<WriteOutcome> {
-        for (let tries = 1;; tries++) {
+        for (let attempts = 1;; attempts++) {
             try {
                 return await store.write(key, record, absent);
             }
@@ -91,7 +91,7 @@
                     throw new ResultError(resultCodes.intentRefused, "storeThrottled", retryAfterMs);
                 }
                 // The lost answer may have been a "written"; then the next try is a conflict with our own content.
-                if (tries === maxTries) {
+                if (attempts === maxAttempts) {
                     throw error;
                 }
             }
@@ -100,16 +100,16 @@
 
     async function create(document: StepDocument): Promise<StepDocument> {
         const { prompts: _, ...rest } = document;
-        const chunks = await prepareStep(document);
+        const chunks = await writeChunks(document);
         const outcome = await writeStepRecord(stepKey(rest.step), { ...rest, chunks });
         if (outcome.kind === "written") {
             return document;
         }
-        const standing = stepRecordSchema.safeParse(outcome.current?.value).data;
-        if (standing?.digest !== rest.digest) {
+        const stored = stepRecordSchema.safeParse(outcome.current?.value).data;
+        if (stored?.digest !== rest.digest) {
             throw new ResultError(resultCodes.stepConflict, `step ${rest.step}`);
         }
-        return { ...document, groupSize: standing.groupSize, needAtMs: standing.needAtMs };
+        return { ...document, groupSize: stored.groupSize, needAtMs: stored.needAtMs };
     }
 
     async function remove(step: number): Promise<void> {
--- a/packages/own/src/createWeightsTaker.ts
+++ b/packages/own/src/createWeightUpdater.ts
@@ -5,40 +5,43 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { PublishedWeights } from "@auburnarch/types/PublishedWeights";
 import type { JobState } from "./JobState.js";
-import type { Maker } from "./Maker.js";
 import type { OpenStep } from "./OpenStep.js";
 import type { OwnerGuards } from "./OwnerGuards.js";
 import { pageKey } from "./pageKey.js";
+import type { SampleProducer } from "./SampleProducer.js";
 
-interface WeightsTakerDeps {
+interface WeightUpdaterDeps {
     state: JobState;
     guards: OwnerGuards;
     invariants: Invariants;
     logger: Logger;
     dispatcher: Dispatcher;
     roller: SwapRoller;
-    maker: Maker;
+    producer: SampleProducer;
 }
 
 /** Puts published weights into force. */
-interface WeightsTaker {
+interface WeightUpdater {
     /** Takes weights that stand in the object API. */
-    take(weights: PublishedWeights): void;
+    apply(weights: PublishedWeights): void;
     /** Applies the staleness bound to everything under way and everything made. */
     applyBounds(): void;
 }
 
 /** Makes the taker of published weights. */
-export function createWeightsTaker(deps: WeightsTakerDeps): WeightsTaker {
-    const { state, guards, invariants, logger, dispatcher, roller, maker } = deps;
+export function createWeightUpdater(deps: WeightUpdaterDeps): WeightUpdater {
+    const { state, guards, invariants, logger, dispatcher, roller, producer } = deps;
 
     /** Makes anew what has gone over the bound, but for the page that the trainer may be taking in just now. */
     function remakeStaleGroups(step: OpenStep): void {
-        const offered = step.pages.get(pageKey(step.furthest))?.groups.map(group => group.group) ?? [];
+        const offered = step.issuedPages.get(pageKey(step.furthestCursor))?.groups.map(group => group.group)
+            ?? [];
         step.document.prompts
             .map((_, group) => group)
-            .filter(group => guards.isUndelivered(step.furthest.delivered, group) && !offered.includes(group))
-            .forEach(group => maker.remakeStale(step, group));
+            .filter(group =>
+                guards.isUndelivered(step.furthestCursor.delivered, group) && !offered.includes(group)
+            )
+            .forEach(group => producer.regenerateStale(step, group));
     }
 
     function applyBounds(): void {
@@ -46,7 +49,7 @@
         state.steps.forEach(remakeStaleGroups);
     }
 
-    function raise(weights: PublishedWeights): void {
+    function raiseVersion(weights: PublishedWeights): void {
         invariants.check(resultCodes.configReverted, weights.version > state.publishedVersion, {
             job: state.job.job,
             version: weights.version,
@@ -58,10 +61,10 @@
     }
 
     return {
-        take: weights => {
+        apply: weights => {
             const isSame = weights.version === state.publishedVersion;
             if (!isSame && guards.isHigherVersion(weights.version, state.publishedVersion)) {
-                raise(weights);
+                raiseVersion(weights);
             }
             roller.publish(weights);
         },
--- a/packages/own/src/defaultOwnerGuards.ts
+++ b/packages/own/src/defaultOwnerGuards.ts
@@ -17,5 +17,5 @@
     findSampleProblem,
     // A trainer whose answer was lost reads again; with other bytes it could not tell a repeat from new groups.
     repeatsPage: () => true,
-    isHigherVersion: (version, standing) => version > standing,
+    isHigherVersion: (version, current) => version > current,
 };
--- a/packages/own/src/describeOwner.ts
+++ b/packages/own/src/describeOwner.ts
@@ -15,9 +15,15 @@
         fencing,
         publishedVersion: state.publishedVersion,
         steps: steps.map(step => describeStep(step, runningOfStep(step.document.step))),
-        deliveredEngineMs: steps.reduce((sum, step) => sum + step.furthest.engineMs, state.completedEngineMs),
-        deliveredSamples: steps.reduce((sum, step) => sum + step.furthest.samples, state.completedSamples),
-        deliveredTokens: steps.reduce((sum, step) => sum + step.furthest.tokens, state.completedTokens),
+        deliveredEngineMs: steps.reduce(
+            (sum, step) => sum + step.furthestCursor.engineMs,
+            state.completedEngineMs,
+        ),
+        deliveredSamples: steps.reduce(
+            (sum, step) => sum + step.furthestCursor.samples,
+            state.completedSamples,
+        ),
+        deliveredTokens: steps.reduce((sum, step) => sum + step.furthestCursor.tokens, state.completedTokens),
         discardedEngineMs: state.discardedEngineMs,
     };
 }
--- a/packages/own/src/describeStep.ts
+++ b/packages/own/src/describeStep.ts
@@ -7,13 +7,13 @@
 export function describeStep(step: OpenStep, running: number): OwnerStatus["steps"][number] {
     const groups = step.document.prompts.map((_, group) => group);
     const ready = groups.filter(group =>
-        !hasGroup(step.furthest.delivered, group) && step.ledger.wholeGroup(group) !== undefined
+        !hasGroup(step.furthestCursor.delivered, group) && step.ledger.wholeGroup(group) !== undefined
     );
     return {
         step: step.document.step,
         groups: groups.length,
         ready: ready.length,
-        delivered: countGroups(step.furthest),
+        delivered: countGroups(step.furthestCursor),
         waiting: Math.max(0, step.outstanding.size - running),
         running,
         needAtMs: step.document.needAtMs,
--- a/packages/own/src/mayTakeIntent.ts
+++ b/packages/own/src/mayAcceptIntent.ts
@@ -1,6 +1,6 @@
-import type { ActingState } from "./ActingState.js";
+import type { AuthorityState } from "./AuthorityState.js";
 
 /** Whether an owner may accept new steps and weights: only within its lease, as the object API does not fence a new step. */
-export function mayTakeIntent(state: ActingState): boolean {
-    return state.isLeaseHeld && !state.isLeaseLost && !state.isFencedOff;
+export function mayAcceptIntent(state: AuthorityState): boolean {
+    return state.isLeaseHeld && !state.isLeaseLost && !state.isFenced;
 }
--- a/packages/own/src/mayRun.ts
+++ b/packages/own/src/mayRun.ts
@@ -1,7 +1,7 @@
-import type { ActingState } from "./ActingState.js";
+import type { AuthorityState } from "./AuthorityState.js";
 
 /** A probe without answer speaks for this long; the next is sent every second. */
-const silenceValidMs = 3_000;
+const unansweredProbeValidMs = 3_000;
 
 /**
  * Whether an owner may start and deliver samples, the effects that their destinations fence: sidecars and trainers
@@ -11,12 +11,12 @@
  * An owner that wakes from a pause finds its last proof of silence too old, and does nothing before a fresh probe has
  * told it which of the two it is.
  */
-export function mayRun(state: ActingState): boolean {
-    if (state.isLeaseLost || state.isFencedOff) {
+export function mayRun(state: AuthorityState): boolean {
+    if (state.isLeaseLost || state.isFenced) {
         return false;
     }
     if (state.isLeaseHeld) {
         return true;
     }
-    return state.storeSilentAgeMs !== undefined && state.storeSilentAgeMs <= silenceValidMs;
+    return state.unansweredProbeAgeMs !== undefined && state.unansweredProbeAgeMs <= unansweredProbeValidMs;
 }
--- a/packages/own/src/parseKeptGroup.ts
+++ b/packages/own/src/parseStoredGroup.ts
@@ -20,7 +20,7 @@
  * Reads a kept group and verifies it as if it had just been made: what lay on another machine's disk may be torn,
  * old or another step's. Undefined if it does not count; its samples are then made again.
  */
-export function parseKeptGroup(
+export function parseStoredGroup(
     job: JobId,
     document: StepDocument,
     body: string,
@@ -31,11 +31,11 @@
     if (group === undefined || prompt === undefined || !isWholeGroup(group, document.groupSize)) {
         return undefined;
     }
-    const isGood = group.samples.every(sample =>
+    const isValid = group.samples.every(sample =>
         sample.sample === sampleIdOf(job, document.step, group.group, sample.index)
         && sample.tokens === sample.spans.reduce((sum, span) => sum + span.tokens, 0)
         && sample.engineMs >= 0
         && findSpanProblem(sample.spans, prompt.maxTokens, bounds) === undefined
     );
-    return isGood ? group : undefined;
+    return isValid ? group : undefined;
 }
--- a/packages/own/src/testing/TestSidecar.ts
+++ b/packages/own/src/testing/TestSidecar.ts
@@ -14,5 +14,5 @@
     /** Attempts refused for an old fencing number. */
     fenced(): number;
     /** The next `count` answers are complete but carry no spans. */
-    spoilAnswers(count: number): void;
+    returnEmptyAnswers(count: number): void;
 }
--- a/packages/own/src/testing/TestTrainerReport.ts
+++ b/packages/own/src/testing/TestTrainerReport.ts
@@ -1,7 +1,7 @@
 /** What a test trainer received and every breach of a promise that it saw. */
 export interface TestTrainerReport {
     /** Groups taken in, by `step/group`. */
-    taken: Map<string, { engineMs: number; samples: number; }>;
+    receivedGroups: Map<string, { engineMs: number; samples: number; }>;
     problems: string[];
     stepsDone: number;
     /** Engine time of all samples taken in. */
--- a/packages/own/src/testing/TestWorld.ts
+++ b/packages/own/src/testing/TestWorld.ts
@@ -16,7 +16,7 @@
     control: FakeStoreControl;
     job: JobManifest;
     sidecars: TestSidecar[];
-    keep: GroupKeep;
+    groupStore: GroupKeep;
     lines: string[];
     /** Acquires the lease under the next number and makes an owner in a process of its own. */
     startOwner(options?: StartOptions): Promise<StartedOwner>;
--- a/packages/own/src/testing/TrainerRoute.ts
+++ b/packages/own/src/testing/TrainerConnection.ts
@@ -4,7 +4,7 @@
 import type { StepSpec } from "@auburnarch/types/StepSpec";
 
 /** How a trainer reaches its job's owner. Every answer names the owner's fencing number. */
-export interface TrainerRoute {
+export interface TrainerConnection {
     openStep(spec: StepSpec): Promise<{ fencing: number; }>;
     publishWeights(weights: PublishedWeights): Promise<{ fencing: number; }>;
     readGroups(step: StepNumber, cursor: string | undefined, waitMs: number): Promise<GroupsPage>;
--- a/packages/own/src/testing/routeToOwner.ts
+++ b/packages/own/src/testing/connectToOwner.ts
@@ -1,8 +1,8 @@
 import type { Owner } from "../Owner.js";
-import type { TrainerRoute } from "./TrainerRoute.js";
+import type { TrainerConnection } from "./TrainerConnection.js";
 
 /** The route of a trainer that calls an owner in the same process. */
-export function routeToOwner(owner: Owner): TrainerRoute {
+export function connectToOwner(owner: Owner): TrainerConnection {
     const receipt = (): { fencing: number; } => ({ fencing: owner.status().fencing });
     return {
         openStep: spec => owner.openStep(spec).then(receipt),
--- a/packages/own/src/testing/createTestCaller.ts
+++ b/packages/own/src/testing/createTestCaller.ts
@@ -4,7 +4,7 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Random } from "@auburnarch/types/Random";
 import type { TestTrainerReport } from "./TestTrainerReport.js";
-import type { TrainerRoute } from "./TrainerRoute.js";
+import type { TrainerConnection } from "./TrainerConnection.js";
 
 const callTimeoutMs = 4_000;
 const retryMs = 150;
@@ -13,17 +13,17 @@
     clock: Clock;
     random: Random;
     /** Where a call goes now; undefined if there is no way. */
-    route: () => TrainerRoute | undefined;
+    connect: () => TrainerConnection | undefined;
     /** Share of calls whose answer is lost on the way back. */
     loseAnswerChance: () => number;
 }
 
 interface TestCaller {
     /** Calls until an answer is of use; `onError` may give one instead. Answers of an older owner are dropped. */
-    persist<T extends { fencing: number; }, Instead = never>(
-        call: (route: TrainerRoute) => Promise<T>,
-        onError?: (code: string) => Instead | undefined,
-    ): Promise<T | Instead>;
+    callUntilAnswered<T extends { fencing: number; }, Fallback = never>(
+        call: (connection: TrainerConnection) => Promise<T>,
+        onError?: (code: string) => Fallback | undefined,
+    ): Promise<T | Fallback>;
     highestFencing(): number;
 }
 
@@ -33,8 +33,8 @@
     let highestFencing = 0;
 
     /** One call to whoever the route leads to; rejects if the answer is lost, late or from nobody. */
-    async function callOnce<T>(call: (route: TrainerRoute) => Promise<T>): Promise<T> {
-        const route = options.route();
+    async function callOnce<T>(call: (connection: TrainerConnection) => Promise<T>): Promise<T> {
+        const route = options.connect();
         if (route === undefined) {
             throw new ResultError(resultCodes.peerUnreachable);
         }
@@ -48,10 +48,10 @@
         return answer;
     }
 
-    async function persist<T extends { fencing: number; }, Instead = never>(
-        call: (route: TrainerRoute) => Promise<T>,
-        onError: (code: string) => Instead | undefined = () => undefined,
-    ): Promise<T | Instead> {
+    async function callUntilAnswered<T extends { fencing: number; }, Fallback = never>(
+        call: (connection: TrainerConnection) => Promise<T>,
+        onError: (code: string) => Fallback | undefined = () => undefined,
+    ): Promise<T | Fallback> {
         for (;;) {
             try {
                 const answer = await callOnce(call);
@@ -63,14 +63,14 @@
             }
             catch (error) {
                 report.retries++;
-                const instead = onError(codeOf(error).name);
-                if (instead !== undefined) {
-                    return instead;
+                const fallback = onError(codeOf(error).name);
+                if (fallback !== undefined) {
+                    return fallback;
                 }
             }
             await clock.sleep(retryMs);
         }
     }
 
-    return { persist, highestFencing: () => highestFencing };
+    return { callUntilAnswered, highestFencing: () => highestFencing };
 }
--- a/packages/own/src/testing/createTestKeep.ts
+++ b/packages/own/src/testing/createTestGroupStore.ts
@@ -1,7 +1,7 @@
 import type { GroupKeep } from "@auburnarch/types/GroupKeep";
 
 /** A keep in memory that outlives its owners. */
-export function createTestKeep(): GroupKeep {
+export function createTestGroupStore(): GroupKeep {
     const records = new Map<
         string,
         { job: string; step: number; group: number; fencing: number; body: string; }
--- a/packages/own/src/testing/createTestJudge.ts
+++ b/packages/own/src/testing/createTestPageChecker.ts
@@ -2,35 +2,38 @@
 import type { SampleGroup } from "@auburnarch/types/SampleGroup";
 import type { TestTrainerReport } from "./TestTrainerReport.js";
 
-interface JudgeOptions {
+interface PageCheckerOptions {
     job: string;
     groupSize: number;
     maxStalenessVersions: number;
 }
 
 /** Judges pages by what a trainer knows for itself. */
-interface TestJudge {
+interface TestPageChecker {
     /** `publishedAtRead` is the version whose publication was answered before the read was sent. */
-    take(step: number, page: GroupsPage, publishedAtRead: number): void;
+    recordPage(step: number, page: GroupsPage, publishedAtRead: number): void;
     /** Two answers to one cursor by one owner may differ only where the first went over the bound. */
-    compare(step: number, first: GroupsPage, second: GroupsPage, published: number): void;
+    comparePages(step: number, first: GroupsPage, second: GroupsPage, published: number): void;
 }
 
 /** Makes a judge that writes into `report`. */
-export function createTestJudge(options: JudgeOptions, report: TestTrainerReport): TestJudge {
+export function createTestPageChecker(
+    options: PageCheckerOptions,
+    report: TestTrainerReport,
+): TestPageChecker {
     const isStale = (group: SampleGroup, atVersion: number): boolean =>
         group.samples.some(sample =>
             sample.spans.some(span => span.version < atVersion - options.maxStalenessVersions)
         );
 
-    function judgeGroup(step: number, group: SampleGroup, publishedAtRead: number): void {
+    function checkGroup(step: number, group: SampleGroup, publishedAtRead: number): void {
         const key = `${step}/${group.group}`;
         const ids = group.samples.map(sample => sample.sample).join();
         const expected = Array.from(
             { length: options.groupSize },
             (_, index) => `${options.job}/${key}/${index}`,
         );
-        if (report.taken.has(key)) {
+        if (report.receivedGroups.has(key)) {
             report.problems.push(`deliveredTwice ${key}`);
         }
         if (ids !== expected.join()) {
@@ -45,15 +48,18 @@
     }
 
     return {
-        take: (step, page, publishedAtRead) => {
+        recordPage: (step, page, publishedAtRead) => {
             for (const group of page.groups) {
-                judgeGroup(step, group, publishedAtRead);
+                checkGroup(step, group, publishedAtRead);
                 const engineMs = group.samples.reduce((sum, sample) => sum + sample.engineMs, 0);
-                report.taken.set(`${step}/${group.group}`, { engineMs, samples: group.samples.length });
+                report.receivedGroups.set(`${step}/${group.group}`, {
+                    engineMs,
+                    samples: group.samples.length,
+                });
                 report.engineMs += engineMs;
             }
         },
-        compare: (step, first, second, published) => {
+        comparePages: (step, first, second, published) => {
             const isComparable = first.fencing === second.fencing && first.groups.length > 0;
             const isSame = JSON.stringify(first) === JSON.stringify(second);
             if (isComparable && !isSame && !first.groups.some(group => isStale(group, published))) {
--- a/packages/own/src/testing/createTestProcess.ts
+++ b/packages/own/src/testing/createTestProcess.ts
@@ -4,13 +4,13 @@
 
 type AnyFunction = (...args: unknown[]) => unknown;
 
-const hang = new Promise<never>(() => undefined);
+const neverSettles = new Promise<never>(() => undefined);
 
 /** Makes a process that runs. */
-export function createTestProcess(world: Clock): TestProcess {
+export function createTestProcess(sharedClock: Clock): TestProcess {
     const killed = new AbortController();
     let resumed: Promise<void> | undefined;
-    let wakeUp = (): void => undefined;
+    let resolveResumed = (): void => undefined;
     let deferred: (() => void)[] = [];
 
     function runInProcess(run: () => void): void {
@@ -27,7 +27,7 @@
 
     function startTimer(delayMs: number, run: () => void): () => void {
         let isCancelled = false;
-        const cancel = world.startTimer(delayMs, () =>
+        const cancel = sharedClock.startTimer(delayMs, () =>
             runInProcess(() => {
                 if (!isCancelled) {
                     run();
@@ -40,17 +40,17 @@
     }
 
     /** Resolves at once while the process runs, at its resumption while it is paused, never once it is killed. */
-    async function turn(): Promise<void> {
+    async function waitUntilRunning(): Promise<void> {
         if (resumed !== undefined) {
             await resumed;
         }
         if (killed.signal.aborted) {
-            await hang;
+            await neverSettles;
         }
     }
 
     /** Callbacks come back into this process; a signal is also aborted when this process dies. */
-    function passArgument(argument: unknown): unknown {
+    function wrapArgument(argument: unknown): unknown {
         if (typeof argument === "function") {
             return (...args: unknown[]) => runInProcess(() => void (argument as AnyFunction)(...args));
         }
@@ -64,15 +64,15 @@
         hooks: Parameters<TestProcess["connect"]>[1],
     ): Promise<unknown> {
         hooks?.beforeCall?.(name);
-        await turn();
+        await waitUntilRunning();
         try {
-            const answer = await call(...args.map(passArgument));
+            const answer = await call(...args.map(wrapArgument));
             hooks?.afterCall?.(name);
-            await turn();
+            await waitUntilRunning();
             return answer;
         }
         catch (error) {
-            await turn();
+            await waitUntilRunning();
             throw error;
         }
     }
@@ -91,33 +91,33 @@
 
     return {
         clock: {
-            monotonicMs: world.monotonicMs,
-            wallMs: world.wallMs,
+            monotonicMs: sharedClock.monotonicMs,
+            wallMs: sharedClock.wallMs,
             startTimer,
             sleep: createSleep(startTimer),
         },
         connect,
         enter: async call => {
-            await turn();
+            await waitUntilRunning();
             try {
                 const answer = await call();
-                await turn();
+                await waitUntilRunning();
                 return answer;
             }
             catch (error) {
-                await turn();
+                await waitUntilRunning();
                 throw error;
             }
         },
         kill: () => killed.abort(),
         pause: () => {
             resumed ??= new Promise(resolve => {
-                wakeUp = resolve;
+                resolveResumed = resolve;
             });
         },
         resume: () => {
             resumed = undefined;
-            wakeUp();
+            resolveResumed();
             const waiting = deferred;
             deferred = [];
             waiting.forEach(runInProcess);
--- a/packages/own/src/testing/createTestSidecar.ts
+++ b/packages/own/src/testing/createTestSidecar.ts
@@ -28,13 +28,13 @@
     let engineMs = 0;
     let started = 0;
     let fenced = 0;
-    let toSpoil = 0;
+    let emptyAnswersLeft = 0;
     let sequence = 0;
 
-    function spoil(): boolean {
-        const isSpoilt = toSpoil > 0;
-        toSpoil -= isSpoilt ? 1 : 0;
-        return isSpoilt;
+    function takeEmptyAnswer(): boolean {
+        const isEmpty = emptyAnswersLeft > 0;
+        emptyAnswersLeft -= isEmpty ? 1 : 0;
+        return isEmpty;
     }
 
     const report = (): SamplerReport => ({
@@ -87,7 +87,7 @@
         return {
             attempt: attempt.attempt,
             sampler,
-            spans: spoil() ? [] : spans,
+            spans: takeEmptyAnswer() ? [] : spans,
             complete: countTokens(spans) >= lengthOf(attempt),
             engineMs: spentMs,
             cachedPromptTokens: 0,
@@ -150,8 +150,8 @@
         engineMs: () => engineMs,
         started: () => started,
         fenced: () => fenced,
-        spoilAnswers: count => {
-            toSpoil = count;
+        returnEmptyAnswers: count => {
+            emptyAnswersLeft = count;
         },
     };
 }
--- a/packages/own/src/testing/createTestTrainer.ts
+++ b/packages/own/src/testing/createTestTrainer.ts
@@ -6,9 +6,9 @@
 import type { StepSpec } from "@auburnarch/types/StepSpec";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import { createTestCaller } from "./createTestCaller.js";
-import { createTestJudge } from "./createTestJudge.js";
+import { createTestPageChecker } from "./createTestPageChecker.js";
 import type { TestTrainerReport } from "./TestTrainerReport.js";
-import type { TrainerRoute } from "./TrainerRoute.js";
+import type { TrainerConnection } from "./TrainerConnection.js";
 
 interface TestTrainerOptions {
     clock: Clock;
@@ -24,7 +24,7 @@
     /** Steps opened beyond the one being read; none by default. */
     openAhead?: number;
     /** Versions to publish right after a page, as a trainer does that has caught up; none by default. */
-    takeExtraPublishes?: () => number;
+    nextExtraPublishCount?: () => number;
     /** Called before a version is published. */
     onPublish?: (version: number) => void;
     /** Called with each page taken in. */
@@ -32,7 +32,7 @@
     groupsPerStep: number;
     maxTokens: number;
     /** Where a call goes now; undefined if there is no way. */
-    route: () => TrainerRoute | undefined;
+    connect: () => TrainerConnection | undefined;
     /** Share of reads that are made twice with one cursor. */
     rereadChance: () => number;
     /** Share of calls whose answer is lost on the way back. */
@@ -43,7 +43,7 @@
 interface TestTrainer {
     run(): Promise<void>;
     /** Opens one more step with these prompts, after `run`, and takes all of it. */
-    ask(prompts: readonly string[]): Promise<void>;
+    runExtraStep(prompts: readonly string[]): Promise<void>;
     report: TestTrainerReport;
     isFinished(): boolean;
     /** Highest fencing number seen in any answer. */
@@ -62,22 +62,22 @@
 export function createTestTrainer(options: TestTrainerOptions): TestTrainer {
     const { clock, random } = options;
     const report: TestTrainerReport = {
-        taken: new Map(),
+        receivedGroups: new Map(),
         problems: [],
         stepsDone: 0,
         engineMs: 0,
         retries: 0,
         droppedPages: 0,
     };
-    const judge = createTestJudge(options, report);
+    const pageChecker = createTestPageChecker(options, report);
     const finished = new Map<number, string>();
-    const askedPrompts = new Map<number, readonly string[]>();
+    const extraPrompts = new Map<number, readonly string[]>();
     let published = 0;
     let opened = 0;
     let isFinished = false;
 
     const promptsOf = (step: number): readonly string[] =>
-        askedPrompts.get(step)
+        extraPrompts.get(step)
             ?? Array.from({ length: options.groupsPerStep }, (_, group) => `prompt ${step}.${group}`);
 
     const specOf = (step: number): StepSpec => ({
@@ -86,37 +86,37 @@
         needAtMs: undefined,
     });
 
-    const weightsOf = (version: number): Parameters<TrainerRoute["publishWeights"]>[0] => ({
+    const weightsOf = (version: number): Parameters<TrainerConnection["publishWeights"]>[0] => ({
         policy: options.policy as PolicyId,
         version: version as WeightVersion,
         location: `${options.policy}/${version}`,
     });
 
     const caller = createTestCaller(options, report);
-    const { persist } = caller;
+    const { callUntilAnswered } = caller;
 
     /** Publishes versions in quick order; a late repeat of the first must not put it back into force. */
-    async function publishMore(count: number): Promise<void> {
+    async function publishExtra(count: number): Promise<void> {
         const first = published + 1;
         for (let extra = 0; extra < count; extra++) {
             await publish(published + 1);
         }
         if (count > 1) {
-            const route = options.route();
-            void route?.publishWeights(weightsOf(first)).catch(() => undefined);
+            const connection = options.connect();
+            void connection?.publishWeights(weightsOf(first)).catch(() => undefined);
         }
     }
 
-    const open = (step: number): Promise<unknown> => persist(route => route.openStep(specOf(step)));
+    const open = (step: number): Promise<unknown> => callUntilAnswered(route => route.openStep(specOf(step)));
 
     async function publish(version: number): Promise<void> {
         options.onPublish?.(version);
-        await persist(route => route.publishWeights(weightsOf(version)));
+        await callUntilAnswered(route => route.publishWeights(weightsOf(version)));
         published = version;
     }
 
     async function readPage(step: number, cursor: string | undefined): Promise<GroupsPage | undefined> {
-        const page = await persist(
+        const page = await callUntilAnswered(
             route => route.readGroups(step as StepNumber, cursor, readWaitMs),
             code => {
                 if (code === "cursorInvalid") {
@@ -140,12 +140,12 @@
             if (page !== undefined && random.nextUnit() < options.rereadChance()) {
                 const again = await readPage(step, cursor);
                 if (again !== undefined) {
-                    judge.compare(step, page, again, published);
+                    pageChecker.comparePages(step, page, again, published);
                     page = again;
                 }
             }
             if (page !== undefined) {
-                judge.take(step, page, publishedAtRead);
+                pageChecker.recordPage(step, page, publishedAtRead);
                 options.onPage?.(page);
                 cursor = page.cursor;
                 finished.set(step, cursor);
@@ -153,12 +153,12 @@
             if (page?.done === true) {
                 return;
             }
-            await publishMore(options.takeExtraPublishes?.() ?? 0);
+            await publishExtra(options.nextExtraPublishCount?.() ?? 0);
         }
     }
 
     /** Shows what it has to an owner that may not know of it. */
-    async function showFinished(): Promise<void> {
+    async function showFinishedCursors(): Promise<void> {
         for (const [step, cursor] of [...finished]) {
             await readPage(step, cursor);
         }
@@ -178,22 +178,22 @@
             await publish(published + 1);
             while (shownTo !== caller.highestFencing()) {
                 shownTo = caller.highestFencing();
-                await showFinished();
+                await showFinishedCursors();
             }
         }
         isFinished = true;
     }
 
-    async function ask(prompts: readonly string[]): Promise<void> {
+    async function runExtraStep(prompts: readonly string[]): Promise<void> {
         const step = opened++;
-        askedPrompts.set(step, prompts);
+        extraPrompts.set(step, prompts);
         await open(step);
         await readStep(step);
     }
 
     return {
         run,
-        ask,
+        runExtraStep,
         report,
         isFinished: () => isFinished,
         highestFencing: caller.highestFencing,
--- a/packages/own/src/testing/createTestWorld.ts
+++ b/packages/own/src/testing/createTestWorld.ts
@@ -12,7 +12,7 @@
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import { createOwner } from "../createOwner.js";
 import { defaultOwnerGuards } from "../defaultOwnerGuards.js";
-import { createTestKeep } from "./createTestKeep.js";
+import { createTestGroupStore } from "./createTestGroupStore.js";
 import { createTestProcess } from "./createTestProcess.js";
 import { createTestSidecar } from "./createTestSidecar.js";
 import type { TestWorld } from "./TestWorld.js";
@@ -60,16 +60,16 @@
     const names = Array.from({ length: options.samplers ?? 2 }, (_, index) => `s${index + 1}` as SamplerId);
     const sidecars = names.map(name => createTestSidecar(clock, name, job));
     const { scoring } = createFakeScoring({ clock, latencyMs: 5 });
-    const keep = createTestKeep();
+    const groupStore = createTestGroupStore();
     const lines: string[] = [];
     const violations: string[] = [];
 
     async function acquire(): Promise<FencingNumber> {
         const key = `leases/job/${job.job}`;
         for (;;) {
-            const standing = await store.read(key).catch(() => undefined);
+            const current = await store.read(key).catch(() => undefined);
             const value = { holder: "test", ttlMs: 10_000 };
-            const outcome = await store.write(key, value, standing?.version ?? 0 as ObjectVersion);
+            const outcome = await store.write(key, value, current?.version ?? 0 as ObjectVersion);
             if (outcome.kind === "written") {
                 return outcome.version as number as FencingNumber;
             }
@@ -105,7 +105,7 @@
             listSamplers: () => sidecars.map(sidecar => sidecar.view()),
             sidecar: (sampler: SamplerId) => process.connect(sidecars[names.indexOf(sampler)]!.port, hooks),
             scoring: process.connect(scoring, hooks),
-            keep: process.connect(keep, hooks),
+            keep: process.connect(groupStore, hooks),
             cursorKey: "test-key",
         };
         const changed = start.change?.(deps, process) ?? deps;
@@ -132,7 +132,7 @@
         control,
         job,
         sidecars,
-        keep,
+        groupStore,
         lines,
         startOwner,
         violations: () => violations,
--- a/packages/peers/src/RunnerCaller.ts
+++ b/packages/peers/src/RunnerCaller.ts
@@ -1,5 +1,5 @@
 import type { RunnerAddress } from "@auburnarch/discovery/RunnerAddress";
-import type { Elsewhere } from "./Elsewhere.js";
+import type { RunnerRedirect } from "./RunnerRedirect.js";
 
 /** Asks runners, from one to the next that it names. */
 export interface RunnerCaller {
@@ -10,8 +10,8 @@
     ask<T extends { kind: string; }>(
         first: string | undefined,
         send: (address: RunnerAddress, runner: string) => Promise<T>,
-        except?: readonly string[],
-    ): Promise<{ runner: string; answer: Exclude<T, Elsewhere>; } | undefined>;
+        excluded?: readonly string[],
+    ): Promise<{ runner: string; answer: Exclude<T, RunnerRedirect>; } | undefined>;
     /** Those that did not answer lately. */
-    silent(): string[];
+    listSilent(): string[];
 }
--- a/packages/peers/src/Elsewhere.ts
+++ b/packages/peers/src/RunnerRedirect.ts
@@ -1,5 +1,5 @@
 /** An answer that names the runner to ask instead. */
-export interface Elsewhere {
+export interface RunnerRedirect {
     kind: "elsewhere";
     runner: string;
 }
--- a/packages/peers/src/createFedStore.ts
+++ b/packages/peers/src/createFeedBackedStore.ts
@@ -5,10 +5,10 @@
 import type { FeedAnswer } from "./FeedAnswer.js";
 import type { FeedHub } from "./FeedHub.js";
 import type { FeedQuery } from "./FeedQuery.js";
-import type { OutageEvidence } from "./OutageEvidence.js";
+import type { OutageTracker } from "./OutageTracker.js";
 import type { RunnerCaller } from "./RunnerCaller.js";
 
-interface FedStoreDeps {
+interface FeedBackedStoreDeps {
     /** Name of this process. */
     self: string;
     /** The store itself. */
@@ -21,33 +21,33 @@
     /** Resolves once calls to the store succeed, or have failed for long: true if they failed at first. */
     waitForStore: () => Promise<boolean>;
     /** Hears what runners tell of outages. */
-    outages: Pick<OutageEvidence, "noteOutage" | "noteStoreUp">;
+    outages: Pick<OutageTracker, "recordOutage" | "recordStoreUp">;
     clock: Clock;
 }
 
-type Told = Extract<FeedAnswer, { kind: "listed" | "changed"; }>;
+type DataAnswer = Extract<FeedAnswer, { kind: "listed" | "changed"; }>;
 
 /**
  * Longest wait of one question. A runner that falls silent hides changes for this long and the slack; they are due
  * within two seconds.
  */
-const waitLimitMs = 800;
+const maxWaitMs = 800;
 /** Longest wait of a question to a second runner after the first fell silent, within the same two seconds. */
 const secondWaitMs = 200;
 /** Beyond the wait; an answer takes a few milliseconds between failure domains. */
 const answerSlackMs = 300;
 /** Without a runner that can tell, runners are asked again after this time, and the store if they still can't. */
-const pauseMs = 600;
+const retryDelayMs = 600;
 /** Longest wait of a watch at the store itself. */
 const directWaitMs = 1_000;
 /** A runner that could not tell is passed over for this long. */
 const unsureMs = 1_000;
 /** The store is back for all processes within this time of the first; the runner that feeds has to hear it first. */
-const settleMs = 400;
+const recoveryDelayMs = 400;
 /** Prefixes that are followed at the store itself for now; more than there are kinds. */
 const maxDirect = 64;
 
-const isTold = (answer: FeedAnswer | undefined): answer is Told =>
+const isDataAnswer = (answer: FeedAnswer | undefined): answer is DataAnswer =>
     answer?.kind === "listed" || answer?.kind === "changed";
 
 /**
@@ -55,35 +55,35 @@
  * silent or can't tell. If every process turned to the store instead, each hiccup of one runner and each outage would
  * cost as many calls as there are processes and kinds.
  */
-export function createFedStore(deps: FedStoreDeps): ObjectStore {
+export function createFeedBackedStore(deps: FeedBackedStoreDeps): ObjectStore {
     const { inner, clock, caller, self, outages } = deps;
     let feeder: string | undefined;
-    let askAgainAtMs = -Infinity;
+    let nextAskAtMs = -Infinity;
     const direct = new Set<string>();
     const unsureUntilMs = new Map<string, number>();
 
     function listAvoided(): string[] {
         const nowMs = clock.monotonicMs();
         const unsure = [...unsureUntilMs].filter(([, untilMs]) => untilMs > nowMs).map(([runner]) => runner);
-        return [...new Set([...caller.silent(), ...unsure])];
+        return [...new Set([...caller.listSilent(), ...unsure])];
     }
 
     /** A runner that has the store knows better than one that has lost it whether there was an outage. */
-    function noteOutages(answer: Exclude<FeedAnswer, { kind: "elsewhere"; }>): void {
+    function recordOutages(answer: Exclude<FeedAnswer, { kind: "elsewhere"; }>): void {
         if (answer.sinceOutageMs !== undefined) {
-            outages.noteOutage(answer.sinceOutageMs);
+            outages.recordOutage(answer.sinceOutageMs);
         }
-        else if (isTold(answer)) {
-            outages.noteStoreUp();
+        else if (isDataAnswer(answer)) {
+            outages.recordStoreUp();
         }
     }
 
-    function take(
+    function handleAnswer(
         runner: string,
         answer: Exclude<FeedAnswer, { kind: "elsewhere"; }>,
-    ): Told | undefined {
-        noteOutages(answer);
-        if (isTold(answer)) {
+    ): DataAnswer | undefined {
+        recordOutages(answer);
+        if (isDataAnswer(answer)) {
             return answer;
         }
         unsureUntilMs.set(runner, clock.monotonicMs() + unsureMs);
@@ -94,7 +94,7 @@
      * A runner that has just lost the store names another, which may not know of it yet and would name it back: so who
      * declined is avoided by those asked after it.
      */
-    async function askRunners(query: FeedQuery): Promise<Told | undefined> {
+    async function askRunners(query: FeedQuery): Promise<DataAnswer | undefined> {
         const avoided = [...query.avoided ?? []];
         const send = async (address: RunnerAddress, runner: string): Promise<FeedAnswer> => {
             const answer = await deps.send(
@@ -107,50 +107,50 @@
         };
         const found = await caller.ask(feeder, send, query.avoided);
         feeder = found?.runner;
-        return found === undefined ? undefined : take(found.runner, found.answer);
+        return found === undefined ? undefined : handleAnswer(found.runner, found.answer);
     }
 
-    async function askOnce(query: FeedQuery): Promise<Told | undefined> {
+    async function askOnce(query: FeedQuery): Promise<DataAnswer | undefined> {
         const asked = { ...query, avoided: listAvoided() };
-        const own = await deps.hub()?.answer(asked);
-        if (own === undefined) {
+        const ownAnswer = await deps.hub()?.answer(asked);
+        if (ownAnswer === undefined) {
             return askRunners(asked);
         }
-        if (own.kind === "elsewhere") {
-            feeder = own.runner;
+        if (ownAnswer.kind === "elsewhere") {
+            feeder = ownAnswer.runner;
             return askRunners({ ...asked, avoided: [...asked.avoided, self] });
         }
-        return take(self, own);
+        return handleAnswer(self, ownAnswer);
     }
 
     /** What has failed just now is tried shortly, so that changes are not hidden for longer than they are due. */
-    async function askTwoRunners(query: FeedQuery): Promise<Told | undefined> {
+    async function askTwoRunners(query: FeedQuery): Promise<DataAnswer | undefined> {
         const short = { ...query, waitMs: Math.min(query.waitMs, secondWaitMs) };
-        const told = direct.has(query.prefix) ? undefined : await askOnce(query);
-        return told ?? askOnce(short);
+        const answer = direct.has(query.prefix) ? undefined : await askOnce(query);
+        return answer ?? askOnce(short);
     }
 
-    async function tryRunners(query: FeedQuery): Promise<Told | undefined> {
-        const told = await askTwoRunners(query);
-        if (told === undefined) {
-            askAgainAtMs = clock.monotonicMs() + pauseMs;
+    async function tryRunners(query: FeedQuery): Promise<DataAnswer | undefined> {
+        const answer = await askTwoRunners(query);
+        if (answer === undefined) {
+            nextAskAtMs = clock.monotonicMs() + retryDelayMs;
         }
         else {
             direct.delete(query.prefix);
         }
-        return told;
+        return answer;
     }
 
-    async function ask(query: FeedQuery): Promise<Told | undefined> {
-        const told = clock.monotonicMs() < askAgainAtMs ? undefined : await tryRunners(query);
-        if (told !== undefined || !await deps.waitForStore()) {
-            return told;
+    async function ask(query: FeedQuery): Promise<DataAnswer | undefined> {
+        const answer = clock.monotonicMs() < nextAskAtMs ? undefined : await tryRunners(query);
+        if (answer !== undefined || !await deps.waitForStore()) {
+            return answer;
         }
-        await clock.sleep(settleMs);
+        await clock.sleep(recoveryDelayMs);
         return tryRunners(query);
     }
 
-    function noteDirect(prefix: string): void {
+    function markDirect(prefix: string): void {
         if (direct.size >= maxDirect) {
             direct.clear();
         }
@@ -170,31 +170,31 @@
             return inner.watch(prefix, since, Math.min(waitMs, directWaitMs));
         }
         const { objects, revision } = await inner.list(prefix);
-        noteDirect(prefix);
+        markDirect(prefix);
         return { changes: objects, revision, relisted: true };
     }
 
     return {
         ...inner,
         list: async prefix => {
-            const told = await ask({ prefix, waitMs: waitLimitMs });
-            if (told?.kind === "listed") {
-                return told;
+            const answer = await ask({ prefix, waitMs: maxWaitMs });
+            if (answer?.kind === "listed") {
+                return answer;
             }
             const found = await inner.list(prefix);
-            noteDirect(prefix);
+            markDirect(prefix);
             return found;
         },
         watch: async (prefix, since, waitMs) => {
             // What was listed just now is as good as a watch until runners can be asked again.
-            await clock.sleep(Math.max(0, askAgainAtMs - clock.monotonicMs()));
-            const told = await ask({ prefix, since, waitMs: Math.min(waitMs, waitLimitMs) });
-            if (told === undefined) {
+            await clock.sleep(Math.max(0, nextAskAtMs - clock.monotonicMs()));
+            const answer = await ask({ prefix, since, waitMs: Math.min(waitMs, maxWaitMs) });
+            if (answer === undefined) {
                 return watchStore(prefix, since, waitMs);
             }
-            return told.kind === "changed"
-                ? { changes: told.changes, revision: told.revision }
-                : { changes: told.objects, revision: told.revision, relisted: true };
+            return answer.kind === "changed"
+                ? { changes: answer.changes, revision: answer.revision }
+                : { changes: answer.objects, revision: answer.revision, relisted: true };
         },
     };
 }
--- a/packages/peers/src/createFeedHub.test.ts
+++ b/packages/peers/src/createFeedHub.test.ts
@@ -6,7 +6,7 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { ObjectVersion } from "@auburnarch/types/ObjectVersion";
 import { expect, test } from "vitest";
-import { createFedStore } from "./createFedStore.js";
+import { createFeedBackedStore } from "./createFeedBackedStore.js";
 import { createFeedHub } from "./createFeedHub.js";
 import { createRunnerCaller } from "./createRunnerCaller.js";
 
@@ -27,7 +27,7 @@
     };
 
     /** A cut-off runner hears nothing of the store, and its calls hang. */
-    async function throughCut<T>(call: () => Promise<T>): Promise<T> {
+    async function callUnlessCutOff<T>(call: () => Promise<T>): Promise<T> {
         const found = await call();
         if (state.isCutOff) {
             await clock.sleep(3_000_000);
@@ -35,22 +35,22 @@
         state.storeHeardAtMs = clock.monotonicMs();
         return found;
     }
-    const ofRunner: Pick<ObjectStore, "list" | "watch"> = {
-        list: prefix => throughCut(() => store.list(prefix)),
-        watch: (prefix, since, waitMs) => throughCut(() => store.watch(prefix, since, waitMs)),
+    const runnerStore: Pick<ObjectStore, "list" | "watch"> = {
+        list: prefix => callUnlessCutOff(() => store.list(prefix)),
+        watch: (prefix, since, waitMs) => callUnlessCutOff(() => store.watch(prefix, since, waitMs)),
     };
     const hub = createFeedHub({
         self: "r1",
         feeder: (avoided = []) => avoided.includes(state.feeder) ? "r1" : state.feeder,
-        store: ofRunner,
+        store: runnerStore,
         // The process touches the store twice a second.
         gatherMsOf: () => 100,
-        storeHeardMs: () => state.isCutOff ? clock.monotonicMs() - state.storeHeardAtMs : 0,
+        sinceStoreAnswerMs: () => state.isCutOff ? clock.monotonicMs() - state.storeHeardAtMs : 0,
         sinceOutageMs: () => undefined,
         clock,
         logger: silent,
     });
-    const ofFront: ObjectStore = {
+    const gatewayStore: ObjectStore = {
         ...store,
         list: prefix => {
             state.direct++;
@@ -64,11 +64,11 @@
             return store.watch(prefix, since, waitMs);
         },
     };
-    const fed = createFedStore({
+    const fed = createFeedBackedStore({
         self: "front-1",
         waitForStore: async () => false,
-        outages: { noteOutage: () => undefined, noteStoreUp: () => undefined },
-        inner: ofFront,
+        outages: { recordOutage: () => undefined, recordStoreUp: () => undefined },
+        inner: gatewayStore,
         hub: () => undefined,
         caller: createRunnerCaller({
             self: "front-1",
--- a/packages/peers/src/createFeedHub.ts
+++ b/packages/peers/src/createFeedHub.ts
@@ -17,7 +17,7 @@
     /** Longest wait of a watch of a kind; by default `followWaitMs`. */
     waitMsOf?: (prefix: string) => number | undefined;
     /** Milliseconds since the store last answered this process. */
-    storeHeardMs: () => number;
+    sinceStoreAnswerMs: () => number;
     /** Milliseconds since the latest outage of the store; undefined if this runner knows of none. */
     sinceOutageMs: () => number | undefined;
     clock: Clock;
@@ -27,9 +27,9 @@
 interface FollowedKind {
     copy: KindCopy;
     waitMs: number;
-    askedAtMs: number;
+    lastQueryAtMs: number;
     /** Until then it is followed though another runner feeds. */
-    reservedUntilMs: number;
+    followedUntilMs: number;
 }
 
 /** Longest wait of a watch; a silent connection is noticed once a watch is overdue. As for a process on its own. */
@@ -40,12 +40,12 @@
  * A store that has not answered for this long may have changed without this process knowing. Changes are due at all
  * machines two seconds after the store took them; half of it is left for those who then ask the store themselves.
  */
-const storeHeardLimitMs = 1_000;
+const maxStoreSilenceMs = 1_000;
 const checkMs = 200;
 /** A kind that nobody asks for is followed for this long: longer than any wait of those who ask. */
-const unaskedMs = 15_000;
+const idleFollowMs = 15_000;
 /** The same where another runner feeds and only those ask that can't reach it; some of their questions. */
-const reserveMs = 3_000;
+const substituteFollowMs = 3_000;
 
 const kindOf = (prefix: string): string => prefix.slice(0, prefix.indexOf("/") + 1);
 
@@ -59,9 +59,9 @@
     const kinds = new Map<string, FollowedKind>();
     let isStopped = false;
 
-    const isStoreHeard = (): boolean => deps.storeHeardMs() < storeHeardLimitMs;
+    const isStoreAnswering = (): boolean => deps.sinceStoreAnswerMs() < maxStoreSilenceMs;
     const isFresh = ({ copy, waitMs }: FollowedKind): boolean =>
-        isStoreHeard() && copy.ageMs() < waitMs + overdueMs;
+        isStoreAnswering() && copy.ageMs() < waitMs + overdueMs;
 
     function follow(prefix: string): FollowedKind {
         const waitMs = deps.waitMsOf?.(prefix) ?? followWaitMs;
@@ -72,7 +72,7 @@
             waitMs,
             gatherMs: deps.gatherMsOf(prefix),
         });
-        const kind = { copy, waitMs, askedAtMs: clock.monotonicMs(), reservedUntilMs: -Infinity };
+        const kind = { copy, waitMs, lastQueryAtMs: clock.monotonicMs(), followedUntilMs: -Infinity };
         kinds.set(prefix, kind);
         logger.info("feedStarted", { kind: prefix });
         return kind;
@@ -89,12 +89,14 @@
         const nowMs = clock.monotonicMs();
         const isFeeding = deps.feeder() === self;
         for (const [prefix, kind] of kinds) {
-            const isWanted = isFeeding ? nowMs - kind.askedAtMs < unaskedMs : nowMs < kind.reservedUntilMs;
+            const isWanted = isFeeding
+                ? nowMs - kind.lastQueryAtMs < idleFollowMs
+                : nowMs < kind.followedUntilMs;
             if (!isWanted) {
                 drop(prefix, kind);
             }
             else if (!isFresh(kind)) {
-                kind.copy.wake();
+                kind.copy.wakeWaiters();
             }
         }
         cancelCheck = clock.startTimer(checkMs, check);
@@ -103,35 +105,35 @@
     let cancelCheck = clock.startTimer(checkMs, check);
 
     /** Changes may be of other objects of the kind; the revision moves on all the same. */
-    async function waitForNews(kind: FollowedKind, { since, waitMs }: FeedQuery): Promise<void> {
+    async function waitForChange(kind: FollowedKind, { since, waitMs }: FeedQuery): Promise<void> {
         const { copy } = kind;
         const untilMs = clock.monotonicMs() + waitMs;
-        while (!copy.hasNews(since) && isFresh(kind) && !isStopped && clock.monotonicMs() < untilMs) {
+        while (!copy.hasChanges(since) && isFresh(kind) && !isStopped && clock.monotonicMs() < untilMs) {
             await clock.sleep(untilMs - clock.monotonicMs(), copy.nextChange());
         }
     }
 
-    async function tell(query: FeedQuery): Promise<FeedAnswer> {
+    async function answerQuery(query: FeedQuery): Promise<FeedAnswer> {
         const runner = deps.feeder(query.avoided);
         if (runner !== undefined && runner !== self) {
             return { kind: "elsewhere", runner };
         }
-        if (runner === undefined || isStopped || !isStoreHeard()) {
+        if (runner === undefined || isStopped || !isStoreAnswering()) {
             return { kind: "unsure" };
         }
         const prefix = kindOf(query.prefix);
         const kind = kinds.get(prefix) ?? follow(prefix);
-        kind.askedAtMs = clock.monotonicMs();
+        kind.lastQueryAtMs = clock.monotonicMs();
         if (deps.feeder() !== self) {
-            kind.reservedUntilMs = clock.monotonicMs() + reserveMs;
+            kind.followedUntilMs = clock.monotonicMs() + substituteFollowMs;
         }
-        await waitForNews(kind, query);
-        return isFresh(kind) ? kind.copy.tell(query) : { kind: "unsure" };
+        await waitForChange(kind, query);
+        return isFresh(kind) ? kind.copy.answer(query) : { kind: "unsure" };
     }
 
     return {
         answer: async query => {
-            const answer = await tell(query);
+            const answer = await answerQuery(query);
             const sinceOutageMs = deps.sinceOutageMs();
             return sinceOutageMs === undefined || answer.kind === "elsewhere"
                 ? answer
--- a/packages/peers/src/createKindCopy.ts
+++ b/packages/peers/src/createKindCopy.ts
@@ -17,7 +17,7 @@
     gatherMs: number;
 }
 
-interface Batch {
+interface ChangeBatch {
     revision: ObjectVersion;
     changes: StoredChange[];
 }
@@ -30,23 +30,23 @@
     let objects = new Map<string, StoredObject>();
     let revision: ObjectVersion | undefined;
     /** Oldest first; all changes after `keptSince`. */
-    let batches: Batch[] = [];
-    let keptSince = 0 as ObjectVersion;
+    let batches: ChangeBatch[] = [];
+    let changesSince = 0 as ObjectVersion;
     let confirmedAtMs = clock.monotonicMs();
     let changed = new AbortController();
 
-    function wake(): void {
+    function wakeWaiters(): void {
         changed.abort();
         changed = new AbortController();
     }
 
-    function noteListed(found: StoredObject[], at: ObjectVersion): void {
+    function applyList(found: StoredObject[], at: ObjectVersion): void {
         confirmedAtMs = clock.monotonicMs();
         objects = new Map(found.map(object => [object.key, object]));
         batches = [];
-        keptSince = at;
+        changesSince = at;
         revision = at;
-        wake();
+        wakeWaiters();
     }
 
     function applyChange({ key, version, value }: StoredChange): void {
@@ -58,7 +58,7 @@
         }
     }
 
-    function noteChanged(changes: StoredChange[], at: ObjectVersion): void {
+    function applyChanges(changes: StoredChange[], at: ObjectVersion): void {
         confirmedAtMs = clock.monotonicMs();
         revision = at;
         if (changes.length === 0) {
@@ -67,9 +67,9 @@
         changes.forEach(applyChange);
         batches.push({ revision: at, changes });
         if (batches.length > maxBatches) {
-            keptSince = batches.shift()!.revision;
+            changesSince = batches.shift()!.revision;
         }
-        wake();
+        wakeWaiters();
     }
 
     const stop = followPrefix({
@@ -78,20 +78,20 @@
         prefix,
         waitMs,
         gatherMs: () => gatherMs,
-        onListed: noteListed,
-        onChanged: noteChanged,
+        onListed: applyList,
+        onChanged: applyChanges,
         // Logged and counted where calls are counted; the age of the copy says the rest.
         onFailed: () => undefined,
     });
 
     return {
-        hasNews: since => revision !== undefined && (since === undefined || revision > since),
-        tell: query => {
+        hasChanges: since => revision !== undefined && (since === undefined || revision > since),
+        answer: query => {
             const { since } = query;
             if (revision === undefined) {
                 return { kind: "unsure" };
             }
-            if (since === undefined || since < keptSince) {
+            if (since === undefined || since < changesSince) {
                 const asked = [...objects.values()].filter(({ key }) => key.startsWith(query.prefix));
                 return { kind: "listed", objects: asked, revision };
             }
@@ -104,10 +104,10 @@
         },
         ageMs: () => clock.monotonicMs() - confirmedAtMs,
         nextChange: () => changed.signal,
-        wake,
+        wakeWaiters,
         stop: () => {
             stop();
-            wake();
+            wakeWaiters();
         },
     };
 }
--- a/packages/peers/src/createOutageEvidence.test.ts
+++ b/packages/peers/src/createOutageTracker.test.ts
@@ -1,14 +1,14 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { expect, test } from "vitest";
-import { createOutageEvidence } from "./createOutageEvidence.js";
+import { createOutageTracker } from "./createOutageTracker.js";
 import { feedSchemas } from "./feedSchemas.js";
 
-const grace = 2_500;
+const gracePeriodMs = 2_500;
 
 function createFixture() {
     const clock = createFakeClock();
     const own = { lostAtMs: undefined as number | undefined, regainedAtMs: -Infinity };
-    const evidence = createOutageEvidence({
+    const evidence = createOutageTracker({
         storeSilentMs: () => own.lostAtMs === undefined ? 0 : clock.monotonicMs() - own.lostAtMs,
         storeRegainedMs: () => clock.monotonicMs() - own.regainedAtMs,
         clock,
@@ -34,25 +34,29 @@
 test("an outage that a runner told of lasts until this process has the store again", async () => {
     const { clock, evidence, lose, regain } = createFixture();
     lose();
-    evidence.noteOutage(0);
+    evidence.recordOutage(0);
     await clock.advance(10_000);
     regain();
     await clock.advance(300);
     const soonMs = evidence.sinceOutageMs();
-    await clock.advance(grace);
-    expect([soonMs >= 300, soonMs <= 500, evidence.sinceOutageMs() > grace]).toEqual([true, true, true]);
+    await clock.advance(gracePeriodMs);
+    expect([soonMs >= 300, soonMs <= 500, evidence.sinceOutageMs() > gracePeriodMs]).toEqual([
+        true,
+        true,
+        true,
+    ]);
 });
 
 test("a runner that had the store all the while is believed, one that lost it is not where this process has it", async () => {
     const { clock, evidence, lose, regain } = createFixture();
     lose();
-    evidence.noteOutage(0);
+    evidence.recordOutage(0);
     await clock.advance(5_000);
     regain();
-    evidence.noteStoreUp();
+    evidence.recordStoreUp();
     const toldUpMs = evidence.sinceOutageMs();
     await clock.advance(4_000);
-    evidence.noteOutage(0);
+    evidence.recordOutage(0);
     expect([toldUpMs, evidence.sinceOutageMs()]).toEqual([Infinity, 4_000]);
 });
 
--- a/packages/peers/src/createRunnerCaller.ts
+++ b/packages/peers/src/createRunnerCaller.ts
@@ -2,8 +2,8 @@
 import { rankByRendezvous } from "@auburnarch/membership/rankByRendezvous";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { Elsewhere } from "./Elsewhere.js";
 import type { RunnerCaller } from "./RunnerCaller.js";
+import type { RunnerRedirect } from "./RunnerRedirect.js";
 
 interface RunnerCallerDeps {
     /** Own name: processes spread their questions over the runners by it, and ask themselves nothing. */
@@ -21,7 +21,7 @@
 /** The runner asked first, the one that it names, and one more if things have just moved on. */
 const maxHops = 3;
 
-function isElsewhere<T extends { kind: string; }>(answer: T): answer is Extract<T, Elsewhere> {
+function isRedirect<T extends { kind: string; }>(answer: T): answer is Extract<T, RunnerRedirect> {
     return answer.kind === "elsewhere";
 }
 
@@ -38,7 +38,7 @@
             : rankByRendezvous(self, usable, runner => runner)[0];
     }
 
-    function noteSilence(runner: string, error: unknown): void {
+    function recordSilence(runner: string, error: unknown): void {
         avoidedUntilMs.set(runner, clock.monotonicMs() + avoidMs);
         logger.info("runnerSilent", { runner, avoidMs, detail: String(error) });
     }
@@ -48,17 +48,17 @@
             return await send();
         }
         catch (error) {
-            noteSilence(runner, error);
+            recordSilence(runner, error);
             return undefined;
         }
     }
 
     return {
-        silent: () => [...avoidedUntilMs.keys()].filter(isAvoided),
-        ask: async (first, send, except = []) => {
+        listSilent: () => [...avoidedUntilMs.keys()].filter(isAvoided),
+        ask: async (first, send, excluded = []) => {
             const runners = deps.runners() ?? new Map<string, RunnerAddress>();
             const isUsable = (runner: string): boolean =>
-                runner !== self && !isAvoided(runner) && !except.includes(runner);
+                runner !== self && !isAvoided(runner) && !excluded.includes(runner);
             let runner = chooseFirst(first, [...runners.keys()].filter(isUsable));
             for (let hop = 0; hop < maxHops && runner !== undefined; hop++) {
                 const asked = runner;
@@ -70,8 +70,8 @@
                 if (answer === undefined) {
                     return undefined;
                 }
-                if (!isElsewhere(answer)) {
-                    return { runner: asked, answer: answer as Exclude<typeof answer, Elsewhere> };
+                if (!isRedirect(answer)) {
+                    return { runner: asked, answer: answer as Exclude<typeof answer, RunnerRedirect> };
                 }
                 runner = answer.runner;
             }
--- a/packages/pick/src/estimateFinishMs.ts
+++ b/packages/pick/src/estimateFinishMs.ts
@@ -7,7 +7,7 @@
 const prefillSpeedup = 30;
 
 /** Tokens that those at work there still make, each; guessed by the request itself where nothing of ours runs. */
-const meanLeftTokens = (candidate: Candidate, request: PickRequest): number =>
+const meanRemainingTokens = (candidate: Candidate, request: PickRequest): number =>
     candidate.outstanding === 0
         ? request.expectedTokens
         : candidate.outstandingTokens / candidate.outstanding;
@@ -20,8 +20,8 @@
     const load = correctedLoad(candidate) + candidate.reserved;
     const limit = Math.max(1, candidate.view.report.limit);
     const tokensPerSecond = expectedTokensPerSecond(candidate, Math.min(load + 1, limit));
-    const ahead = Math.max(0, load + 1 - limit);
-    const queueMs = ahead / limit * meanLeftTokens(candidate, request) / tokensPerSecond * 1000;
+    const queuedAhead = Math.max(0, load + 1 - limit);
+    const queueMs = queuedAhead / limit * meanRemainingTokens(candidate, request) / tokensPerSecond * 1000;
     const uncachedTokens = Math.max(0, request.promptTokens - candidate.cachedPromptTokens);
     const prefillMs = uncachedTokens / (tokensPerSecond * prefillSpeedup) * 1000;
     return queueMs + prefillMs + request.expectedTokens / tokensPerSecond * 1000;
--- a/packages/pick/src/pickEarliestFinish.ts
+++ b/packages/pick/src/pickEarliestFinish.ts
@@ -8,12 +8,12 @@
 }
 
 /** A sampler with a place now is taken unless waiting for another one saves this part of the time. */
-const leastGainRatio = 0.15;
+const minGainRatio = 0.15;
 
 /** A guess about a queue is worth no more than the age of the report behind it. */
-const isWorthWaiting = (full: Ranked, open: Ranked): boolean => {
-    const gainMs = open.finishMs - full.finishMs;
-    return gainMs > open.finishMs * leastGainRatio && gainMs > full.candidate.view.reportAgeMs;
+const isWorthWaiting = (full: Ranked, available: Ranked): boolean => {
+    const gainMs = available.finishMs - full.finishMs;
+    return gainMs > available.finishMs * minGainRatio && gainMs > full.candidate.view.reportAgeMs;
 };
 
 const earliest = (
@@ -43,20 +43,20 @@
     const staying = candidates.filter(candidate => !candidate.aboutToSwap);
     const pool = staying.some(candidate => candidate.room > 0) ? staying : candidates;
     const finishMs = (candidate: Candidate): number => estimateFinishMs(candidate, request);
-    const open = earliest(pool.filter(candidate => candidate.room > 0), finishMs);
-    if (open === undefined) {
+    const available = earliest(pool.filter(candidate => candidate.room > 0), finishMs);
+    if (available === undefined) {
         return { kind: "none", reason: "noRoom", candidates: candidates.length };
     }
     const full = earliest(pool.filter(candidate => candidate.room <= 0), finishMs);
-    if (full !== undefined && isWorthWaiting(full, open)) {
+    if (full !== undefined && isWorthWaiting(full, available)) {
         const sampler = full.candidate.view.report.sampler;
         return { kind: "none", reason: "waitForFaster", candidates: candidates.length, sampler };
     }
     return {
         kind: "picked",
-        sampler: open.candidate.view.report.sampler,
-        reason: reasonFor(open.candidate),
+        sampler: available.candidate.view.report.sampler,
+        reason: reasonFor(available.candidate),
         candidates: candidates.length,
-        estimatedFinishMs: Math.round(open.finishMs),
+        estimatedFinishMs: Math.round(available.finishMs),
     };
 };
--- a/packages/pick/src/pickLeastFinish.ts
+++ b/packages/pick/src/pickLeastFinish.ts
@@ -10,9 +10,9 @@
  * has room: what starts there is paused or drained by the swap at once.
  */
 export const pickLeastFinish: SamplerPicker = (candidates, request) => {
-    const open = candidates.filter(candidate => candidate.room > 0);
-    const staying = open.filter(candidate => !candidate.aboutToSwap);
-    const pool = staying.length > 0 ? staying : open;
+    const available = candidates.filter(candidate => candidate.room > 0);
+    const staying = available.filter(candidate => !candidate.aboutToSwap);
+    const pool = staying.length > 0 ? staying : available;
     let best: Candidate | undefined;
     let bestMs = Infinity;
     for (const candidate of pool) {
@@ -29,7 +29,7 @@
         kind: "picked",
         sampler: best.view.report.sampler,
         reason: reasonFor(best),
-        candidates: open.length,
+        candidates: available.length,
         estimatedFinishMs: Math.round(bestMs),
     };
 };
--- a/packages/pick/src/pickLeastReported.ts
+++ b/packages/pick/src/pickLeastReported.ts
@@ -6,17 +6,17 @@
 
 /** Baseline: the least load as last reported, uncorrected; ties by a draw. */
 export const pickLeastReported: SamplerPicker = (candidates, _request, random) => {
-    const open = candidates.filter(candidate => candidate.room > 0);
-    if (open.length === 0) {
+    const available = candidates.filter(candidate => candidate.room > 0);
+    if (available.length === 0) {
         return { kind: "none", reason: "noRoom", candidates: candidates.length };
     }
-    const least = Math.min(...open.map(reportedLoad));
-    const ties = open.filter(candidate => reportedLoad(candidate) === least);
+    const least = Math.min(...available.map(reportedLoad));
+    const ties = available.filter(candidate => reportedLoad(candidate) === least);
     return {
         kind: "picked",
         sampler: ties[random.nextInt(ties.length)]!.view.report.sampler,
         reason: "leastReported",
-        candidates: open.length,
+        candidates: available.length,
         estimatedFinishMs: undefined,
     };
 };
--- a/packages/pick/src/pickRandom.ts
+++ b/packages/pick/src/pickRandom.ts
@@ -2,15 +2,15 @@
 
 /** Baseline: any candidate with equal probability. */
 export const pickRandom: SamplerPicker = (candidates, _request, random) => {
-    const open = candidates.filter(candidate => candidate.room > 0);
-    if (open.length === 0) {
+    const available = candidates.filter(candidate => candidate.room > 0);
+    if (available.length === 0) {
         return { kind: "none", reason: "noRoom", candidates: candidates.length };
     }
     return {
         kind: "picked",
-        sampler: open[random.nextInt(open.length)]!.view.report.sampler,
+        sampler: available[random.nextInt(available.length)]!.view.report.sampler,
         reason: "random",
-        candidates: open.length,
+        candidates: available.length,
         estimatedFinishMs: undefined,
     };
 };
--- a/packages/pick/src/pickRoundRobin.ts
+++ b/packages/pick/src/pickRoundRobin.ts
@@ -7,17 +7,20 @@
 
 /** Baseline: the candidate that was sent to the longest time ago. */
 export const pickRoundRobin: SamplerPicker = candidates => {
-    const open = candidates.filter(candidate => candidate.room > 0);
-    const first = open[0];
+    const available = candidates.filter(candidate => candidate.room > 0);
+    const first = available[0];
     if (first === undefined) {
         return { kind: "none", reason: "noRoom", candidates: candidates.length };
     }
-    const next = open.reduce((best, candidate) => comesBefore(candidate, best) ? candidate : best, first);
+    const next = available.reduce(
+        (best, candidate) => comesBefore(candidate, best) ? candidate : best,
+        first,
+    );
     return {
         kind: "picked",
         sampler: next.view.report.sampler,
         reason: "roundRobin",
-        candidates: open.length,
+        candidates: available.length,
         estimatedFinishMs: undefined,
     };
 };
--- a/packages/pick/src/pickTwoChoices.ts
+++ b/packages/pick/src/pickTwoChoices.ts
@@ -2,12 +2,12 @@
 
 /** Baseline: of two candidates drawn at random, the one with fewer attempts of ours outstanding. */
 export const pickTwoChoices: SamplerPicker = (candidates, _request, random) => {
-    const open = candidates.filter(candidate => candidate.room > 0);
-    if (open.length === 0) {
+    const available = candidates.filter(candidate => candidate.room > 0);
+    if (available.length === 0) {
         return { kind: "none", reason: "noRoom", candidates: candidates.length };
     }
-    const first = open[random.nextInt(open.length)]!;
-    const second = open[random.nextInt(open.length)]!;
+    const first = available[random.nextInt(available.length)]!;
+    const second = available[random.nextInt(available.length)]!;
     const load = (candidate: typeof first): number =>
         Math.max(candidate.view.report.running + candidate.view.report.waiting, candidate.outstanding);
     const chosen = load(second) < load(first) ? second : first;
@@ -15,7 +15,7 @@
         kind: "picked",
         sampler: chosen.view.report.sampler,
         reason: "twoChoices",
-        candidates: open.length,
+        candidates: available.length,
         estimatedFinishMs: undefined,
     };
 };
--- a/packages/pick/src/pickers.test.ts
+++ b/packages/pick/src/pickers.test.ts
@@ -8,8 +8,8 @@
 import { pickRoundRobin } from "./pickRoundRobin.js";
 import { pickTwoChoices } from "./pickTwoChoices.js";
 import type { SamplerPicker } from "./SamplerPicker.js";
-import { toCandidate } from "./testing/toCandidate.js";
-import { toRequest } from "./testing/toRequest.js";
+import { createTestCandidate } from "./testing/createTestCandidate.js";
+import { createTestRequest } from "./testing/createTestRequest.js";
 
 const pickers: SamplerPicker[] = [
     pickRandom,
@@ -20,7 +20,7 @@
     pickEarliestFinish,
 ];
 
-const decideAll = (candidates: Candidate[], request = toRequest()): Record<string, unknown> =>
+const decideAll = (candidates: Candidate[], request = createTestRequest()): Record<string, unknown> =>
     Object.fromEntries(
         ["random", "roundRobin", "leastReported", "twoChoices", "leastFinish", "earliestFinish"]
             .map((name, index) => [name, pickers[index]!(candidates, request, createRandom(7))]),
@@ -28,9 +28,14 @@
 
 test("each picker among a busy, an idle and a fast sampler", () => {
     const candidates = [
-        toCandidate("busy", { room: 2, outstanding: 6, lastSentOrder: 9 }, { running: 6 }),
-        toCandidate("idle", { lastSentOrder: 8 }),
-        toCandidate("fast", { room: 4, outstanding: 4, observedTokensPerSecond: 190, lastSentOrder: 10 }, {
+        createTestCandidate("busy", { room: 2, outstanding: 6, lastSentOrder: 9 }, { running: 6 }),
+        createTestCandidate("idle", { lastSentOrder: 8 }),
+        createTestCandidate("fast", {
+            room: 4,
+            outstanding: 4,
+            observedTokensPerSecond: 190,
+            lastSentOrder: 10,
+        }, {
             running: 4,
             tokensPerSecond: 200,
         }),
@@ -84,9 +89,9 @@
 });
 
 test("nothing is picked where there is no room", () => {
-    const candidates = [toCandidate("a", { room: 0 }), toCandidate("b", { room: 0 })];
+    const candidates = [createTestCandidate("a", { room: 0 }), createTestCandidate("b", { room: 0 })];
     for (const picker of pickers) {
-        expect(picker(candidates, toRequest(), createRandom(1))).toMatchObject({
+        expect(picker(candidates, createTestRequest(), createRandom(1))).toMatchObject({
             kind: "none",
             reason: "noRoom",
         });
@@ -96,11 +101,11 @@
 test("a burst after one report is spread, not piled on the sampler that looked idle in it", () => {
     // Guards against: queues swing from one sampler to the next at the rhythm of the reports.
     const candidates = [
-        toCandidate("a", {}, { running: 0 }),
-        toCandidate("b", { room: 4 }, { running: 4 }),
+        createTestCandidate("a", {}, { running: 0 }),
+        createTestCandidate("b", { room: 4 }, { running: 4 }),
     ];
     const sent = Array.from({ length: 12 }, () => {
-        const decision = pickEarliestFinish(candidates, toRequest(), createRandom(1));
+        const decision = pickEarliestFinish(candidates, createTestRequest(), createRandom(1));
         const chosen = candidates.find(({ view }) => view.report.sampler === decision.sampler)!;
         chosen.sentSinceReport++;
         chosen.outstanding++;
@@ -113,8 +118,8 @@
 test("a long sample waits for the fast sampler, a short one takes the slow one at once", () => {
     // Guards against: one sample on the slow sampler holds up the step.
     const candidates = [
-        toCandidate("slow", { observedTokensPerSecond: 40 }),
-        toCandidate("fast", {
+        createTestCandidate("slow", { observedTokensPerSecond: 40 }),
+        createTestCandidate("fast", {
             room: 0,
             outstanding: 8,
             outstandingTokens: 8_000,
@@ -124,25 +129,25 @@
         }),
     ];
     const decide = (expectedTokens: number): unknown =>
-        pickEarliestFinish(candidates, toRequest({ expectedTokens }), createRandom(1));
+        pickEarliestFinish(candidates, createTestRequest({ expectedTokens }), createRandom(1));
     expect(decide(1_000)).toMatchObject({ kind: "none", reason: "waitForFaster", sampler: "fast" });
     expect(decide(10)).toMatchObject({ kind: "picked", sampler: "slow" });
 });
 
 test("a sampler about to swap is taken only if no other has a place", () => {
-    const swapping = toCandidate("a", { aboutToSwap: true });
+    const swapping = createTestCandidate("a", { aboutToSwap: true });
     const decide = (other: Candidate): unknown =>
-        pickEarliestFinish([swapping, other], toRequest(), createRandom(1));
-    expect(decide(toCandidate("b", { room: 1, outstanding: 7 }, { running: 7 }))).toMatchObject({
+        pickEarliestFinish([swapping, other], createTestRequest(), createRandom(1));
+    expect(decide(createTestCandidate("b", { room: 1, outstanding: 7 }, { running: 7 }))).toMatchObject({
         sampler: "b",
     });
-    expect(decide(toCandidate("b", { room: 0 }, { running: 8 }))).toMatchObject({ sampler: "a" });
+    expect(decide(createTestCandidate("b", { room: 0 }, { running: 8 }))).toMatchObject({ sampler: "a" });
 });
 
 test("a cached prompt outweighs a little load, not a long queue", () => {
-    const request = toRequest({ promptTokens: 6_000, expectedTokens: 200 });
+    const request = createTestRequest({ promptTokens: 6_000, expectedTokens: 200 });
     const cached = (load: number): Candidate =>
-        toCandidate(
+        createTestCandidate(
             "cached",
             { cachedPromptTokens: 6_000, outstanding: load, outstandingTokens: load * 200 },
             {
@@ -150,7 +155,7 @@
             },
         );
     const decide = (load: number): unknown =>
-        pickEarliestFinish([cached(load), toCandidate("cold")], request, createRandom(1));
+        pickEarliestFinish([cached(load), createTestCandidate("cold")], request, createRandom(1));
     expect(decide(4)).toMatchObject({ sampler: "cached", reason: "earliestFinishCachedPrefix" });
     expect(decide(40)).toMatchObject({ sampler: "cold" });
 });
--- a/packages/pick/src/selectCandidates.test.ts
+++ b/packages/pick/src/selectCandidates.test.ts
@@ -1,23 +1,23 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
 import { selectCandidates } from "./selectCandidates.js";
-import { toCandidate } from "./testing/toCandidate.js";
-import { toRequest } from "./testing/toRequest.js";
+import { createTestCandidate } from "./testing/createTestCandidate.js";
+import { createTestRequest } from "./testing/createTestRequest.js";
 
 const namesOf = (candidates: ReturnType<typeof selectCandidates>): string[] =>
     candidates.map(({ view }) => view.report.sampler);
 
 test("only ready samplers that serve the policy at the least version or above", () => {
     const candidates = [
-        toCandidate("good"),
-        toCandidate("newer", {}, { served: [{ policy: "plume", version: 4 }] }),
-        toCandidate("older", {}, { served: [{ policy: "plume", version: 2 }] }),
-        toCandidate("other", {}, { served: [{ policy: "ridge", version: 9 }] }),
-        toCandidate("leaving", {}, { state: "leaving" }),
-        toCandidate("swapping", {}, { state: "swapping" }),
-        toCandidate("unknown", {}, { state: "unknownVersion" }),
+        createTestCandidate("good"),
+        createTestCandidate("newer", {}, { served: [{ policy: "plume", version: 4 }] }),
+        createTestCandidate("older", {}, { served: [{ policy: "plume", version: 2 }] }),
+        createTestCandidate("other", {}, { served: [{ policy: "ridge", version: 9 }] }),
+        createTestCandidate("leaving", {}, { state: "leaving" }),
+        createTestCandidate("swapping", {}, { state: "swapping" }),
+        createTestCandidate("unknown", {}, { state: "unknownVersion" }),
     ];
-    expect(namesOf(selectCandidates(candidates, toRequest()))).toEqual(["good", "newer"]);
+    expect(namesOf(selectCandidates(candidates, createTestRequest()))).toEqual(["good", "newer"]);
 });
 
 test("suspicion, avoidance and suspects narrow the choice and never empty it", () => {
@@ -29,14 +29,14 @@
     });
     fc.assert(fc.property(fc.array(sampler, { maxLength: 12 }), fc.boolean(), (drawn, suspect) => {
         const candidates = drawn.map(({ suspected, isAble, holds }, index) => {
-            const candidate = toCandidate(`s${index}`, {}, {
+            const candidate = createTestCandidate(`s${index}`, {}, {
                 state: isAble ? "ready" : "engineDown",
                 suspects: holds ? [{ digest: "other", deaths: [] }] : [],
             });
             return { ...candidate, view: { ...candidate.view, suspected } };
         });
         const avoid = new Set(drawn.flatMap(({ avoided }, index) => avoided ? [`s${index}`] : []));
-        const chosen = selectCandidates(candidates, toRequest({ avoid, suspect }));
+        const chosen = selectCandidates(candidates, createTestRequest({ avoid, suspect }));
         const able = candidates.filter(candidate => candidate.view.report.state === "ready");
         expect(chosen.length > 0).toBe(able.length > 0);
         expect(chosen.every(candidate => able.includes(candidate))).toBe(true);
@@ -48,9 +48,9 @@
 test("two suspects of one death do not meet on a sampler again", () => {
     // Guards against: a harmless prompt is refused everywhere.
     const candidates = [
-        toCandidate("holds", {}, { suspects: [{ digest: "other", deaths: [] }] }),
-        toCandidate("clean"),
+        createTestCandidate("holds", {}, { suspects: [{ digest: "other", deaths: [] }] }),
+        createTestCandidate("clean"),
     ];
-    expect(namesOf(selectCandidates(candidates, toRequest({ suspect: true })))).toEqual(["clean"]);
-    expect(namesOf(selectCandidates(candidates, toRequest()))).toEqual(["holds", "clean"]);
+    expect(namesOf(selectCandidates(candidates, createTestRequest({ suspect: true })))).toEqual(["clean"]);
+    expect(namesOf(selectCandidates(candidates, createTestRequest()))).toEqual(["holds", "clean"]);
 });
--- a/packages/pick/src/selectCandidates.ts
+++ b/packages/pick/src/selectCandidates.ts
@@ -2,12 +2,12 @@
 import type { PickRequest } from "./PickRequest.js";
 import { servedVersion } from "./servedVersion.js";
 
-const isAble = (candidate: Candidate, request: PickRequest): boolean => {
+const isEligible = (candidate: Candidate, request: PickRequest): boolean => {
     const version = servedVersion(candidate.view, request.policy);
     return candidate.view.report.state === "ready" && version !== undefined && version >= request.minVersion;
 };
 
-const holdsOtherSuspect = (candidate: Candidate, request: PickRequest): boolean =>
+const hasOtherSuspect = (candidate: Candidate, request: PickRequest): boolean =>
     candidate.view.report.suspects.some(suspect => suspect.digest !== request.digest);
 
 /** Keeps the preferred ones if there are any, else all. */
@@ -23,13 +23,13 @@
  * everywhere. A bad signal cannot empty the list: suspicion and avoidance only ever narrow it.
  */
 export function selectCandidates(candidates: Candidate[], request: PickRequest): Candidate[] {
-    let able = candidates.filter(candidate => isAble(candidate, request));
-    able = prefer(able, candidate => !candidate.view.suspected);
+    let eligible = candidates.filter(candidate => isEligible(candidate, request));
+    eligible = prefer(eligible, candidate => !candidate.view.suspected);
     if (request.avoid.size > 0) {
-        able = prefer(able, candidate => !request.avoid.has(candidate.view.report.sampler));
+        eligible = prefer(eligible, candidate => !request.avoid.has(candidate.view.report.sampler));
     }
     if (request.suspect) {
-        able = prefer(able, candidate => !holdsOtherSuspect(candidate, request));
+        eligible = prefer(eligible, candidate => !hasOtherSuspect(candidate, request));
     }
-    return able;
+    return eligible;
 }
--- a/packages/pick/src/testing/toCandidate.ts
+++ b/packages/pick/src/testing/createTestCandidate.ts
@@ -2,7 +2,7 @@
 import type { Candidate } from "../Candidate.js";
 
 /** A ready candidate that serves `plume@3` with eight places, changed by the arguments; for tests. */
-export function toCandidate(
+export function createTestCandidate(
     sampler: string,
     changes: Partial<Candidate> = {},
     report: Partial<Record<keyof SamplerReport, unknown>> = {},
--- a/packages/pick/src/testing/toRequest.ts
+++ b/packages/pick/src/testing/createTestRequest.ts
@@ -1,7 +1,7 @@
 import type { PickRequest } from "../PickRequest.js";
 
 /** A request for 200 tokens of `plume` at version 3, changed by the argument; for tests. */
-export function toRequest(changes: Partial<Record<keyof PickRequest, unknown>> = {}): PickRequest {
+export function createTestRequest(changes: Partial<Record<keyof PickRequest, unknown>> = {}): PickRequest {
     return {
         policy: "plume",
         minVersion: 3,
--- a/packages/relay/src/BreakMark.ts
+++ b/packages/relay/src/BreakReport.ts
@@ -1,7 +1,7 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 
 /** What a process knows of a content that broke off at samplers, as it tells others. */
-export interface BreakMark {
+export interface BreakReport {
     content: ContentDigest;
     /** Attempts that broke off in a row; 0 once it has run to its end. */
     breaks: number;
--- a/packages/relay/src/ContentGuard.ts
+++ b/packages/relay/src/ContentGuard.ts
@@ -4,7 +4,7 @@
     pauseMs(): number;
     /** Whether it may be sent to one more sampler. */
     mayRetry(): boolean;
-    noteSent(): void;
-    noteBroken(): void;
-    noteRan(): void;
+    recordSent(): void;
+    recordBreak(): void;
+    recordCompletion(): void;
 }
--- a/packages/relay/src/RelayOutcome.ts
+++ b/packages/relay/src/ForwardingOutcome.ts
@@ -2,6 +2,6 @@
 import type { SamplerReply } from "./SamplerReply.js";
 
 /** What the caller gets: a sampler's answer, or a code whose family says whether the request may have run. */
-export type RelayOutcome =
+export type ForwardingOutcome =
     | Extract<SamplerReply, { kind: "answered"; }>
     | { kind: "failed"; code: ResultCode; detail: string; retryAfterMs?: number; };
--- a/packages/relay/src/RelayDeps.ts
+++ b/packages/relay/src/RequestForwarderDeps.ts
@@ -5,12 +5,12 @@
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { Random } from "@auburnarch/types/Random";
-import type { BreakMemory } from "./BreakMemory.js";
+import type { BreakRegistry } from "./BreakRegistry.js";
 import type { CallSampler } from "./CallSampler.js";
 import type { RunMeter } from "./RunMeter.js";
 
 /** What a relay is built from. */
-export interface RelayDeps {
+export interface RequestForwarderDeps {
     callSampler: CallSampler;
     directory: SamplerDirectory;
     clock: Clock;
@@ -21,7 +21,7 @@
     /** Own failure domain; samplers in it are preferred. */
     failureDomain: FailureDomain;
     /** Shared with other processes by whoever passes it; by default what this relay alone has seen. */
-    breaks?: BreakMemory;
+    breaks?: BreakRegistry;
     /** Counts the requests of teams; none where that is not asked for. */
     meter?: RunMeter | undefined;
 }
--- a/packages/relay/src/RelayRequest.ts
+++ b/packages/relay/src/RoutedRequest.ts
@@ -2,7 +2,7 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 
 /** A caller's request with its route. */
-export interface RelayRequest {
+export interface RoutedRequest {
     requestId: string;
     /** Whose request it is; undefined where callers need no key. */
     team: TeamId | undefined;
--- a/packages/relay/src/Tried.ts
+++ b/packages/relay/src/SamplerAttemptOutcome.ts
@@ -3,4 +3,4 @@
 type Answered = Extract<SamplerReply, { kind: "answered"; }>;
 
 /** How one try ended. The answer to an idempotent request is whole; that of another may still break off. */
-export type Tried = { kind: "done"; answer: Answered; } | Exclude<SamplerReply, Answered>;
+export type SamplerAttemptOutcome = { kind: "done"; answer: Answered; } | Exclude<SamplerReply, Answered>;
--- a/packages/relay/src/createBreakMemory.test.ts
+++ b/packages/relay/src/createBreakRegistry.test.ts
@@ -3,11 +3,11 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import { expect, test } from "vitest";
-import type { BreakMemory } from "./BreakMemory.js";
-import { createBreakMemory } from "./createBreakMemory.js";
-import type { RelayOutcome } from "./RelayOutcome.js";
+import type { BreakRegistry } from "./BreakRegistry.js";
+import { createBreakRegistry } from "./createBreakRegistry.js";
+import type { ForwardingOutcome } from "./ForwardingOutcome.js";
 import type { SamplerReply } from "./SamplerReply.js";
-import { createTestRelay } from "./testing/createTestRelay.js";
+import { createTestForwarder } from "./testing/createTestForwarder.js";
 import { createTestRoute } from "./testing/createTestRoute.js";
 
 const noSignal = new AbortController().signal;
@@ -33,8 +33,8 @@
 const restartMs = 3_000;
 const workMs = 25;
 /** Every gateway asks one runner for changes, each question waiting so long, and tells it what broke off. */
-const tellEveryMs = 800;
-const toldMs = 3_000;
+const exchangeIntervalMs = 800;
+const reportWindowMs = 3_000;
 
 /** Gateways that tell each other through one runner, and samplers that a body of "killer" ends. */
 function createFleet(
@@ -44,32 +44,32 @@
     const upAtMs = new Map<string, number>();
     const kills: number[] = [];
     const names = Array.from({ length: samplers }, (_, at) => createTestSampler(`s${at}`));
-    const hub = createBreakMemory(clock);
+    const hub = createBreakRegistry(clock);
 
-    async function callSampler(name: string, isKiller: boolean): Promise<SamplerReply> {
+    async function callSampler(name: string, isCrashInducing: boolean): Promise<SamplerReply> {
         if (clock.monotonicMs() < (upAtMs.get(name) ?? 0)) {
             return notConnected;
         }
         await clock.sleep(workMs, noSignal);
-        if (isKiller) {
+        if (isCrashInducing) {
             kills.push(clock.monotonicMs());
             upAtMs.set(name, clock.monotonicMs() + restartMs);
         }
         return clock.monotonicMs() < (upAtMs.get(name) ?? 0) ? broken : answered();
     }
 
-    function exchange(breaks: BreakMemory): void {
-        hub.learn(breaks.noted(toldMs));
-        breaks.learn(hub.known(toldMs));
-        clock.startTimer(tellEveryMs, () => exchange(breaks));
+    function exchange(breaks: BreakRegistry): void {
+        hub.merge(breaks.listOwn(reportWindowMs));
+        breaks.merge(hub.listAll(reportWindowMs));
+        clock.startTimer(exchangeIntervalMs, () => exchange(breaks));
     }
 
-    const relays = Array.from({ length: gateways }, (_, at) => {
-        const breaks = createBreakMemory(clock);
+    const forwarders = Array.from({ length: gateways }, (_, at) => {
+        const breaks = createBreakRegistry(clock);
         if (isSharing) {
-            clock.startTimer(at * tellEveryMs / gateways, () => exchange(breaks));
+            clock.startTimer(at * exchangeIntervalMs / gateways, () => exchange(breaks));
         }
-        return createTestRelay({
+        return createTestForwarder({
             callSampler: ({ sampler, body }) =>
                 callSampler(sampler.instance, Buffer.from(body).toString() === "killer"),
             clock,
@@ -78,7 +78,7 @@
             breaks,
         });
     });
-    const send = (at: number, text: string): Promise<RelayOutcome> => {
+    const send = (at: number, text: string): Promise<ForwardingOutcome> => {
         const body = Buffer.from(text);
         const asked = {
             requestId: `${text}${at}`,
@@ -90,13 +90,13 @@
             headers: {},
             body,
         };
-        return relays[at % gateways]!({ ...asked, deadlineMs: 2_000 }, noSignal);
+        return forwarders[at % gateways]!({ ...asked, deadlineMs: 2_000 }, noSignal);
     };
     return { clock, kills, send };
 }
 
-async function playKiller(isSharing: boolean) {
-    const { clock, kills, send } = createFleet({ gateways: 58, samplers: 8, isSharing });
+async function sendCrashInducing(isSharing: boolean) {
+    const { clock, kills: crashes, send } = createFleet({ gateways: 58, samplers: 8, isSharing });
     const ends: string[] = [];
     let harmless = 0;
     for (let at = 0; at < 40; at++) {
@@ -109,12 +109,12 @@
         });
         await clock.advance(1_000);
     }
-    return { kills: kills.length, paused: ends.filter(end => end === "contentPaused").length, harmless };
+    return { kills: crashes.length, paused: ends.filter(end => end === "contentPaused").length, harmless };
 }
 
 test("a request that kills samplers is known at 58 gateways within the time of one question", async () => {
-    expect(await playKiller(false)).toEqual({ kills: 41, paused: 0, harmless: 27 });
-    expect(await playKiller(true)).toEqual({ kills: 5, paused: 32, harmless: 40 });
+    expect(await sendCrashInducing(false)).toEqual({ kills: 41, paused: 0, harmless: 27 });
+    expect(await sendCrashInducing(true)).toEqual({ kills: 5, paused: 32, harmless: 40 });
 });
 
 test("the refusal of such a request says when it may run again, and it runs then", async () => {
@@ -138,58 +138,61 @@
 test("a content that broke off beside others is cleared by its first run to the end, everywhere", async () => {
     // Guards against: a harmless request is held up since its samplers were killed by another.
     const clock = createFakeClock();
-    const here = createBreakMemory(clock);
-    const there = createBreakMemory(clock);
+    const here = createBreakRegistry(clock);
+    const there = createBreakRegistry(clock);
     for (let breaks = 0; breaks < 3; breaks++) {
-        here.noteBroken(content);
+        here.recordBreak(content);
     }
-    there.learn(here.noted(toldMs));
+    there.merge(here.listOwn(reportWindowMs));
     expect([there.pauseMs(content), there.mayRetry(content)]).toEqual([1_000, false]);
     await clock.advance(1_000);
-    there.noteRan(content);
-    here.learn(there.noted(toldMs));
+    there.recordCompletion(content);
+    here.merge(there.listOwn(reportWindowMs));
     expect([here.pauseMs(content), here.mayRetry(content)]).toEqual([0, true]);
 });
 
 test("what is told late or twice changes nothing", async () => {
     const clock = createFakeClock();
-    const here = createBreakMemory(clock);
-    here.noteBroken(content);
-    here.noteBroken(content);
-    const old = here.noted(toldMs);
+    const here = createBreakRegistry(clock);
+    here.recordBreak(content);
+    here.recordBreak(content);
+    const old = here.listOwn(reportWindowMs);
     await clock.advance(500);
-    here.noteRan(content);
-    here.learn(old.map(mark => ({ ...mark, ageMs: 500 })));
-    here.learn(old.map(mark => ({ ...mark, ageMs: 700 })));
+    here.recordCompletion(content);
+    here.merge(old.map(mark => ({ ...mark, ageMs: 500 })));
+    here.merge(old.map(mark => ({ ...mark, ageMs: 700 })));
     expect(here.mayRetry(content)).toBe(true);
-    expect(here.known(toldMs)).toEqual([{ content, breaks: 0, ageMs: 0 }]);
+    expect(here.listAll(reportWindowMs)).toEqual([{ content, breaks: 0, ageMs: 0 }]);
 });
 
 test("two processes that count beside each other do not undo each other's count", async () => {
     const clock = createFakeClock();
-    const here = createBreakMemory(clock);
-    const there = createBreakMemory(clock);
-    here.noteBroken(content);
-    here.noteBroken(content);
+    const here = createBreakRegistry(clock);
+    const there = createBreakRegistry(clock);
+    here.recordBreak(content);
+    here.recordBreak(content);
     await clock.advance(10);
-    there.noteBroken(content);
-    here.learn(there.noted(toldMs));
+    there.recordBreak(content);
+    here.merge(there.listOwn(reportWindowMs));
     expect(here.mayRetry(content)).toBe(false);
 });
 
 test("the memory is bounded, and forgets in time", async () => {
     const clock = createFakeClock();
-    const memory = createBreakMemory(clock);
-    memory.noteBroken(content);
-    memory.noteBroken(content);
+    const memory = createBreakRegistry(clock);
+    memory.recordBreak(content);
+    memory.recordBreak(content);
     for (let at = 0; at < 1_023; at++) {
-        memory.noteBroken(`other ${at}` as ContentDigest);
+        memory.recordBreak(`other ${at}` as ContentDigest);
     }
     expect(memory.mayRetry(content)).toBe(false);
-    memory.noteBroken("one more" as ContentDigest);
+    memory.recordBreak("one more" as ContentDigest);
     expect(memory.mayRetry(content)).toBe(true);
-    expect(memory.known(Infinity).length).toBe(32);
-    memory.noteBroken("one more" as ContentDigest);
+    expect(memory.listAll(Infinity).length).toBe(32);
+    memory.recordBreak("one more" as ContentDigest);
     await clock.advance(3_600_000);
-    expect([memory.mayRetry("one more" as ContentDigest), memory.known(toldMs)]).toEqual([true, []]);
+    expect([memory.mayRetry("one more" as ContentDigest), memory.listAll(reportWindowMs)]).toEqual([
+        true,
+        [],
+    ]);
 });
--- a/packages/relay/src/createBreakMemory.ts
+++ b/packages/relay/src/createBreakRegistry.ts
@@ -1,8 +1,8 @@
 import { pauseAfterBreaks } from "@auburnarch/send/pauseAfterBreaks";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
-import type { BreakMark } from "./BreakMark.js";
-import type { BreakMemory } from "./BreakMemory.js";
+import type { BreakRegistry } from "./BreakRegistry.js";
+import type { BreakReport } from "./BreakReport.js";
 
 interface BreakRecord {
     breaks: number;
@@ -17,15 +17,15 @@
 /** Contents remembered; the one that changed longest ago goes first. */
 const maxRecords = 1_024;
 /** As long as the longest pause. */
-const memoryMs = 3_600_000;
+const retentionMs = 3_600_000;
 /** Told at once; bounds a message where many samplers end together. */
-const maxMarks = 32;
+const maxReports = 32;
 
 /**
  * Makes the memory of one process. A request that kills samplers comes again at other processes, each of which would
  * try it at as many samplers as its route allows; so what broke off is told from process to process and counted as one.
  */
-export function createBreakMemory(clock: Clock): BreakMemory {
+export function createBreakRegistry(clock: Clock): BreakRegistry {
     /** In the order of their last change, the latest last. */
     const records = new Map<ContentDigest, BreakRecord>();
 
@@ -39,7 +39,7 @@
 
     function find(content: ContentDigest): BreakRecord | undefined {
         const record = records.get(content);
-        if (record === undefined || clock.monotonicMs() - record.atMs < memoryMs) {
+        if (record === undefined || clock.monotonicMs() - record.atMs < retentionMs) {
             return record;
         }
         records.delete(content);
@@ -48,19 +48,19 @@
 
     const breaksOf = (content: ContentDigest): number => find(content)?.breaks ?? 0;
 
-    function note(content: ContentDigest, breaks: number): void {
+    function recordOwn(content: ContentDigest, breaks: number): void {
         set(content, { breaks, atMs: clock.monotonicMs(), isOwn: true });
     }
 
-    function listMarks(withinMs: number, isWanted: (record: BreakRecord) => boolean): BreakMark[] {
+    function listReports(withinMs: number, isWanted: (record: BreakRecord) => boolean): BreakReport[] {
         const nowMs = clock.monotonicMs();
         return [...records]
             .filter(([, record]) => nowMs - record.atMs <= withinMs && isWanted(record))
-            .slice(-maxMarks)
+            .slice(-maxReports)
             .map(([content, { breaks, atMs }]) => ({ content, breaks, ageMs: Math.round(nowMs - atMs) }));
     }
 
-    function learnOne({ content, breaks, ageMs }: BreakMark): void {
+    function mergeOne({ content, breaks, ageMs }: BreakReport): void {
         const atMs = clock.monotonicMs() - ageMs;
         const present = find(content);
         if (present !== undefined && present.atMs >= atMs) {
@@ -80,20 +80,20 @@
         },
         mayRetry: content => breaksOf(content) <= maxBreaksWithRetry,
         isEmpty: () => records.size === 0,
-        noteSent: content => {
+        recordSent: content => {
             const breaks = breaksOf(content);
             if (pauseAfterBreaks(breaks) > 0) {
-                note(content, breaks);
+                recordOwn(content, breaks);
             }
         },
-        noteBroken: content => note(content, breaksOf(content) + 1),
-        noteRan: content => {
+        recordBreak: content => recordOwn(content, breaksOf(content) + 1),
+        recordCompletion: content => {
             if (breaksOf(content) > 0) {
-                note(content, 0);
+                recordOwn(content, 0);
             }
         },
-        noted: withinMs => listMarks(withinMs, record => record.isOwn),
-        known: withinMs => listMarks(withinMs, () => true),
-        learn: marks => marks.forEach(learnOne),
+        listOwn: withinMs => listReports(withinMs, record => record.isOwn),
+        listAll: withinMs => listReports(withinMs, () => true),
+        merge: marks => marks.forEach(mergeOne),
     };
 }
--- a/packages/relay/src/createContentGuard.ts
+++ b/packages/relay/src/createContentGuard.ts
@@ -1,13 +1,13 @@
 import { digestContent } from "@auburnarch/send/digestContent";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
-import type { BreakMemory } from "./BreakMemory.js";
+import type { BreakRegistry } from "./BreakRegistry.js";
 import type { ContentGuard } from "./ContentGuard.js";
-import type { RelayRequest } from "./RelayRequest.js";
+import type { RoutedRequest } from "./RoutedRequest.js";
 
 /** Makes the guard of one request. While nothing has broken off anywhere its content is not digested. */
 export function createContentGuard(
-    breaks: BreakMemory,
-    { host, method, path, body }: Pick<RelayRequest, "host" | "method" | "path" | "body">,
+    breaks: BreakRegistry,
+    { host, method, path, body }: Pick<RoutedRequest, "host" | "method" | "path" | "body">,
 ): ContentGuard {
     let digest: ContentDigest | undefined;
 
@@ -16,15 +16,15 @@
     return {
         pauseMs: () => breaks.isEmpty() ? 0 : breaks.pauseMs(contentOf()),
         mayRetry: () => breaks.isEmpty() || breaks.mayRetry(contentOf()),
-        noteSent: () => {
+        recordSent: () => {
             if (!breaks.isEmpty()) {
-                breaks.noteSent(contentOf());
+                breaks.recordSent(contentOf());
             }
         },
-        noteBroken: () => breaks.noteBroken(contentOf()),
-        noteRan: () => {
+        recordBreak: () => breaks.recordBreak(contentOf()),
+        recordCompletion: () => {
             if (!breaks.isEmpty()) {
-                breaks.noteRan(contentOf());
+                breaks.recordCompletion(contentOf());
             }
         },
     };
--- a/packages/relay/src/createRelay.test.ts
+++ b/packages/relay/src/createRequestForwarder.test.ts
@@ -4,9 +4,9 @@
 import type { Route } from "@auburnarch/routing/Route";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import { expect, test } from "vitest";
-import type { RelayOutcome } from "./RelayOutcome.js";
+import type { ForwardingOutcome } from "./ForwardingOutcome.js";
 import type { SamplerReply } from "./SamplerReply.js";
-import { createTestRelay } from "./testing/createTestRelay.js";
+import { createTestForwarder } from "./testing/createTestForwarder.js";
 import { createTestRoute } from "./testing/createTestRoute.js";
 
 async function* bytes(text: string, isCut = false): AsyncGenerator<Uint8Array> {
@@ -34,7 +34,7 @@
     const clock = createFakeClock();
     const sent: string[] = [];
     const cancelled: string[] = [];
-    const relay = createTestRelay({
+    const forwarder = createTestForwarder({
         callSampler: async (request, signal) => {
             const name = request.sampler.incarnation;
             sent.push(`${name}@${Math.round(clock.monotonicMs())} ${Math.round(request.budgetMs)}`);
@@ -63,8 +63,8 @@
             body: Buffer.from(""),
             deadlineMs,
         };
-        const outcome = relay(request, caller.signal);
-        const settled: { outcome?: RelayOutcome; atMs?: number; } = {};
+        const outcome = forwarder(request, caller.signal);
+        const settled: { outcome?: ForwardingOutcome; atMs?: number; } = {};
         void outcome.then(value =>
             Object.assign(settled, { outcome: value, atMs: Math.round(clock.monotonicMs()) })
         );
@@ -73,7 +73,7 @@
     return { clock, sent, cancelled, ask };
 }
 
-const show = ({ outcome, atMs }: { outcome?: RelayOutcome; atMs?: number; }): string =>
+const show = ({ outcome, atMs }: { outcome?: ForwardingOutcome; atMs?: number; }): string =>
     outcome === undefined
         ? "open"
         : `${outcome.kind === "answered" ? outcome.status : outcome.code.name} @${atMs}`;
--- a/packages/relay/src/createRunStart.ts
+++ b/packages/relay/src/createRunStartTracker.ts
@@ -2,28 +2,28 @@
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { RunMeter } from "./RunMeter.js";
-import type { Tried } from "./Tried.js";
+import type { SamplerAttemptOutcome } from "./SamplerAttemptOutcome.js";
 
 /** When a request began to run, from the tries that ran or may have. */
-interface RunStart {
-    noteSent(sampler: IncarnationId): void;
-    noteEnded(sampler: IncarnationId, outcome: Tried): void;
+interface RunStartTracker {
+    recordSent(sampler: IncarnationId): void;
+    recordEnd(sampler: IncarnationId, outcome: SamplerAttemptOutcome): void;
     /** Tells the meter; tries still out count as running. */
     close(): void;
 }
 
 /** Makes the watch of one request. A request that ran at two samplers counts once, from the first. */
-export function createRunStart(
+export function createRunStartTracker(
     clock: Clock,
     meter: RunMeter | undefined,
     team: TeamId | undefined,
-): RunStart {
+): RunStartTracker {
     const closeMeter = team === undefined ? undefined : meter?.open(team);
     const sentAtMs = new Map<IncarnationId, number>();
     const ranFromMs: number[] = [];
     return {
-        noteSent: sampler => void sentAtMs.set(sampler, clock.monotonicMs()),
-        noteEnded: (sampler, outcome) => {
+        recordSent: sampler => void sentAtMs.set(sampler, clock.monotonicMs()),
+        recordEnd: (sampler, outcome) => {
             const sentMs = sentAtMs.get(sampler);
             sentAtMs.delete(sampler);
             if (sentMs !== undefined && outcome.kind !== "notRun") {
--- a/packages/relay/src/createSamplerTries.ts
+++ b/packages/relay/src/createSamplerAttempts.ts
@@ -4,12 +4,12 @@
 import { readWhole } from "@auburnarch/send/readWhole";
 import { createSamplerRecords } from "./createSamplerRecords.js";
 import { estimateWaitMs } from "./estimateWaitMs.js";
-import type { RelayDeps } from "./RelayDeps.js";
-import type { RelayRequest } from "./RelayRequest.js";
+import type { RequestForwarderDeps } from "./RequestForwarderDeps.js";
+import type { RoutedRequest } from "./RoutedRequest.js";
+import type { SamplerAttemptOutcome } from "./SamplerAttemptOutcome.js";
+import type { SamplerAttempts } from "./SamplerAttempts.js";
 import type { SamplerRecord } from "./SamplerRecord.js";
 import type { SamplerReply } from "./SamplerReply.js";
-import type { SamplerTries } from "./SamplerTries.js";
-import type { Tried } from "./Tried.js";
 
 type Answered = Extract<SamplerReply, { kind: "answered"; }>;
 
@@ -23,7 +23,7 @@
 });
 
 /** Reads an answer to its end, so that one that breaks off can be asked for elsewhere before a byte goes on. */
-async function readAnswer(answer: Answered): Promise<Tried> {
+async function readAnswer(answer: Answered): Promise<SamplerAttemptOutcome> {
     try {
         const whole = await readWhole(answer.body, maxAnswerBytes);
         return { kind: "done", answer: { ...answer, body: chunkOf(whole) } };
@@ -35,7 +35,7 @@
 }
 
 /** Notes a start; distinct even for two requests of one millisecond, since the clock counts fractions. */
-function noteStart(record: SamplerRecord, nowMs: number): number {
+function recordStart(record: SamplerRecord, nowMs: number): number {
     let sentAtMs = nowMs;
     while (record.sentAtMs.has(sentAtMs)) {
         sentAtMs += 0.001;
@@ -45,11 +45,16 @@
 }
 
 /** Makes the tries of one process; what it learns of a sampler serves all its requests. */
-export function createSamplerTries(deps: RelayDeps): SamplerTries {
+export function createSamplerAttempts(deps: RequestForwarderDeps): SamplerAttempts {
     const { clock, random, logger, metrics, directory } = deps;
     const recordOf = createSamplerRecords();
 
-    function noteEnd(sampler: KnownSampler, tried: Tried, tookMs: number, isCancelled: boolean): void {
+    function recordEnd(
+        sampler: KnownSampler,
+        tried: SamplerAttemptOutcome,
+        tookMs: number,
+        isCancelled: boolean,
+    ): void {
         const record = recordOf(sampler.incarnation);
         const result = tried.kind === "done" ? String(tried.answer.status) : tried.kind;
         metrics.observeMs("relay_try_ms", { service: sampler.service, result }, tookMs);
@@ -62,7 +67,7 @@
         }
     }
 
-    function noteUnlisted(request: RelayRequest, { incarnation, service }: KnownSampler): void {
+    function recordUnlistedAttempt(request: RoutedRequest, { incarnation, service }: KnownSampler): void {
         metrics.count("relay_unlisted_tries_total", { service });
         logger.info("unlistedSamplerTried", { request: request.requestId, sampler: incarnation });
     }
@@ -89,13 +94,13 @@
         run: async (request, sampler, budgetMs, signal) => {
             const record = recordOf(sampler.incarnation);
             if (!directory.isListed(sampler.incarnation)) {
-                noteUnlisted(request, sampler);
+                recordUnlistedAttempt(request, sampler);
             }
-            const sentAtMs = noteStart(record, clock.monotonicMs());
+            const sentAtMs = recordStart(record, clock.monotonicMs());
             const { requestId, team, method, host, path, headers, body, route } = request;
             const sent = { sampler, requestId, team, method, host, path, headers, body, budgetMs };
             const reply = await deps.callSampler(sent, signal);
-            let tried: Tried;
+            let tried: SamplerAttemptOutcome;
             if (reply.kind !== "answered") {
                 tried = reply;
             }
@@ -105,7 +110,7 @@
                     : { kind: "done", answer: reply };
             }
             record.sentAtMs.delete(sentAtMs);
-            noteEnd(sampler, tried, clock.monotonicMs() - sentAtMs, signal.aborted);
+            recordEnd(sampler, tried, clock.monotonicMs() - sentAtMs, signal.aborted);
             return tried;
         },
     };
--- a/packages/relay/src/estimateWaitMs.ts
+++ b/packages/relay/src/estimateWaitMs.ts
@@ -17,7 +17,7 @@
 export function estimateWaitMs(
     sampler: KnownSampler,
     record: SamplerRecord,
-    own: FailureDomain,
+    ownDomain: FailureDomain,
     nowMs: number,
 ): number {
     const latencyMs = record.latencyMs ?? assumedLatencyMs;
@@ -27,7 +27,7 @@
         oldestMs = Math.max(oldestMs, nowMs - sentAtMs);
     }
     const overdueMs = Math.max(0, oldestMs - 3 * latencyMs);
-    const domainMs = sampler.failureDomain === own ? 0 : otherDomainMs;
+    const domainMs = sampler.failureDomain === ownDomain ? 0 : otherDomainMs;
     const failedMs = nowMs - record.failedAtMs < failureMemoryMs ? failurePenaltyMs : 0;
     return latencyMs * loadFactor + overdueMs + domainMs + failedMs;
 }
--- a/packages/relay/src/logRelayOutcome.ts
+++ b/packages/relay/src/logForwardingOutcome.ts
@@ -1,9 +1,9 @@
 import type { Logger } from "@auburnarch/types/Logger";
-import type { RelayOutcome } from "./RelayOutcome.js";
-import type { RelayRequest } from "./RelayRequest.js";
+import type { ForwardingOutcome } from "./ForwardingOutcome.js";
+import type { RoutedRequest } from "./RoutedRequest.js";
 
 /** What led to an outcome. */
-interface RelayCourse {
+interface ForwardingCourse {
     /** Samplers in the order in which their tries ended, each with how. */
     tries: string;
     underWay: number;
@@ -15,11 +15,11 @@
 }
 
 /** Writes the one line that tells of a plain request. */
-export function logRelayOutcome(
+export function logForwardingOutcome(
     logger: Logger,
-    { requestId, route }: RelayRequest,
-    outcome: RelayOutcome,
-    course: RelayCourse,
+    { requestId, route }: RoutedRequest,
+    outcome: ForwardingOutcome,
+    course: ForwardingCourse,
 ): void {
     const failed = outcome.kind === "failed" ? outcome : undefined;
     logger.info("requestRelayed", {
