--- a/packages/relay/src/startRelayCall.ts
+++ b/packages/relay/src/startForwarding.ts
@@ -2,43 +2,47 @@
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 import type { ContentGuard } from "./ContentGuard.js";
-import { createRunStart } from "./createRunStart.js";
-import { logRelayOutcome } from "./logRelayOutcome.js";
-import type { RelayDeps } from "./RelayDeps.js";
-import type { RelayOutcome } from "./RelayOutcome.js";
-import type { RelayRequest } from "./RelayRequest.js";
-import type { SamplerTries } from "./SamplerTries.js";
-import type { Tried } from "./Tried.js";
+import { createRunStartTracker } from "./createRunStartTracker.js";
+import type { ForwardingOutcome } from "./ForwardingOutcome.js";
+import { logForwardingOutcome } from "./logForwardingOutcome.js";
+import type { RequestForwarderDeps } from "./RequestForwarderDeps.js";
+import type { RoutedRequest } from "./RoutedRequest.js";
+import type { SamplerAttemptOutcome } from "./SamplerAttemptOutcome.js";
+import type { SamplerAttempts } from "./SamplerAttempts.js";
 
 /** Used where neither caller nor route bounds the time. */
 const defaultBudgetMs = 10_000;
 /** A second try of an idempotent request starts after this part of the target latency without an answer. */
-const hedgePart = 0.45;
-const leastHedgeMs = 60;
+const hedgeRatio = 0.45;
+const minHedgeMs = 60;
 const defaultTargetMs = 200;
 /** Less than this is not worth sending: no sampler answers in it. */
-const leastBudgetMs = 5;
+const minBudgetMs = 5;
 /** A try that lost to another is cancelled after this time; until then its connection stays useful. */
-const loserGraceMs = 250;
+const unusedAttemptGraceMs = 250;
 /** When a refused caller should come back; about the time in which a queued request of another ends. */
 const retryAfterMs = 100;
 
-const describeTry = (sampler: IncarnationId, tried: Tried): string =>
+const describeAttempt = (sampler: IncarnationId, tried: SamplerAttemptOutcome): string =>
     `${sampler}:${tried.kind === "done" ? tried.answer.status : tried.kind}`;
 
-const hedgeMsOf = ({ hedgeMs, route }: RelayRequest): number =>
-    hedgeMs ?? Math.max(leastHedgeMs, hedgePart * (route.targetLatencyMs ?? defaultTargetMs));
+const hedgeMsOf = ({ hedgeMs, route }: RoutedRequest): number =>
+    hedgeMs ?? Math.max(minHedgeMs, hedgeRatio * (route.targetLatencyMs ?? defaultTargetMs));
 
-const left: RelayOutcome = { kind: "failed", code: resultCodes.cancelled, detail: "the caller left" };
+const callerLeft: ForwardingOutcome = {
+    kind: "failed",
+    code: resultCodes.cancelled,
+    detail: "the caller left",
+};
 
 /** Runs one request to its outcome: `settle` is called exactly once. */
-export function startRelayCall(
-    deps: Pick<RelayDeps, "clock" | "directory" | "logger" | "invariants" | "meter">,
-    samplers: SamplerTries,
+export function startForwarding(
+    deps: Pick<RequestForwarderDeps, "clock" | "directory" | "logger" | "invariants" | "meter">,
+    samplers: SamplerAttempts,
     content: ContentGuard,
-    request: RelayRequest,
+    request: RoutedRequest,
     signal: AbortSignal,
-    settle: (outcome: RelayOutcome) => void,
+    settle: (outcome: ForwardingOutcome) => void,
 ): void {
     const { clock, logger } = deps;
     const { route } = request;
@@ -48,25 +52,25 @@
     const isRepeatable = route.kind === "idempotent";
     const tried = new Set<IncarnationId>();
     const cancel = new AbortController();
-    const ended: string[] = [];
+    const endedAttempts: string[] = [];
     let underWay = 0;
     let mayHaveRun = false;
-    let lastAnswer: Extract<RelayOutcome, { kind: "answered"; }> | undefined;
+    let lastAnswer: Extract<ForwardingOutcome, { kind: "answered"; }> | undefined;
     let isSettled = false;
-    const runStart = createRunStart(clock, deps.meter, request.team);
+    const runStart = createRunStartTracker(clock, deps.meter, request.team);
     let cancelHedge = (): void => {};
     const leftMs = (): number => limitMs - (clock.monotonicMs() - startedAtMs);
     const cancelAll = (): void => cancel.abort();
-    const endInTime = (): void => finish(failure(resultCodes.deadlinePassed, "time limit"));
-    const cancelTimeout = clock.startTimer(limitMs, endInTime);
+    const onTimeLimit = (): void => finish(failure(resultCodes.deadlinePassed, "time limit"));
+    const cancelTimeout = clock.startTimer(limitMs, onTimeLimit);
     signal.addEventListener("abort", cancelAll, { once: true });
 
     /** A promise that nothing ran holds only while no try is out or of unknown outcome. */
-    function failure(notRun: ResultCode, detail: string): RelayOutcome {
+    function failure(notRun: ResultCode, detail: string): ForwardingOutcome {
         if (!mayHaveRun && underWay === 0) {
             return { kind: "failed", code: notRun, detail, retryAfterMs };
         }
-        const isLate = leftMs() < leastBudgetMs;
+        const isLate = leftMs() < minBudgetMs;
         return {
             kind: "failed",
             code: isLate ? resultCodes.deadlineWhileRunning : resultCodes.connectionBroken,
@@ -74,7 +78,7 @@
         };
     }
 
-    function finish(outcome: RelayOutcome): void {
+    function finish(outcome: ForwardingOutcome): void {
         if (isSettled) {
             return;
         }
@@ -82,8 +86,8 @@
         cancelTimeout();
         cancelHedge();
         runStart.close();
-        logRelayOutcome(logger, request, outcome, {
-            tries: ended.join(","),
+        logForwardingOutcome(logger, request, outcome, {
+            tries: endedAttempts.join(","),
             underWay,
             mayHaveRun: mayHaveRun || underWay > 0,
             tookMs: Math.round(clock.monotonicMs() - startedAtMs),
@@ -94,7 +98,7 @@
             cancelAll();
         }
         else if (underWay > 0) {
-            clock.startTimer(loserGraceMs, cancelAll);
+            clock.startTimer(unusedAttemptGraceMs, cancelAll);
         }
         settle(outcome);
     }
@@ -112,7 +116,7 @@
     async function start(): Promise<void> {
         const sampler = mayTry() ? samplers.pick(request, tried) : undefined;
         const budgetMs = Math.floor(leftMs());
-        if (sampler === undefined || budgetMs < leastBudgetMs) {
+        if (sampler === undefined || budgetMs < minBudgetMs) {
             if (underWay === 0) {
                 finish(lastAnswer ?? failure(resultCodes.noSampler, `${tried.size} tried`));
             }
@@ -121,40 +125,40 @@
         const isFirstRun = isRepeatable || (!mayHaveRun && underWay === 0);
         deps.invariants.check(resultCodes.ranTwice, isFirstRun, {
             request: request.requestId,
-            tries: ended.length,
+            tries: endedAttempts.length,
         });
         tried.add(sampler.incarnation);
         underWay++;
-        runStart.noteSent(sampler.incarnation);
-        content.noteSent();
+        runStart.recordSent(sampler.incarnation);
+        content.recordSent();
         scheduleHedge();
         const outcome = await samplers.run(request, sampler, budgetMs, cancel.signal);
         underWay--;
-        runStart.noteEnded(sampler.incarnation, outcome);
-        ended.push(describeTry(sampler.incarnation, outcome));
-        noteEnd(outcome);
-        take(outcome);
+        runStart.recordEnd(sampler.incarnation, outcome);
+        endedAttempts.push(describeAttempt(sampler.incarnation, outcome));
+        recordEnd(outcome);
+        handleOutcome(outcome);
     }
 
     /** What was cancelled here, or ended with its time, broke off for no reason of its own. */
-    function noteEnd(outcome: Tried): void {
+    function recordEnd(outcome: SamplerAttemptOutcome): void {
         if (outcome.kind === "done") {
-            content.noteRan();
+            content.recordCompletion();
         }
         const isBroken = outcome.kind === "unknown" && outcome.code === resultCodes.connectionBroken;
-        if (isBroken && !cancel.signal.aborted && leftMs() >= leastBudgetMs) {
-            content.noteBroken();
+        if (isBroken && !cancel.signal.aborted && leftMs() >= minBudgetMs) {
+            content.recordBreak();
         }
     }
 
-    function take(outcome: Tried): void {
+    function handleOutcome(outcome: SamplerAttemptOutcome): void {
         mayHaveRun ||= outcome.kind !== "notRun";
         lastAnswer = outcome.kind === "done" ? outcome.answer : lastAnswer;
         if (isSettled) {
             return;
         }
         if (signal.aborted) {
-            finish(left);
+            finish(callerLeft);
         }
         else if (outcome.kind === "done" && (!isRepeatable || outcome.answer.status < 500)) {
             finish(outcome.answer);
@@ -168,7 +172,7 @@
     }
 
     if (signal.aborted) {
-        finish(left);
+        finish(callerLeft);
         return;
     }
     void start();
--- a/packages/relay/src/testing/createTestRelay.ts
+++ b/packages/relay/src/testing/createTestForwarder.ts
@@ -6,24 +6,24 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { BreakMemory } from "../BreakMemory.js";
+import type { BreakRegistry } from "../BreakRegistry.js";
 import type { CallSampler } from "../CallSampler.js";
-import { createRelay } from "../createRelay.js";
-import type { Relay } from "../Relay.js";
+import { createRequestForwarder } from "../createRequestForwarder.js";
+import type { RequestForwarder } from "../RequestForwarder.js";
 
-interface TestRelayOptions {
+interface TestForwarderOptions {
     clock: Clock;
     samplers: KnownSampler[];
     callSampler: CallSampler;
-    breaks?: BreakMemory;
+    breaks?: BreakRegistry;
     seed?: number;
 }
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 
 /** A relay before the given samplers, in their failure domain; a broken promise throws. */
-export function createTestRelay({ seed = 1, samplers, ...deps }: TestRelayOptions): Relay {
-    return createRelay({
+export function createTestForwarder({ seed = 1, samplers, ...deps }: TestForwarderOptions): RequestForwarder {
+    return createRequestForwarder({
         ...deps,
         directory: createTestDirectory(samplers),
         random: createRandom(seed),
--- a/packages/relay/src/testing/createTestRoute.ts
+++ b/packages/relay/src/testing/createTestRoute.ts
@@ -16,7 +16,7 @@
         deadlineMs: undefined,
         itemTtlMs: undefined,
         isSingleVersion: false,
-        isAnonymous: false,
+        allowsAnonymous: false,
         priority: undefined,
         ...over,
     };
--- a/packages/routing/src/Route.ts
+++ b/packages/routing/src/Route.ts
@@ -22,7 +22,7 @@
     /** Batch jobs: an item may be given up this long after the job was submitted. */
     itemTtlMs: number | undefined;
     /** Callers need no key. */
-    isAnonymous: boolean;
+    allowsAnonymous: boolean;
     /** Rank of its requests, 0 first; undefined where the operator sets none. */
     priority: number | undefined;
     /** Batch jobs: all tokens of an item have to come from one weight version. */
--- a/packages/routing/src/findRoute.ts
+++ b/packages/routing/src/findRoute.ts
@@ -1,4 +1,4 @@
-import { isRouteOfHost } from "./isRouteOfHost.js";
+import { matchesHost } from "./matchesHost.js";
 import type { Route } from "./Route.js";
 import type { RoutingTable } from "./RoutingTable.js";
 
@@ -7,7 +7,7 @@
     let best: Route | undefined;
     for (const route of table.routes) {
         const isLonger = best === undefined || route.pathPrefix.length > best.pathPrefix.length;
-        if (isLonger && path.startsWith(route.pathPrefix) && isRouteOfHost(route, host)) {
+        if (isLonger && path.startsWith(route.pathPrefix) && matchesHost(route, host)) {
             best = route;
         }
     }
--- a/packages/routing/src/identifyCaller.ts
+++ b/packages/routing/src/identifyCaller.ts
@@ -3,7 +3,7 @@
 import type { RoutingTable } from "./RoutingTable.js";
 
 /** Whom a credential names: undefined if the configuration has teams and it is no key of theirs. */
-function findTeam({ teams }: RoutingTable, credential: Credential): Caller | undefined {
+function findTeamCaller({ teams }: RoutingTable, credential: Credential): Caller | undefined {
     const team = credential.kind === "key" ? teams?.get(credential.digest) : undefined;
     return team === undefined ? undefined : { kind: "team", team };
 }
@@ -17,6 +17,6 @@
     credential: Credential,
     mayBeAnonymous: boolean,
 ): Caller | undefined {
-    const isOpen = mayBeAnonymous || table.teams === undefined;
-    return findTeam(table, credential) ?? (isOpen ? { kind: "anonymous" } : undefined);
+    const isKeyOptional = mayBeAnonymous || table.teams === undefined;
+    return findTeamCaller(table, credential) ?? (isKeyOptional ? { kind: "anonymous" } : undefined);
 }
--- a/packages/routing/src/isRouteOfHost.ts
+++ b/packages/routing/src/matchesHost.ts
@@ -3,5 +3,5 @@
 const portPattern = /:\d+$/u;
 
 /** Whether a route serves requests under this host, which may name a port. */
-export const isRouteOfHost = (route: Pick<Route, "host">, host: string): boolean =>
+export const matchesHost = (route: Pick<Route, "host">, host: string): boolean =>
     route.host.toLowerCase() === host.replace(portPattern, "").toLowerCase();
--- a/packages/routing/src/routing.test.ts
+++ b/packages/routing/src/routing.test.ts
@@ -22,7 +22,7 @@
     deadlineMs: undefined,
     itemTtlMs: undefined,
     isSingleVersion: false,
-    isAnonymous: false,
+    allowsAnonymous: false,
     priority: undefined,
 });
 
--- a/packages/runner/src/RunnerDeps.ts
+++ b/packages/runner/src/RunnerDeps.ts
@@ -4,7 +4,7 @@
 import type { SamplerDirectory } from "@auburnarch/discovery/SamplerDirectory";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
 import type { Invariants } from "@auburnarch/invariants/Invariants";
-import type { LotEntry } from "@auburnarch/lots/LotEntry";
+import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { CallSampler } from "@auburnarch/relay/CallSampler";
 import type { Clock } from "@auburnarch/types/Clock";
@@ -13,7 +13,7 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { Random } from "@auburnarch/types/Random";
 import type { ReadItemEvents } from "./items/ReadItemEvents.js";
-import type { TextShelf } from "./items/TextShelf.js";
+import type { TextCache } from "./items/TextCache.js";
 import type { RunnerStatus } from "./peers/RunnerStatus.js";
 import type { StatusQuery } from "./peers/StatusQuery.js";
 import type { RetirementRequest } from "./RetirementRequest.js";
@@ -37,7 +37,7 @@
     storeRegainedMs: () => number;
     routing: RoutingView;
     directory: SamplerDirectory;
-    entries: WatchedKind<LotEntry>;
+    entries: WatchedKind<BatchJobEntry>;
     registered: WatchedKind<RunnerAddress>;
     watchVersions: () => WatchedKind<NamedVersion>;
     callSampler: CallSampler;
@@ -50,11 +50,11 @@
     retirements: WatchedKind<RetirementRequest>;
     reportRetirement: (state: "running" | "completed") => Promise<void>;
     /** Unfinished texts, in memory or on a disk. */
-    shelf: TextShelf;
+    textCache: TextCache;
     /** Samplers must not get orders of two holders within this time. */
     orderHandOverMs: number;
     /** Time for which clients may read a job after they submitted it. */
-    lotRetentionMs: number;
+    batchJobRetentionMs: number;
     /** Samplers that load weights at once without slowing each other. */
     maxLoading?: number;
     clock: Clock;
--- a/packages/runner/src/createRunner.ts
+++ b/packages/runner/src/createRunner.ts
@@ -1,60 +1,64 @@
 import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
 import type { LeaseKeeper } from "@auburnarch/lease/LeaseKeeper";
-import { createLotStore } from "@auburnarch/lots/createLotStore";
-import type { LotStore } from "@auburnarch/lots/LotStore";
-import { createRelay } from "@auburnarch/relay/createRelay";
+import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
+import { createBatchJobStore } from "@auburnarch/lots/createBatchJobStore";
+import { createRequestForwarder } from "@auburnarch/relay/createRequestForwarder";
 import { findRoute } from "@auburnarch/routing/findRoute";
 import type { Route } from "@auburnarch/routing/Route";
-import { createAwakeGuard } from "./duties/createAwakeGuard.js";
 import { createDutyHolder } from "./duties/createDutyHolder.js";
+import { createPauseDetector } from "./duties/createPauseDetector.js";
 import type { Duty } from "./duties/Duty.js";
 import type { HeldDuties } from "./duties/HeldDuties.js";
 import { followRetirement } from "./followRetirement.js";
 import { createItemDispatch } from "./items/createItemDispatch.js";
-import { createSamplerEvidence } from "./items/createSamplerEvidence.js";
+import { createSamplerHealth } from "./items/createSamplerHealth.js";
 import { createScoreItem } from "./items/createScoreItem.js";
 import { tokensPerEvent } from "./items/tokensPerEvent.js";
-import { createLotBoard } from "./jobs/createLotBoard.js";
-import { createLotRun } from "./jobs/createLotRun.js";
-import { createLotSweeper } from "./jobs/createLotSweeper.js";
+import type { BatchJobRegistry } from "./jobs/BatchJobRegistry.js";
+import { createBatchJobRegistry } from "./jobs/createBatchJobRegistry.js";
+import { createBatchJobRun } from "./jobs/createBatchJobRun.js";
+import { createBatchJobSweeper } from "./jobs/createBatchJobSweeper.js";
 import { createSeenGroups } from "./jobs/createSeenGroups.js";
-import type { LotBoard } from "./jobs/LotBoard.js";
 import { chooseFeeder } from "./peers/chooseFeeder.js";
-import { createPeerBook } from "./peers/createPeerBook.js";
-import { createStoreCheck } from "./peers/createStoreCheck.js";
+import { countPeerRuns } from "./peers/countPeerRuns.js";
+import { createPeerRegistry } from "./peers/createPeerRegistry.js";
 import { createStoreOutageMonitor } from "./peers/createStoreOutageMonitor.js";
+import { createStoreProbe } from "./peers/createStoreProbe.js";
 import { createTimedProbe } from "./peers/createTimedProbe.js";
 import type { PeerView } from "./peers/PeerView.js";
-import { sentByPeers } from "./peers/sentByPeers.js";
-import { createResultBook } from "./results/createResultBook.js";
-import { createRivals } from "./results/createRivals.js";
-import { endedEntry } from "./results/endedEntry.js";
-import { holderOf } from "./results/holderOf.js";
+import { chooseReader } from "./results/chooseReader.js";
+import { createContestedBatchJobs } from "./results/createContestedBatchJobs.js";
+import { createResultCache } from "./results/createResultCache.js";
+import { findEndedEntry } from "./results/findEndedEntry.js";
+import { findHolder } from "./results/findHolder.js";
 import { isSoleWriter } from "./results/isSoleWriter.js";
-import { readerOf } from "./results/readerOf.js";
-import type { ResultBook } from "./results/ResultBook.js";
+import type { ResultCache } from "./results/ResultCache.js";
 import type { Runner } from "./Runner.js";
 import type { RunnerDeps } from "./RunnerDeps.js";
 import { createUsageDuty } from "./usage/createUsageDuty.js";
-import { createLoadRoller } from "./weights/createLoadRoller.js";
+import { createLoadScheduler } from "./weights/createLoadScheduler.js";
 
 /** Without renewal another runner takes the orders over after this time; a renewal costs a call each third of it. */
 const leaseTtlMs = 2_500;
 /** An answer this old says nothing of the store any more. */
-const storeHereMs = 600;
+const maxStoreAnswerAgeMs = 600;
 /**
  * What peers last said of the store is up to a probe old. Right after an outage each runner would believe that it alone
  * has the store back, and take over the jobs of all others.
  */
-const regainedGraceMs = 1_000;
+const storeRecoveryGraceMs = 1_000;
 
-function createBook(deps: RunnerDeps, lots: LotStore, peers: () => PeerView[]): ResultBook {
-    return createResultBook({
-        lots,
-        holderOf: lot => holderOf(lot, peers()),
-        readerOf: lot => readerOf(lot, deps.name, peers()),
-        endedEntry: lot => endedEntry(deps.entries, lot),
-        isSoleWriter: lot => deps.storeSilentMs() === 0 && isSoleWriter(lot, peers()),
+function createRunnerResultCache(
+    deps: RunnerDeps,
+    store: BatchJobStore,
+    peers: () => PeerView[],
+): ResultCache {
+    return createResultCache({
+        store,
+        findHolder: batchJobId => findHolder(batchJobId, peers()),
+        chooseReader: batchJobId => chooseReader(batchJobId, deps.name, peers()),
+        findEndedEntry: batchJobId => findEndedEntry(deps.entries, batchJobId),
+        isSoleWriter: batchJobId => deps.storeSilentMs() === 0 && isSoleWriter(batchJobId, peers()),
         clock: deps.clock,
     });
 }
@@ -72,7 +76,7 @@
 function listDuties(deps: RunnerDeps): ((held: HeldDuties) => Duty)[] {
     const { name: self, usage } = deps;
     const loads = (held: HeldDuties): Duty =>
-        createLoadRoller({ ...deps, self, mayOrder: held.mayAct, fencing: held.fencing });
+        createLoadScheduler({ ...deps, self, mayOrder: held.mayAct, fencing: held.fencing });
     return usage === undefined
         ? [loads]
         : [loads, held => createUsageDuty({ ...deps, ...usage, self }, held)];
@@ -81,18 +85,18 @@
 /** Puts a runner together and starts it. */
 export function createRunner(deps: RunnerDeps): Runner {
     const { clock, random, logger, routing, directory } = deps;
-    const lots = createLotStore(deps.store);
-    const evidence = createSamplerEvidence(clock);
-    const relay = createRelay({ ...deps, random: random.fork() });
-    const scoreItem = createScoreItem({ relay, routing, clock, logger });
+    const batchJobStore = createBatchJobStore(deps.store);
+    const samplerHealth = createSamplerHealth(clock);
+    const forwardRequest = createRequestForwarder({ ...deps, random: random.fork() });
+    const scoreItem = createScoreItem({ forwardRequest, routing, clock, logger });
     const dispatch = createItemDispatch({
         ...deps,
         random: random.fork(),
-        evidence,
-        sentByPeers: sampler => sentByPeers(sampler, peers.peers()),
+        samplerHealth,
+        countPeerRuns: sampler => countPeerRuns(sampler, peers.peers()),
     });
     const leases = createLeases(deps);
-    const awake = createAwakeGuard(clock, logger, leaseTtlMs / 2);
+    const pauseDetector = createPauseDetector(clock, logger, leaseTtlMs / 2);
     const seenGroups = createSeenGroups();
     let isLeaving = false;
 
@@ -101,49 +105,49 @@
         return table === undefined ? undefined : findRoute(table, host, path);
     };
 
-    const book = createBook(deps, lots, () => peers.peers());
-    const peers = createPeerBook({
+    const resultCache = createRunnerResultCache(deps, batchJobStore, () => peers.peers());
+    const peers = createPeerRegistry({
         self: deps.name,
         registered: deps.registered,
         probe: createTimedProbe({
             ...deps,
             starts: deps.usage?.starts,
-            wantsStarts: () => deps.usage !== undefined && duty.isHeld(),
+            wantsStarts: () => deps.usage !== undefined && dutyHolder.isHeld(),
         }),
         onChange: () => {
-            book.noteRivals(rivals(peers.peers()));
-            board.refresh();
+            resultCache.markContested(contestedBatchJobs(peers.peers()));
+            batchJobs.refresh();
         },
         clock,
         logger,
     });
     const outages = createStoreOutageMonitor({ ...deps, peers: peers.peers });
-    const rivals = createRivals();
-    const board: LotBoard = createLotBoard({
+    const contestedBatchJobs = createContestedBatchJobs();
+    const batchJobs: BatchJobRegistry = createBatchJobRegistry({
         ...deps,
         self: deps.name,
         peers,
         listPolicies: () => [...routing()?.services.values() ?? []].flatMap(({ policies }) => policies),
-        holdsWeights: () => duty.isHeld(),
+        holdsWeights: () => dutyHolder.isHeld(),
         mayStart: () => routing() !== undefined && directory.isKnown(),
-        isStoreHere: () =>
+        isStoreReachable: () =>
             deps.storeSilentMs() === 0
-            && deps.storeHeardMs() < storeHereMs
-            && deps.storeRegainedMs() > regainedGraceMs,
-        checkStore: createStoreCheck({ ...deps, ask: () => deps.store.read(deps.registration) }),
-        startRun: (lot, entry) =>
-            createLotRun({
+            && deps.storeHeardMs() < maxStoreAnswerAgeMs
+            && deps.storeRegainedMs() > storeRecoveryGraceMs,
+        probeStore: createStoreProbe({ ...deps, probe: () => deps.store.read(deps.registration) }),
+        startRun: (batchJobId, entry) =>
+            createBatchJobRun({
                 ...deps,
-                lot,
+                batchJobId,
                 entry,
-                lots,
-                book,
+                batchJobStore,
+                resultCache,
                 seenGroups,
                 dispatcherFor: dispatch.dispatcherFor,
                 register: dispatch.register,
                 forget: dispatch.forget,
                 scoreItem,
-                shelf: deps.shelf,
+                textCache: deps.textCache,
                 findRoute: routeOf,
                 tokensPerEvent: source => tokensPerEvent(routing(), source),
                 random: random.fork(),
@@ -151,30 +155,30 @@
         clock,
         logger,
     });
-    const duty = createDutyHolder({
+    const dutyHolder = createDutyHolder({
         leases,
         leaseTtlMs,
-        isAwake: awake.isAwake,
+        areClocksTrusted: pauseDetector.areClocksTrusted,
         handOverMs: deps.orderHandOverMs,
         duties: listDuties(deps),
         clock,
         logger,
     });
 
-    const sweeper = createLotSweeper({
+    const sweeper = createBatchJobSweeper({
         entries: deps.entries,
-        lots,
-        maySweep: () => duty.isHeld(),
-        retentionMs: deps.lotRetentionMs,
+        store: batchJobStore,
+        maySweep: () => dutyHolder.isHeld(),
+        retentionMs: deps.batchJobRetentionMs,
         clock,
         logger,
     });
 
     async function handOver(): Promise<void> {
         isLeaving = true;
-        const left = Promise.all([board.leave(), duty.stop()]);
-        peers.poke();
-        await left;
+        const handedOver = Promise.all([batchJobs.leave(), dutyHolder.stop()]);
+        peers.probeNow();
+        await handedOver;
     }
 
     const retirement = followRetirement({
@@ -190,25 +194,25 @@
         status: ({ wantsStarts }) => ({
             incarnation: deps.incarnation,
             failureDomain: deps.failureDomain,
-            running: board.running(),
-            sent: evidence.allRunning(),
-            keptLots: book.kept(),
-            holdsWeights: duty.isHeld(),
+            running: batchJobs.running(),
+            sent: samplerHealth.allRunning(),
+            keptLots: resultCache.listCached(),
+            holdsWeights: dutyHolder.isHeld(),
             isLeaving,
             storeSilentMs: Math.round(deps.storeSilentMs()),
             wallMs: clock.wallMs(),
-            ...(wantsStarts && deps.usage !== undefined ? { starts: deps.usage.starts.tell() } : {}),
+            ...(wantsStarts && deps.usage !== undefined ? { starts: deps.usage.starts.reports() } : {}),
         }),
-        results: book.answer,
+        results: resultCache.answer,
         feeder: avoided =>
             chooseFeeder(deps.name, !isLeaving && deps.storeSilentMs() === 0, peers.peers(), avoided),
         sinceOutageMs: outages.sinceOutageMs,
         leave: async limitMs => {
             sweeper.stop();
             retirement.stop();
-            const left = handOver().then(() => dispatch.stop());
+            const handedOver = handOver().then(() => dispatch.stop());
             const limit = new AbortController();
-            await Promise.race([left, clock.sleep(limitMs, limit.signal)]);
+            await Promise.race([handedOver, clock.sleep(limitMs, limit.signal)]);
             limit.abort();
             peers.stop();
             outages.stop();
--- a/packages/runner/src/duties/AwakeGuard.ts
+++ b/packages/runner/src/duties/PauseDetector.ts
@@ -1,5 +1,5 @@
 /** Tells whether the process may trust its own clocks. */
-export interface AwakeGuard {
+export interface PauseDetector {
     /** False for some time after the process was found to have stood still. */
-    isAwake(): boolean;
+    areClocksTrusted(): boolean;
 }
--- a/packages/runner/src/duties/createDutyHolder.ts
+++ b/packages/runner/src/duties/createDutyHolder.ts
@@ -11,7 +11,7 @@
     /** Term of the lease. */
     leaseTtlMs: number;
     /** False while the process has just been found to have stood still. */
-    isAwake: () => boolean;
+    areClocksTrusted: () => boolean;
     /** What a duty acts on must not hear of two holders within this time. */
     handOverMs: number;
     /** Each is made anew whenever the lease is acquired. */
@@ -48,10 +48,10 @@
         return found === "lapsed" ? Math.max(0, apartMs + actWindowMs - deps.leaseTtlMs) : apartMs;
     }
 
-    async function hold(lease: Lease): Promise<void> {
+    async function runDuties(lease: Lease): Promise<void> {
         const mayAct = (): boolean =>
             lease.isHeld() && (lease.ageMs?.() ?? 0) < actWindowMs && !stopped.signal.aborted
-            && deps.isAwake();
+            && deps.areClocksTrusted();
         const duties = deps.duties.map(start => start({ fencing: lease.fencing, mayAct }));
         while (lease.isHeld() && !stopped.signal.aborted) {
             duties.forEach(duty => duty.round());
@@ -71,7 +71,7 @@
             isHeld = lease.isHeld;
             logger.info("dutiesTaken", { fencing, found, quietMs });
             await clock.sleep(quietMs, stopped.signal);
-            await hold(lease);
+            await runDuties(lease);
             logger.info("dutiesEnded", { fencing });
             await lease.release();
         }
--- a/packages/runner/src/duties/createAwakeGuard.ts
+++ b/packages/runner/src/duties/createPauseDetector.ts
@@ -1,11 +1,11 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { AwakeGuard } from "./AwakeGuard.js";
+import type { PauseDetector } from "./PauseDetector.js";
 
 /** The steady clock stops while a VM is suspended, the time of day does not; small steps of the latter are usual. */
-const clocksPartMs = 700;
+const maxClockDriftMs = 700;
 /** A gap between two ticks of the event loop that no work of ours takes. */
-const stoppedMs = 900;
+const maxTickGapMs = 900;
 const tickMs = 200;
 
 /**
@@ -13,21 +13,21 @@
  * after a suspension while another holder acts already. After a gap nothing is done for `restMs`, in which the lease
  * is renewed or found lost.
  */
-export function createAwakeGuard(clock: Clock, logger: Logger, restMs: number): AwakeGuard {
+export function createPauseDetector(clock: Clock, logger: Logger, restMs: number): PauseDetector {
     let lastSteadyMs = clock.monotonicMs();
     let lastWallMs = clock.wallMs();
     let restUntilMs = -Infinity;
 
-    function look(): void {
+    function check(): void {
         const steadyMs = clock.monotonicMs();
         const wallMs = clock.wallMs();
         const steadyGapMs = steadyMs - lastSteadyMs;
-        const partMs = wallMs - lastWallMs - steadyGapMs;
-        if (partMs > clocksPartMs || steadyGapMs > stoppedMs) {
+        const driftMs = wallMs - lastWallMs - steadyGapMs;
+        if (driftMs > maxClockDriftMs || steadyGapMs > maxTickGapMs) {
             restUntilMs = steadyMs + restMs;
             logger.warn("stoodStill", {
                 steadyGapMs: Math.round(steadyGapMs),
-                clocksPartMs: Math.round(partMs),
+                clocksPartMs: Math.round(driftMs),
                 restMs,
             });
         }
@@ -36,14 +36,14 @@
     }
 
     function tick(): void {
-        look();
+        check();
         clock.startTimer(tickMs, tick);
     }
 
     clock.startTimer(tickMs, tick);
     return {
-        isAwake: () => {
-            look();
+        areClocksTrusted: () => {
+            check();
             return clock.monotonicMs() >= restUntilMs;
         },
     };
--- a/packages/runner/src/followRetirement.ts
+++ b/packages/runner/src/followRetirement.ts
@@ -25,9 +25,9 @@
 export function followRetirement(deps: FollowRetirementDeps): { stop(): void; } {
     const { clock, logger } = deps;
     const stopped = new AbortController();
-    let isBegun = false;
+    let isStarted = false;
 
-    async function reportUntilTaken(state: "running" | "completed"): Promise<void> {
+    async function reportUntilAccepted(state: "running" | "completed"): Promise<void> {
         while (!stopped.signal.aborted) {
             try {
                 await deps.report(state);
@@ -43,25 +43,25 @@
 
     async function retire(request: RetirementRequest): Promise<void> {
         logger.info("retirementAsked", { vm: deps.self, durationMs: request.durationMs });
-        await reportUntilTaken("running");
+        await reportUntilAccepted("running");
         await deps.handOver();
-        await reportUntilTaken("completed");
+        await reportUntilAccepted("completed");
     }
 
-    function look(): void {
+    function startIfRequested(): void {
         const request = deps.requests.objects()?.get(deps.self);
-        if (request !== undefined && !isBegun) {
-            isBegun = true;
+        if (request !== undefined && !isStarted) {
+            isStarted = true;
             void retire(request);
         }
     }
 
-    look();
-    const end = deps.requests.onChange(look);
+    startIfRequested();
+    const unsubscribe = deps.requests.onChange(startIfRequested);
     return {
         stop: () => {
             stopped.abort();
-            end();
+            unsubscribe();
         },
     };
 }
--- a/packages/runner/src/items/ItemDispatch.ts
+++ b/packages/runner/src/items/ItemDispatch.ts
@@ -1,12 +1,12 @@
 import type { Dispatcher } from "@auburnarch/dispatch/Dispatcher";
-import type { Lot } from "@auburnarch/lots/Lot";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
 import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { ItemRun } from "./ItemRun.js";
 
 /** The dispatchers of one runner and the items they have in hand. */
 export interface ItemDispatch {
-    dispatcherFor(lot: Lot): Dispatcher;
+    dispatcherFor(batchJob: BatchJob): Dispatcher;
     register(task: SampleId, run: ItemRun, onMade: (made: MadeSample) => void): void;
     forget(task: SampleId): void;
     stop(): Promise<void>;
--- a/packages/runner/src/items/ItemRun.ts
+++ b/packages/runner/src/items/ItemRun.ts
@@ -1,10 +1,10 @@
-import type { Lot } from "@auburnarch/lots/Lot";
-import type { LotItem } from "@auburnarch/lots/LotItem";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import type { BatchJobItem } from "@auburnarch/lots/BatchJobItem";
 
 /** An item that is to be run, with what its earlier runs came to. */
 export interface ItemRun {
-    lot: Lot;
-    item: LotItem;
+    batchJob: BatchJob;
+    item: BatchJobItem;
     /** By the client's hint; undefined if it gave none. */
     expectedEvents: number | undefined;
     /** Answers of 500 so far. */
--- a/packages/runner/src/items/SamplerEvidence.ts
+++ b/packages/runner/src/items/SamplerHealth.ts
@@ -1,14 +1,14 @@
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 
 /** What runs at a sampler tell of its health. */
-export interface SamplerEvidence {
-    noteSent(sampler: IncarnationId): void;
+export interface SamplerHealth {
+    recordRunStarted(sampler: IncarnationId): void;
     /** An answer or an event arrived; `gapMs` is the time since the event before of the same run, if there was one. */
-    noteHeard(sampler: IncarnationId, gapMs?: number): void;
+    recordActivity(sampler: IncarnationId, gapMs?: number): void;
     /** Events a second of single runs there lately; undefined before any were seen. */
     eventsPerSecond(sampler: IncarnationId): number | undefined;
-    noteFailed(sampler: IncarnationId): void;
-    noteEnded(sampler: IncarnationId): void;
+    recordFailure(sampler: IncarnationId): void;
+    recordRunEnded(sampler: IncarnationId): void;
     /** Runs of this process there. */
     running(sampler: IncarnationId): number;
     /** All runs of this process, by sampler. */
--- a/packages/runner/src/items/createHintedLengthModel.ts
+++ b/packages/runner/src/items/createHintedLengthModel.ts
@@ -2,7 +2,7 @@
 import type { LengthModel } from "@auburnarch/dispatch/LengthModel";
 
 /** A hint is right at the median but often far off, so an item near its hint is expected to have this part left. */
-const overrunPart = 0.35;
+const overrunRatio = 0.35;
 
 /**
  * Predicts lengths by the client's hint of each item. Without a hint by what the job's items came to. `prompt` is the
@@ -18,7 +18,7 @@
             if (hint === undefined) {
                 return observed.expectRemaining(item, produced, maxTokens);
             }
-            const left = Math.max(hint - produced, overrunPart * produced);
+            const left = Math.max(hint - produced, overrunRatio * produced);
             return Math.max(1, Math.min(left, maxTokens - produced));
         },
     };
--- a/packages/runner/src/items/createItemDispatch.ts
+++ b/packages/runner/src/items/createItemDispatch.ts
@@ -3,7 +3,7 @@
 import { createDispatcher } from "@auburnarch/dispatch/createDispatcher";
 import type { Dispatcher } from "@auburnarch/dispatch/Dispatcher";
 import type { DispatchPolicy } from "@auburnarch/dispatch/DispatchPolicy";
-import type { Lot } from "@auburnarch/lots/Lot";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { CallSampler } from "@auburnarch/relay/CallSampler";
 import { findRoute } from "@auburnarch/routing/findRoute";
@@ -29,16 +29,16 @@
 import type { ItemDispatch } from "./ItemDispatch.js";
 import type { ItemRun } from "./ItemRun.js";
 import type { ReadItemEvents } from "./ReadItemEvents.js";
-import type { SamplerEvidence } from "./SamplerEvidence.js";
+import type { SamplerHealth } from "./SamplerHealth.js";
 
 interface ItemDispatchDeps {
     routing: RoutingView;
     directory: SamplerDirectory;
     callSampler: CallSampler;
     readEvents: ReadItemEvents;
-    evidence: SamplerEvidence;
+    samplerHealth: SamplerHealth;
     /** Runs that other runners have at a sampler, as of their last answer. */
-    sentByPeers: (sampler: IncarnationId) => number;
+    countPeerRuns: (sampler: IncarnationId) => number;
     clock: Clock;
     random: Random;
     logger: Logger;
@@ -47,13 +47,13 @@
     createPolicy?: (hintOf: (task: string) => number | undefined) => DispatchPolicy;
 }
 
-interface Registered {
+interface RegisteredItem {
     run: ItemRun;
     onMade: (made: MadeSample) => void;
 }
 
 /** Trainers ask for a step about this often; only a first guess, the dispatcher learns the rhythm. */
-const stepRhythmMs = 4_000;
+const stepIntervalMs = 4_000;
 const anyPriority = 5;
 /** A suspected sampler has been silent for longer already; a run just sent gets this long for its first event. */
 const stallMs = 400;
@@ -73,8 +73,8 @@
 
 /** Makes the dispatchers: one for each path and policy, since a trainer's jobs share what is learnt of lengths. */
 export function createItemDispatch(deps: ItemDispatchDeps): ItemDispatch {
-    const { routing, directory, evidence } = deps;
-    const tasks = new Map<SampleId, Registered>();
+    const { routing, directory, samplerHealth } = deps;
+    const tasks = new Map<SampleId, RegisteredItem>();
     const dispatchers = new Map<string, Dispatcher>();
     const sidecars = new Map<SamplerId, Pick<SidecarPort, "runSample">>();
 
@@ -87,77 +87,78 @@
         return table === undefined ? undefined : findRoute(table, host, path);
     };
 
-    function sidecar(sampler: SamplerId): SidecarPort {
-        let known = sidecars.get(sampler);
-        if (known === undefined) {
-            known = createItemSidecar({
+    function findSidecar(sampler: SamplerId): SidecarPort {
+        let existing = sidecars.get(sampler);
+        if (existing === undefined) {
+            existing = createItemSidecar({
                 ...deps,
                 findRun: task => tasks.get(task)?.run,
-                findRoute: ({ lot, item }) => routeOf(lot.host, item.path),
+                findRoute: ({ batchJob: lot, item }) => routeOf(lot.host, item.path),
                 findSampler: id => directory.find(id as string as IncarnationId),
             }, sampler);
-            sidecars.set(sampler, known);
+            sidecars.set(sampler, existing);
         }
-        return known as SidecarPort;
+        return existing as SidecarPort;
     }
 
     /** Samplers of the services that the route goes to now; a change of the configuration shows at once. */
-    function listSamplers(lot: Lot): SamplerView[] {
-        const route = routeOf(lot.host, lot.path);
+    function listSamplers(batchJob: BatchJob): SamplerView[] {
+        const route = routeOf(batchJob.host, batchJob.path);
         const services = route?.backends.filter(backend => backend.weight > 0).map(backend => backend.service)
             ?? [];
         return services.flatMap(service => directory.serving(service)).map(sampler => ({
-            report: describeForPolicy(lot, sampler.incarnation),
+            report: describeForPolicy(batchJob, sampler.incarnation),
             reportAgeMs: 0,
-            sentAttempts: evidence.running(sampler.incarnation),
+            sentAttempts: samplerHealth.running(sampler.incarnation),
             sentTokens: 0,
             sentSinceReport: 0,
-            suspected: evidence.isSuspected(sampler.incarnation),
+            suspected: samplerHealth.isSuspected(sampler.incarnation),
         }));
     }
 
-    function describeForPolicy(lot: Lot, incarnation: IncarnationId): SamplerView["report"] {
+    function describeForPolicy(batchJob: BatchJob, incarnation: IncarnationId): SamplerView["report"] {
         const sampler = directory.find(incarnation)!;
-        const running = evidence.running(incarnation) + deps.sentByPeers(incarnation);
+        const running = samplerHealth.running(incarnation) + deps.countPeerRuns(incarnation);
         const report = describeSampler(sampler, running);
-        return lot.policy === undefined
-            ? { ...report, served: [{ policy: anyPolicy, version: lot.minVersion }] }
+        return batchJob.policy === undefined
+            ? { ...report, served: [{ policy: anyPolicy, version: batchJob.minVersion }] }
             : report;
     }
 
-    function toJob(lot: Lot): JobManifest {
+    function toJob(batchJob: BatchJob): JobManifest {
         return {
-            job: `${lot.host}${lot.path}` as JobId,
+            job: `${batchJob.host}${batchJob.path}` as JobId,
             team: "" as TeamId,
-            service: (routeOf(lot.host, lot.path)?.backends[0]?.service ?? "") as ServiceId,
-            policy: lot.policy ?? anyPolicy,
+            service: (routeOf(batchJob.host, batchJob.path)?.backends[0]?.service ?? "") as ServiceId,
+            policy: batchJob.policy ?? anyPolicy,
             scoring: "",
             groupSize: 1,
-            samplesPerStep: lot.items.length,
+            samplesPerStep: batchJob.items.length,
             maxStalenessVersions: 1,
-            stepNeedMs: stepRhythmMs,
+            stepNeedMs: stepIntervalMs,
             priority: anyPriority,
             freshnessWeight: 0,
         };
     }
 
-    function dispatcherFor(lot: Lot): Dispatcher {
-        const prefix = routeOf(lot.host, lot.path)?.pathPrefix ?? lot.path;
-        const key = `${lot.host}${prefix} ${lot.policy ?? ""}`;
+    function dispatcherFor(batchJob: BatchJob): Dispatcher {
+        const prefix = routeOf(batchJob.host, batchJob.path)?.pathPrefix ?? batchJob.path;
+        const key = `${batchJob.host}${prefix} ${batchJob.policy ?? ""}`;
         let dispatcher = dispatchers.get(key);
         if (dispatcher === undefined) {
             dispatcher = createDispatcher({
                 ...deps,
-                job: () => toJob(lot),
+                job: () => toJob(batchJob),
                 limits: () => limits,
                 fencing: noFencing,
-                listSamplers: () => listSamplers(lot),
-                sidecar,
+                listSamplers: () => listSamplers(batchJob),
+                sidecar: findSidecar,
                 mayAct: () => true,
-                onMade: made => tasks.get(made.task.sample)?.onMade(made),
+                onSampleGenerated: made => tasks.get(made.task.sample)?.onMade(made),
                 takeRetry: alwaysRetry,
-                paceOf: sampler => evidence.eventsPerSecond(sampler as string as IncarnationId),
-                stallMs,
+                measuredTokensPerSecond: sampler =>
+                    samplerHealth.eventsPerSecond(sampler as string as IncarnationId),
+                stallTimeoutMs: stallMs,
             }, policy);
             dispatchers.set(key, dispatcher);
         }
--- a/packages/runner/src/items/createItemFinisher.ts
+++ b/packages/runner/src/items/createItemFinisher.ts
@@ -1,18 +1,18 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import type { Lot } from "@auburnarch/lots/Lot";
-import type { LotItem } from "@auburnarch/lots/LotItem";
-import type { LotResult } from "@auburnarch/lots/LotResult";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import type { BatchJobItem } from "@auburnarch/lots/BatchJobItem";
+import type { ItemResult } from "@auburnarch/lots/ItemResult";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
-import type { LotRunDeps } from "../jobs/LotRunDeps.js";
+import type { BatchJobRunDeps } from "../jobs/BatchJobRunDeps.js";
 
 /** Turns an item's text into its result: undefined if the job has ended meanwhile. */
 type FinishItem = (
-    lot: Lot,
-    item: LotItem,
+    batchJob: BatchJob,
+    item: BatchJobItem,
     spans: TokenSpan[],
     signal: AbortSignal,
-) => Promise<LotResult | undefined>;
+) => Promise<ItemResult | undefined>;
 
 /** Versions of a text, each once, in order of appearance. */
 const versionsOf = (spans: TokenSpan[]): WeightVersion[] => [...new Set(spans.map(span => span.version))];
@@ -22,17 +22,17 @@
 
 /** Makes what finishes items: it asks for the reward, which only a whole text may be sent for. */
 export function createItemFinisher(
-    deps: Pick<LotRunDeps, "invariants" | "findRoute" | "scoreItem">,
+    deps: Pick<BatchJobRunDeps, "invariants" | "findRoute" | "scoreItem">,
 ): FinishItem {
-    return async (lot, item, spans, signal) => {
+    return async (batchJob, item, spans, signal) => {
         const versions = versionsOf(spans);
-        const isFresh = versions.every(version => version >= lot.minVersion);
-        deps.invariants.check(resultCodes.staleDelivered, isFresh, { lot: lot.lot, item: item.item });
+        const isFresh = versions.every(version => version >= batchJob.minVersion);
+        deps.invariants.check(resultCodes.staleDelivered, isFresh, { lot: batchJob.lot, item: item.item });
         const made = { item: item.item, output: textOf(spans), versions };
         if (item.reward === undefined) {
             return { ...made, state: "completed", score: undefined };
         }
-        const attempts = deps.findRoute(lot.host, item.path)?.maxAttempts ?? 1;
+        const attempts = deps.findRoute(batchJob.host, item.path)?.maxAttempts ?? 1;
         const scored = await deps.scoreItem(item.reward, {}, attempts, signal);
         if (scored === undefined) {
             return undefined;
--- a/packages/runner/src/items/createItemPolicy.ts
+++ b/packages/runner/src/items/createItemPolicy.ts
@@ -1,21 +1,21 @@
 import { createMoveRule } from "@auburnarch/dispatch/createMoveRule";
 import type { DispatchPolicy } from "@auburnarch/dispatch/DispatchPolicy";
-import { hasShownPace } from "@auburnarch/dispatch/hasShownPace";
+import { hasMeasurableSpeed } from "@auburnarch/dispatch/hasMeasurableSpeed";
 import { holdNever } from "@auburnarch/dispatch/holdNever";
 import { priorityFixed } from "@auburnarch/dispatch/priorityFixed";
 import { thinNever } from "@auburnarch/dispatch/thinNever";
 import { pickEarliestFinish } from "@auburnarch/pick/pickEarliestFinish";
 import { orderByStepAndLength } from "@auburnarch/queue/orderByStepAndLength";
+import { countFreeSlots } from "./countFreeSlots.js";
 import { createHintedLengthModel } from "./createHintedLengthModel.js";
-import { roomBesidePeers } from "./roomBesidePeers.js";
 
 /** A move costs the prompt read anew and a hand-over; a run near its end is done before the move shows. */
 const moveRule = createMoveRule({
-    leastGainRatio: 0.3,
-    leastGainMs: 300,
+    minGainRatio: 0.3,
+    minGainMs: 300,
     maxMoves: 4,
     prefillSpeedup: 30,
-    handOverMs: 60,
+    moveOverheadMs: 60,
 });
 
 /**
@@ -28,9 +28,9 @@
         order: orderByStepAndLength,
         pick: pickEarliestFinish,
         hold: holdNever,
-        room: roomBesidePeers,
+        room: countFreeSlots,
         thin: thinNever,
-        movable: hasShownPace,
+        movable: hasMeasurableSpeed,
         move: moveRule,
         priority: priorityFixed,
         createLengthModel: () => createHintedLengthModel(hintOf),
--- a/packages/runner/src/items/createItemSidecar.test.ts
+++ b/packages/runner/src/items/createItemSidecar.test.ts
@@ -1,7 +1,7 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import type { Lot } from "@auburnarch/lots/Lot";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
 import type { SamplerReply } from "@auburnarch/relay/SamplerReply";
 import type { SamplerRequest } from "@auburnarch/relay/SamplerRequest";
 import type { Route } from "@auburnarch/routing/Route";
@@ -16,7 +16,7 @@
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import { expect, test } from "vitest";
 import { createItemSidecar } from "./createItemSidecar.js";
-import { createSamplerEvidence } from "./createSamplerEvidence.js";
+import { createSamplerHealth } from "./createSamplerHealth.js";
 import type { ItemEvent } from "./ItemEvent.js";
 import type { ItemRun } from "./ItemRun.js";
 
@@ -38,13 +38,13 @@
     weightVersion: weightVersion === 0 ? undefined : version(weightVersion),
 });
 
-async function run(reply: SamplerReply, events: ItemEvent[], resume: TokenSpan[] = [], isCut = false) {
+async function run(reply: SamplerReply, events: ItemEvent[], resume: TokenSpan[] = [], isBroken = false) {
     const terminated: string[] = [];
     const sent: SamplerRequest[] = [];
     const spans: TokenSpan[] = [];
     const clock = createFakeClock();
     const item: ItemRun = {
-        lot: { host: "a", policy: "m0" } as unknown as Lot,
+        batchJob: { host: "a", policy: "m0" } as unknown as BatchJob,
         item: {
             item: "i1" as SampleId,
             path: "/p",
@@ -65,11 +65,11 @@
         },
         readEvents: async function*() {
             yield* events;
-            if (isCut) {
+            if (isBroken) {
                 throw new Error("reset");
             }
         },
-        evidence: createSamplerEvidence(clock),
+        samplerHealth: createSamplerHealth(clock),
         clock,
         logger: silent,
     }, "s-1" as SamplerId);
--- a/packages/runner/src/items/createItemSidecar.ts
+++ b/packages/runner/src/items/createItemSidecar.ts
@@ -15,7 +15,7 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { ItemRun } from "./ItemRun.js";
 import type { ReadItemEvents } from "./ReadItemEvents.js";
-import type { SamplerEvidence } from "./SamplerEvidence.js";
+import type { SamplerHealth } from "./SamplerHealth.js";
 
 interface ItemSidecarDeps {
     findRun: (item: SampleId) => ItemRun | undefined;
@@ -24,7 +24,7 @@
     findSampler: (sampler: SamplerId) => KnownSampler | undefined;
     callSampler: CallSampler;
     readEvents: ReadItemEvents;
-    evidence: SamplerEvidence;
+    samplerHealth: SamplerHealth;
     clock: Clock;
     logger: Logger;
 }
@@ -50,7 +50,7 @@
     deps: ItemSidecarDeps,
     samplerId: SamplerId,
 ): Pick<SidecarPort, "runSample"> {
-    const { evidence, logger } = deps;
+    const { samplerHealth: evidence, logger } = deps;
 
     async function readRun(
         attempt: SampleAttempt,
@@ -64,7 +64,7 @@
         let lastEventAtMs: number | undefined;
         for await (const event of deps.readEvents(reply.body)) {
             const nowMs = deps.clock.monotonicMs();
-            evidence.noteHeard(
+            evidence.recordActivity(
                 sampler.incarnation,
                 lastEventAtMs === undefined ? undefined : nowMs - lastEventAtMs,
             );
@@ -90,7 +90,7 @@
         return { kind: "ran", answer: { ...answer, engineMs: 0, cachedPromptTokens: 0 } };
     }
 
-    function takeFailure(run: ItemRun, status: number, route: Route): Ended {
+    function handleFailure(run: ItemRun, status: number, route: Route): Ended {
         if (status === itemImpossibleStatus) {
             run.terminate("impossible");
             return { kind: "unknown", code: resultCodes.badRequest };
@@ -114,7 +114,7 @@
         signal: AbortSignal,
         spans: TokenSpan[],
     ): Promise<Ended> {
-        const { lot, item } = run;
+        const { batchJob: lot, item } = run;
         const made = countEvents(attempt.resume);
         const reply = await deps.callSampler({
             sampler,
@@ -129,16 +129,16 @@
             ...(made > 0 ? { lastEventNumber: made } : {}),
         }, signal);
         if (reply.kind === "notRun") {
-            evidence.noteHeard(sampler.incarnation);
+            evidence.recordActivity(sampler.incarnation);
             return { kind: "notRun", code: reply.code, retryAfterMs: refusedPauseMs };
         }
         if (reply.kind === "unknown") {
             return { kind: "unknown", code: reply.code };
         }
-        evidence.noteHeard(sampler.incarnation);
+        evidence.recordActivity(sampler.incarnation);
         if (reply.status >= 300) {
             await readWhole(reply.body, maxFailureBytes);
-            return takeFailure(run, reply.status, route);
+            return handleFailure(run, reply.status, route);
         }
         return readRun(attempt, reply, sampler, onSpan, spans);
     }
@@ -150,7 +150,7 @@
         if (run === undefined || sampler === undefined || route === undefined) {
             return { kind: "notRun", code: resultCodes.noSampler, retryAfterMs: refusedPauseMs };
         }
-        evidence.noteSent(sampler.incarnation);
+        evidence.recordRunStarted(sampler.incarnation);
         const spans = [...attempt.resume];
         let ended: Ended;
         try {
@@ -166,12 +166,12 @@
             });
             ended = { kind: "unknown", code: resultCodes.connectionBroken };
         }
-        evidence.noteEnded(sampler.incarnation);
+        evidence.recordRunEnded(sampler.incarnation);
         if (signal.aborted && ended.kind === "unknown") {
             return toAnswer(attempt, spans, false);
         }
         if (ended.kind === "unknown" && ended.code === resultCodes.connectionBroken) {
-            evidence.noteFailed(sampler.incarnation);
+            evidence.recordFailure(sampler.incarnation);
         }
         return ended;
     };
--- a/packages/runner/src/items/createSamplerEvidence.ts
+++ b/packages/runner/src/items/createSamplerHealth.ts
@@ -1,10 +1,10 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
-import type { SamplerEvidence } from "./SamplerEvidence.js";
+import type { SamplerHealth } from "./SamplerHealth.js";
 
-interface Evidence {
+interface HealthRecord {
     running: number;
-    heardAtMs: number;
+    activeAtMs: number;
     failedAtMs: number;
     gapMs: number | undefined;
 }
@@ -12,25 +12,25 @@
 /** Weight of a new gap between events; a sampler that turns slow shows after three or four events of its runs. */
 const gapSmoothing = 0.15;
 /** A longer pause is a fault, and says nothing about the pace after it. */
-const longestGapMs = 400;
+const maxGapMs = 400;
 
 /**
  * Longer than the gaps between events on slow samplers; a load of weights does not hold events up. A sampler whose runs
  * are all silent for longer is taken to be dead, seconds before its entry lapses.
  */
-const silentMs = 700;
+const maxSilenceMs = 700;
 /** A crashed sampler is back after some seconds, under another incarnation. */
 const failureMemoryMs = 1_000;
 const maxSamplers = 4_096;
 
 /** Makes the evidence of one process. */
-export function createSamplerEvidence(clock: Clock): SamplerEvidence {
-    const samplers = new Map<IncarnationId, Evidence>();
+export function createSamplerHealth(clock: Clock): SamplerHealth {
+    const samplers = new Map<IncarnationId, HealthRecord>();
 
-    function of(sampler: IncarnationId): Evidence {
+    function recordOf(sampler: IncarnationId): HealthRecord {
         let known = samplers.get(sampler);
         if (known === undefined) {
-            known = { running: 0, heardAtMs: -Infinity, failedAtMs: -Infinity, gapMs: undefined };
+            known = { running: 0, activeAtMs: -Infinity, failedAtMs: -Infinity, gapMs: undefined };
             samplers.set(sampler, known);
             if (samplers.size > maxSamplers) {
                 samplers.delete(samplers.keys().next().value!);
@@ -40,18 +40,18 @@
     }
 
     return {
-        noteSent: sampler => {
-            const known = of(sampler);
+        recordRunStarted: sampler => {
+            const known = recordOf(sampler);
             if (known.running === 0) {
-                known.heardAtMs = clock.monotonicMs();
+                known.activeAtMs = clock.monotonicMs();
             }
             known.running++;
         },
-        noteHeard: (sampler, gapMs) => {
-            const known = of(sampler);
-            known.heardAtMs = clock.monotonicMs();
+        recordActivity: (sampler, gapMs) => {
+            const known = recordOf(sampler);
+            known.activeAtMs = clock.monotonicMs();
             if (gapMs !== undefined) {
-                const seenMs = Math.min(gapMs, longestGapMs);
+                const seenMs = Math.min(gapMs, maxGapMs);
                 const before = known.gapMs ?? seenMs;
                 known.gapMs = before + gapSmoothing * (seenMs - before);
             }
@@ -60,11 +60,11 @@
             const gapMs = samplers.get(sampler)?.gapMs;
             return gapMs === undefined ? undefined : 1_000 / Math.max(1, gapMs);
         },
-        noteFailed: sampler => {
-            of(sampler).failedAtMs = clock.monotonicMs();
+        recordFailure: sampler => {
+            recordOf(sampler).failedAtMs = clock.monotonicMs();
         },
-        noteEnded: sampler => {
-            of(sampler).running--;
+        recordRunEnded: sampler => {
+            recordOf(sampler).running--;
         },
         running: sampler => samplers.get(sampler)?.running ?? 0,
         allRunning: () => {
@@ -76,7 +76,7 @@
             const nowMs = clock.monotonicMs();
             return known !== undefined
                 && (nowMs - known.failedAtMs < failureMemoryMs
-                    || (known.running > 0 && nowMs - known.heardAtMs > silentMs));
+                    || (known.running > 0 && nowMs - known.activeAtMs > maxSilenceMs));
         },
     };
 }
--- a/packages/runner/src/items/createScoreItem.ts
+++ b/packages/runner/src/items/createScoreItem.ts
@@ -1,13 +1,13 @@
 import type { RoutingView } from "@auburnarch/discovery/RoutingView";
-import type { Relay } from "@auburnarch/relay/Relay";
-import type { RelayOutcome } from "@auburnarch/relay/RelayOutcome";
+import type { ForwardingOutcome } from "@auburnarch/relay/ForwardingOutcome";
+import type { RequestForwarder } from "@auburnarch/relay/RequestForwarder";
 import { findRoute } from "@auburnarch/routing/findRoute";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ScoreItem } from "./ScoreItem.js";
 
 interface ScoreItemDeps {
-    relay: Relay;
+    forwardRequest: RequestForwarder;
     routing: RoutingView;
     clock: Clock;
     logger: Logger;
@@ -21,7 +21,7 @@
 const maxPauseMs = 800;
 const failedStatus = 500;
 
-async function drain(outcome: Extract<RelayOutcome, { kind: "answered"; }>): Promise<void> {
+async function drain(outcome: Extract<ForwardingOutcome, { kind: "answered"; }>): Promise<void> {
     for await (const _chunk of outcome.body) {
         // Only the signature counts.
     }
@@ -54,7 +54,7 @@
                     deadlineMs: rewardBudgetMs,
                     hedgeMs: rewardHedgeMs,
                 };
-                const outcome = await deps.relay(request, signal);
+                const outcome = await deps.forwardRequest(request, signal);
                 if (outcome.kind === "answered") {
                     await drain(outcome);
                     if (outcome.status < 300 && outcome.signature !== undefined) {
--- a/packages/runner/src/items/createTextShelf.ts
+++ b/packages/runner/src/items/createTextCache.ts
@@ -1,49 +1,49 @@
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
-import type { TextShelf } from "./TextShelf.js";
+import type { TextCache } from "./TextCache.js";
 
-type KeptText = Parameters<TextShelf["keep"]>[1];
+type CachedText = Parameters<TextCache["put"]>[1];
 
 /** In characters; some thousand items, a tenth of the smallest VM's memory. The oldest go first. */
-const maxKeptChars = 10_000_000;
+const maxCachedChars = 10_000_000;
 
-const charsOf = ({ spans }: KeptText): number => spans.reduce((sum, span) => sum + span.text.length, 0);
+const countChars = ({ spans }: CachedText): number => spans.reduce((sum, span) => sum + span.text.length, 0);
 
-interface TextShelfOptions {
+interface TextCacheOptions {
     /** Texts that an earlier process was at work on. */
-    earlier?: ReadonlyMap<string, TokenSpan[]>;
+    restored?: ReadonlyMap<string, TokenSpan[]>;
     /** Takes each text that is kept, so that a later process has it. */
-    note?: (item: SampleId, spans: TokenSpan[]) => void;
+    persist?: (item: SampleId, spans: TokenSpan[]) => void;
 }
 
 /** Makes a shelf. */
-export function createTextShelf({ earlier, note }: TextShelfOptions = {}): TextShelf {
-    const texts = new Map<SampleId, KeptText>();
+export function createTextCache({ restored: earlier, persist: note }: TextCacheOptions = {}): TextCache {
+    const texts = new Map<SampleId, CachedText>();
     let chars = 0;
 
     function drop(item: SampleId): void {
         const text = texts.get(item);
         if (text !== undefined) {
-            chars -= charsOf(text);
+            chars -= countChars(text);
             texts.delete(item);
         }
     }
 
     for (const [item, spans] of earlier ?? []) {
-        const text = { spans, isWhole: false };
+        const text = { spans, isComplete: false };
         texts.set(item as SampleId, text);
-        chars += charsOf(text);
+        chars += countChars(text);
     }
     return {
-        isLasting: note !== undefined,
-        keep: (item, text) => {
+        isPersistent: note !== undefined,
+        put: (item, text) => {
             if (text.spans.length === 0) {
                 return;
             }
             drop(item);
             texts.set(item, text);
-            chars += charsOf(text);
-            while (chars > maxKeptChars) {
+            chars += countChars(text);
+            while (chars > maxCachedChars) {
                 drop(texts.keys().next().value!);
             }
             note?.(item, text.spans);
--- a/packages/runner/src/items/toSampleTask.ts
+++ b/packages/runner/src/items/toSampleTask.ts
@@ -1,5 +1,5 @@
-import type { Lot } from "@auburnarch/lots/Lot";
-import type { LotItem } from "@auburnarch/lots/LotItem";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import type { BatchJobItem } from "@auburnarch/lots/BatchJobItem";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { SampleTask } from "@auburnarch/types/SampleTask";
@@ -17,11 +17,11 @@
 }
 
 /** An item in the terms of the dispatcher. Its own id stands for its prompt, since its length is its own. */
-export function toSampleTask(lot: Lot, item: LotItem, details: TaskDetails): SampleTask {
+export function toSampleTask(batchJob: BatchJob, item: BatchJobItem, details: TaskDetails): SampleTask {
     const { task, index, group, needAtMs, maxEvents, resume } = details;
     return {
         sample: task,
-        step: lot.step,
+        step: batchJob.step,
         group,
         index,
         prompt: task,
@@ -30,6 +30,6 @@
         digest: "" as ContentDigest,
         needAtMs,
         resume,
-        minVersion: lot.minVersion,
+        minVersion: batchJob.minVersion,
     };
 }
--- a/packages/runner/src/jobs/LotBoard.ts
+++ b/packages/runner/src/jobs/BatchJobRegistry.ts
@@ -1,8 +1,8 @@
-import type { RunningLot } from "./RunningLot.js";
+import type { RunningBatchJob } from "./RunningBatchJob.js";
 
 /** The jobs that this runner runs. */
-export interface LotBoard {
-    running(): RunningLot[];
+export interface BatchJobRegistry {
+    running(): RunningBatchJob[];
     /** Looks again at which jobs are this runner's. */
     refresh(): void;
     /** Takes no job any more and hands over those it has. */
--- a/packages/runner/src/jobs/LotRun.ts
+++ b/packages/runner/src/jobs/BatchJobRun.ts
@@ -1,9 +1,9 @@
 /** One job while this runner runs it. */
-export interface LotRun {
+export interface BatchJobRun {
     /** Every item is recorded. */
     isComplete(): boolean;
     /** Keeps unfinished texts, where they outlive the process. */
-    keepTexts(): void;
+    saveTexts(): void;
     /** Ends its runs; what is made already is still recorded if `isHandedOver`. */
     stop(isHandedOver: boolean): Promise<void>;
 }
--- a/packages/runner/src/jobs/LotRunDeps.ts
+++ b/packages/runner/src/jobs/BatchJobRunDeps.ts
@@ -1,9 +1,9 @@
 import type { Dispatcher } from "@auburnarch/dispatch/Dispatcher";
 import type { Invariants } from "@auburnarch/invariants/Invariants";
-import type { Lot } from "@auburnarch/lots/Lot";
-import type { LotEntry } from "@auburnarch/lots/LotEntry";
-import type { LotId } from "@auburnarch/lots/LotId";
-import type { LotStore } from "@auburnarch/lots/LotStore";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Route } from "@auburnarch/routing/Route";
 import type { Clock } from "@auburnarch/types/Clock";
@@ -13,27 +13,27 @@
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { ItemRun } from "../items/ItemRun.js";
 import type { ScoreItem } from "../items/ScoreItem.js";
-import type { TextShelf } from "../items/TextShelf.js";
-import type { ResultBook } from "../results/ResultBook.js";
+import type { TextCache } from "../items/TextCache.js";
+import type { ResultCache } from "../results/ResultCache.js";
 import type { createSeenGroups } from "./createSeenGroups.js";
 
 /** What the run of one job is built from. */
-export interface LotRunDeps {
-    lot: LotId;
-    entry: LotEntry;
-    lots: LotStore;
-    book: Pick<ResultBook, "open" | "note" | "markLoaded" | "close">;
+export interface BatchJobRunDeps {
+    batchJobId: BatchJobId;
+    entry: BatchJobEntry;
+    batchJobStore: BatchJobStore;
+    resultCache: Pick<ResultCache, "open" | "note" | "markLoaded" | "close">;
     /** The dispatcher for a job's items; the same one for all jobs of a trainer. */
-    dispatcherFor: (lot: Lot) => Dispatcher;
+    dispatcherFor: (batchJob: BatchJob) => Dispatcher;
     findRoute: (host: string, path: string) => Route | undefined;
     /** Tokens in one event of the engines that a job runs on. */
-    tokensPerEvent: (lot: Lot) => number;
+    tokensPerEvent: (batchJob: BatchJob) => number;
     scoreItem: ScoreItem;
     /** Makes a task known to the sidecars, and who takes its text. */
     register: (task: SampleId, run: ItemRun, onMade: (made: MadeSample) => void) => void;
     forget: (task: SampleId) => void;
     seenGroups: ReturnType<typeof createSeenGroups>;
-    shelf: TextShelf;
+    textCache: TextCache;
     clock: Clock;
     random: Random;
     logger: Logger;
--- /dev/null
+++ b/packages/runner/src/jobs/RunningBatchJob.ts
@@ -0,0 +1,7 @@
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+
+/** A job that a runner runs, and for how long it has. */
+export interface RunningBatchJob {
+    lot: BatchJobId;
+    runMs: number;
+}
--- a/packages/runner/src/jobs/chooseOwner.ts
+++ b/packages/runner/src/jobs/chooseOwner.ts
@@ -1,4 +1,4 @@
-import type { LotId } from "@auburnarch/lots/LotId";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import { rankByRendezvous } from "@auburnarch/membership/rankByRendezvous";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
@@ -6,7 +6,7 @@
 import { orderOwners } from "./orderOwners.js";
 
 interface OwnerQuery {
-    lot: LotId;
+    batchJobId: BatchJobId;
     policy: PolicyId | undefined;
     /** All policies of the configuration, in its order. */
     policies: PolicyId[];
@@ -16,24 +16,24 @@
     holdsWeights: boolean;
     peers: PeerView[];
     /** For how long no peer has answered; 0 if one has. */
-    aloneMs: number;
+    isolatedMs: number;
     /** The store has answered this process just now. */
-    isStoreHere: boolean;
+    isStoreReachable: boolean;
 }
 
 /** A peer that cannot use the store for this long gives its jobs to others, if these can. */
-const storeSilenceMs = 1_500;
+const maxStoreSilenceMs = 1_500;
 
-const isStorelessLong = (peer: PeerView): boolean => (peer.status?.storeSilentMs ?? 0) > storeSilenceMs;
+const hasLostStore = (peer: PeerView): boolean => (peer.status?.storeSilentMs ?? 0) > maxStoreSilenceMs;
 
-const canRun = (peer: PeerView, isStoreHere: boolean): boolean =>
-    peer.isAlive && peer.status?.isLeaving !== true && !(isStoreHere && isStorelessLong(peer));
+const canRun = (peer: PeerView, isStoreReachable: boolean): boolean =>
+    peer.isAlive && peer.status?.isLeaving !== true && !(isStoreReachable && hasLostStore(peer));
 
 /**
  * Alone against several peers, this runner is more likely to be cut off than they are to be dead. Their jobs go on
  * where they run; if they are gone indeed, this time is lost once.
  */
-const aloneGraceMs = 6_000;
+const isolationGraceMs = 6_000;
 
 const byName = (a: { name: string; }, b: { name: string; }): number => (a.name < b.name ? -1 : 1);
 
@@ -44,28 +44,29 @@
  * stands.
  */
 export function chooseOwner(query: OwnerQuery): string {
-    const { lot, policy, policies, self, holdsWeights, peers, isStoreHere } = query;
+    const { batchJobId: lot, policy, policies, self, holdsWeights, peers, isStoreReachable: isStoreHere } =
+        query;
     const holder = peers.find(peer => peer.status?.running.some(each => each.lot === lot) === true);
-    const isAlone = peers.length > 1 && peers.every(peer => !peer.isAlive);
-    if (isAlone && holder !== undefined && query.aloneMs < aloneGraceMs) {
+    const isIsolated = peers.length > 1 && peers.every(peer => !peer.isAlive);
+    if (isIsolated && holder !== undefined && query.isolatedMs < isolationGraceMs) {
         return holder.name;
     }
-    const able = peers.filter(peer => canRun(peer, isStoreHere)).sort(byName);
-    const current = able.find(peer => peer.status?.running.some(each => each.lot === lot));
+    const eligible = peers.filter(peer => canRun(peer, isStoreHere)).sort(byName);
+    const current = eligible.find(peer => peer.status?.running.some(each => each.lot === lot));
     if (current !== undefined) {
         return current.name;
     }
-    const place = policy === undefined ? -1 : policies.indexOf(policy);
-    const all = [
+    const policyIndex = policy === undefined ? -1 : policies.indexOf(policy);
+    const candidates = [
         { name: self, failureDomain: query.failureDomain, holdsWeights },
-        ...able.map(({ name, status }) => ({
+        ...eligible.map(({ name, status }) => ({
             name,
             failureDomain: status?.failureDomain,
             holdsWeights: status?.holdsWeights === true,
         })),
     ];
-    if (place < 0) {
-        return rankByRendezvous(lot, all, runner => runner.name)[0]!.name;
+    if (policyIndex < 0) {
+        return rankByRendezvous(lot, candidates, runner => runner.name)[0]!.name;
     }
-    return orderOwners(all)[place % all.length]!;
+    return orderOwners(candidates)[policyIndex % candidates.length]!;
 }
--- a/packages/runner/src/jobs/createLotBoard.ts
+++ b/packages/runner/src/jobs/createBatchJobRegistry.ts
@@ -1,31 +1,31 @@
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
-import type { LotEntry } from "@auburnarch/lots/LotEntry";
-import type { LotId } from "@auburnarch/lots/LotId";
+import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
-import type { PeerBook } from "../peers/PeerBook.js";
+import type { PeerRegistry } from "../peers/PeerRegistry.js";
+import type { BatchJobRegistry } from "./BatchJobRegistry.js";
+import type { BatchJobRun } from "./BatchJobRun.js";
 import { chooseOwner } from "./chooseOwner.js";
-import { givesWay } from "./givesWay.js";
-import type { LotBoard } from "./LotBoard.js";
-import type { LotRun } from "./LotRun.js";
+import { yieldsTo } from "./yieldsTo.js";
 
-interface LotBoardDeps {
+interface BatchJobRegistryDeps {
     self: string;
     failureDomain: FailureDomain;
-    entries: WatchedKind<LotEntry>;
-    peers: PeerBook;
+    entries: WatchedKind<BatchJobEntry>;
+    peers: PeerRegistry;
     /** False until configuration and samplers are known. */
     mayStart: () => boolean;
     /** All policies of the configuration, in its order. */
     listPolicies: () => PolicyId[];
     holdsWeights: () => boolean;
     /** The store has answered this process just now. */
-    isStoreHere: () => boolean;
+    isStoreReachable: () => boolean;
     /** Asks the store for a sign of life, so that `isStoreHere` tells the present. */
-    checkStore: () => void;
-    startRun: (lot: LotId, entry: LotEntry) => LotRun;
+    probeStore: () => void;
+    startRun: (batchJobId: BatchJobId, entry: BatchJobEntry) => BatchJobRun;
     clock: Clock;
     logger: Logger;
 }
@@ -35,15 +35,15 @@
 const maxAgeMs = 180_000;
 
 /** Decides which jobs run here: at every change of a job or a peer, and a few times a second. */
-export function createLotBoard(deps: LotBoardDeps): LotBoard {
+export function createBatchJobRegistry(deps: BatchJobRegistryDeps): BatchJobRegistry {
     const { clock, logger } = deps;
-    const runs = new Map<LotId, LotRun>();
-    const startedAtMs = new Map<LotId, number>();
-    const finished = new Set<LotId>();
+    const runs = new Map<BatchJobId, BatchJobRun>();
+    const startedAtMs = new Map<BatchJobId, number>();
+    const finished = new Set<BatchJobId>();
     let isLeaving = false;
-    let aloneSinceMs: number | undefined;
+    let isolatedSinceMs: number | undefined;
 
-    function stopRun(lot: LotId, reason: string): void {
+    function stopRun(lot: BatchJobId, reason: string): void {
         const run = runs.get(lot);
         runs.delete(lot);
         startedAtMs.delete(lot);
@@ -51,7 +51,7 @@
         void run?.stop(false);
     }
 
-    function dropEnded(entries: ReadonlyMap<string, LotEntry>): void {
+    function stopEndedRuns(entries: ReadonlyMap<string, BatchJobEntry>): void {
         for (const [lot, run] of runs) {
             const entry = entries.get(lot);
             if (entry === undefined || entry.isEnded) {
@@ -69,32 +69,33 @@
         }
     }
 
-    const runMsOf = (lot: LotId): number => Math.round(clock.monotonicMs() - (startedAtMs.get(lot) ?? 0));
+    const runMsOf = (batchJobId: BatchJobId): number =>
+        Math.round(clock.monotonicMs() - (startedAtMs.get(batchJobId) ?? 0));
 
     /** Runners that know of a death at once and not yet of each other's latest jobs may all believe a job theirs. */
-    function dropDoubled(): void {
+    function stopDuplicateRuns(): void {
         for (const { name, isAlive, status } of deps.peers.peers()) {
             if (!isAlive || status === undefined || status.isLeaving || status.storeSilentMs > 0) {
                 continue;
             }
             for (const { lot, runMs } of status.running) {
                 const own = { name: deps.self, runMs: runMsOf(lot) };
-                if (runs.has(lot) && givesWay(own, { name, runMs })) {
+                if (runs.has(lot) && yieldsTo(own, { name, runMs })) {
                     stopRun(lot, `doubled by ${name}`);
                 }
             }
         }
     }
 
-    function aloneMs(): number {
-        const isAlone = deps.peers.peers().every(peer => !peer.isAlive);
-        aloneSinceMs = isAlone ? aloneSinceMs ?? clock.monotonicMs() : undefined;
-        return aloneSinceMs === undefined ? 0 : clock.monotonicMs() - aloneSinceMs;
+    function measureIsolation(): number {
+        const isIsolated = deps.peers.peers().every(peer => !peer.isAlive);
+        isolatedSinceMs = isIsolated ? isolatedSinceMs ?? clock.monotonicMs() : undefined;
+        return isolatedSinceMs === undefined ? 0 : clock.monotonicMs() - isolatedSinceMs;
     }
 
-    function isOpen(lot: LotId, entry: LotEntry): boolean {
+    function isOpen(batchJobId: BatchJobId, entry: BatchJobEntry): boolean {
         const isCurrent = clock.wallMs() - entry.submittedAtMs < maxAgeMs;
-        return !entry.isEnded && isCurrent && !runs.has(lot) && !finished.has(lot);
+        return !entry.isEnded && isCurrent && !runs.has(batchJobId) && !finished.has(batchJobId);
     }
 
     function refresh(): void {
@@ -102,30 +103,30 @@
         if (entries === undefined || isLeaving) {
             return;
         }
-        dropEnded(entries);
-        dropDoubled();
+        stopEndedRuns(entries);
+        stopDuplicateRuns();
         if (!deps.mayStart() || !deps.peers.isSettled()) {
             return;
         }
         const peers = deps.peers.peers();
         if (peers.some(peer => (peer.status?.storeSilentMs ?? 0) > 0)) {
-            deps.checkStore();
+            deps.probeStore();
         }
         for (const [name, entry] of entries) {
-            const lot = name as LotId;
+            const lot = name as BatchJobId;
             if (!isOpen(lot, entry)) {
                 continue;
             }
             const owner = chooseOwner({
-                lot,
+                batchJobId: lot,
                 policy: entry.policy,
                 policies: deps.listPolicies(),
                 self: deps.self,
                 failureDomain: deps.failureDomain,
                 holdsWeights: deps.holdsWeights(),
                 peers,
-                aloneMs: aloneMs(),
-                isStoreHere: deps.isStoreHere(),
+                isolatedMs: measureIsolation(),
+                isStoreReachable: deps.isStoreReachable(),
             });
             if (owner === deps.self) {
                 logger.info("lotTaken", {
@@ -141,7 +142,7 @@
 
     function tick(): void {
         refresh();
-        runs.forEach(run => run.keepTexts());
+        runs.forEach(run => run.saveTexts());
         cancelTick = clock.startTimer(tickMs, tick);
     }
 
--- a/packages/runner/src/jobs/createLotRun.ts
+++ b/packages/runner/src/jobs/createBatchJobRun.ts
@@ -1,47 +1,47 @@
 import { createStopController } from "@auburnarch/clock/createStopController";
 import { codeOf } from "@auburnarch/errors/codeOf";
-import type { Lot } from "@auburnarch/lots/Lot";
-import { createLotItems } from "../items/createLotItems.js";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import { createOpenItems } from "../items/createOpenItems.js";
 import { stepDueMs } from "../items/stepDueMs.js";
 import { createGroupNeed } from "../results/createGroupNeed.js";
 import { createRecorder } from "../results/createRecorder.js";
-import type { LotRun } from "./LotRun.js";
-import type { LotRunDeps } from "./LotRunDeps.js";
+import type { BatchJobRun } from "./BatchJobRun.js";
+import type { BatchJobRunDeps } from "./BatchJobRunDeps.js";
 
 const retryMs = 200;
 /** Clocks of VMs differ by seconds at most; an item is given up late rather than early. */
 const clockSlackMs = 5_000;
 
 /** Starts to run a job: reads it, submits the items that have no result yet, records results as they come. */
-export function createLotRun(deps: LotRunDeps): LotRun {
-    const { lot: lotId, entry, lots, book, clock, logger } = deps;
+export function createBatchJobRun(deps: BatchJobRunDeps): BatchJobRun {
+    const { batchJobId, entry, batchJobStore, resultCache, clock, logger } = deps;
     const stopped = createStopController();
     const recorder = createRecorder({
         ...deps,
         total: entry.total,
         onRecorded: item => items.close(item),
-        onChunk: (number, chunk) => book.note(lotId, number, chunk),
+        onChunk: (number, chunk) => resultCache.note(batchJobId, number, chunk),
     });
-    const items = createLotItems(deps, recorder, stopped.signal);
+    const items = createOpenItems(deps, recorder, stopped.signal);
     let cancelExpiry = (): void => {};
 
-    function setExpiry(source: Lot): void {
-        const ttlMs = deps.findRoute(source.host, source.path)?.itemTtlMs;
+    function setExpiry(batchJob: BatchJob): void {
+        const ttlMs = deps.findRoute(batchJob.host, batchJob.path)?.itemTtlMs;
         if (ttlMs !== undefined) {
-            const leftMs = entry.submittedAtMs + ttlMs + clockSlackMs - clock.wallMs();
-            cancelExpiry = clock.startTimer(leftMs, () => items.terminateAll("expired"));
+            const remainingMs = entry.submittedAtMs + ttlMs + clockSlackMs - clock.wallMs();
+            cancelExpiry = clock.startTimer(remainingMs, () => items.terminateAll("expired"));
         }
     }
 
-    function run(source: Lot): void {
-        const { runs, resumed } = items.start(source);
-        setExpiry(source);
+    function run(batchJob: BatchJob): void {
+        const { runs, resumed } = items.start(batchJob);
+        setExpiry(batchJob);
         logger.info("lotStarted", {
-            lot: lotId,
-            policy: source.policy,
-            step: source.step,
-            minVersion: source.minVersion,
-            items: source.items.length,
+            lot: batchJobId,
+            policy: batchJob.policy,
+            step: batchJob.step,
+            minVersion: batchJob.minVersion,
+            items: batchJob.items.length,
             recorded: recorder.recorded(),
             runs,
             resumed,
@@ -50,20 +50,20 @@
     }
 
     async function tryStart(): Promise<boolean> {
-        const source = await lots.readLot(lotId);
-        if (source === undefined) {
-            logger.warn("lotBodyMissing", { lot: lotId });
+        const batchJob = await batchJobStore.readLot(batchJobId);
+        if (batchJob === undefined) {
+            logger.warn("lotBodyMissing", { lot: batchJobId });
             return false;
         }
-        deps.seenGroups.note(source);
-        const need = createGroupNeed(source, group => deps.seenGroups.comesAgain(lotId, group));
+        deps.seenGroups.record(batchJob);
+        const need = createGroupNeed(batchJob, group => deps.seenGroups.isResubmitted(batchJobId, group));
         const ageMs = clock.wallMs() - entry.submittedAtMs;
-        const dueMs = deps.findRoute(source.host, source.path)?.deadlineMs ?? stepDueMs;
-        recorder.expect(need, clock.monotonicMs() + dueMs - ageMs);
+        const dueMs = deps.findRoute(batchJob.host, batchJob.path)?.deadlineMs ?? stepDueMs;
+        recorder.setNeed(need, clock.monotonicMs() + dueMs - ageMs);
         await recorder.load();
-        book.markLoaded(lotId);
+        resultCache.markLoaded(batchJobId);
         if (!stopped.signal.aborted) {
-            run(source);
+            run(batchJob);
         }
         return true;
     }
@@ -77,30 +77,30 @@
             }
             catch (error) {
                 const { number, name } = codeOf(error);
-                logger.warn("lotNotRead", { lot: lotId, code: number, name });
+                logger.warn("lotNotRead", { lot: batchJobId, code: number, name });
             }
             await clock.sleep(retryMs, stopped.signal);
         }
     }
 
-    book.open(lotId, entry);
+    resultCache.open(batchJobId, entry);
     void start();
     return {
         isComplete: () => recorder.recorded() >= entry.total,
-        keepTexts: items.keepTexts,
+        saveTexts: items.saveTexts,
         stop: async isHandedOver => {
             cancelExpiry();
             items.withdrawAll();
             if (isHandedOver) {
-                recorder.hurry();
+                recorder.flush();
                 await recorder.drained();
             }
             stopped.abort();
             recorder.stop();
             items.forgetAll();
-            book.close(lotId);
+            resultCache.close(batchJobId);
             const recorded = recorder.recorded();
-            logger.info("lotStopped", { lot: lotId, recorded, total: entry.total, isHandedOver });
+            logger.info("lotStopped", { lot: batchJobId, recorded, total: entry.total, isHandedOver });
         },
     };
 }
--- a/packages/runner/src/jobs/createLotSweeper.ts
+++ b/packages/runner/src/jobs/createBatchJobSweeper.ts
@@ -1,14 +1,14 @@
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
 import { codeOf } from "@auburnarch/errors/codeOf";
-import type { LotEntry } from "@auburnarch/lots/LotEntry";
-import type { LotId } from "@auburnarch/lots/LotId";
-import type { LotStore } from "@auburnarch/lots/LotStore";
+import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
 
-interface LotSweeperDeps {
-    entries: WatchedKind<LotEntry>;
-    lots: Pick<LotStore, "remove">;
+interface BatchJobSweeperDeps {
+    entries: WatchedKind<BatchJobEntry>;
+    store: Pick<BatchJobStore, "remove">;
     /** One runner sweeps: the one that orders loads. */
     maySweep: () => boolean;
     /** Time for which clients may read a job after they submitted it. */
@@ -23,27 +23,27 @@
 const slackFactor = 2;
 
 /** Deletes jobs that nobody may ask for any more. */
-export function createLotSweeper(deps: LotSweeperDeps): { stop(): void; } {
+export function createBatchJobSweeper(deps: BatchJobSweeperDeps): { stop(): void; } {
     const { clock, logger } = deps;
     const stopped = new AbortController();
 
-    function findOld(): LotId | undefined {
+    function findExpired(): BatchJobId | undefined {
         const oldestMs = clock.wallMs() - slackFactor * deps.retentionMs;
         for (const [lot, entry] of deps.entries.objects() ?? []) {
             if (entry.submittedAtMs < oldestMs) {
-                return lot as LotId;
+                return lot as BatchJobId;
             }
         }
         return undefined;
     }
 
     async function sweepOnce(): Promise<void> {
-        const lot = deps.maySweep() ? findOld() : undefined;
+        const lot = deps.maySweep() ? findExpired() : undefined;
         if (lot === undefined) {
             return;
         }
         try {
-            await deps.lots.remove(lot);
+            await deps.store.remove(lot);
             logger.info("lotRemoved", { lot });
         }
         catch (error) {
--- a/packages/runner/src/jobs/createSeenGroups.ts
+++ b/packages/runner/src/jobs/createSeenGroups.ts
@@ -1,11 +1,11 @@
-import type { Lot } from "@auburnarch/lots/Lot";
-import type { LotId } from "@auburnarch/lots/LotId";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 
 /** Which job each group of prompts came with first. */
 interface SeenGroups {
-    note(lot: Lot): void;
+    record(batchJob: BatchJob): void;
     /** Whether the group came with an earlier job than this. */
-    comesAgain(lot: LotId, group: string): boolean;
+    isResubmitted(batchJobId: BatchJobId, group: string): boolean;
 }
 
 /** Far above the groups of the jobs of a minute; groups come again with one of the next jobs or never. */
@@ -13,18 +13,18 @@
 
 /** Makes the record of one process. A runner that has just taken a trainer over takes all its groups for new. */
 export function createSeenGroups(): SeenGroups {
-    const firstLots = new Map<string, LotId>();
+    const firstBatchJobs = new Map<string, BatchJobId>();
     return {
-        note: lot => {
-            for (const { group } of lot.items) {
-                if (group !== undefined && !firstLots.has(group)) {
-                    firstLots.set(group, lot.lot);
+        record: batchJob => {
+            for (const { group } of batchJob.items) {
+                if (group !== undefined && !firstBatchJobs.has(group)) {
+                    firstBatchJobs.set(group, batchJob.lot);
                 }
             }
-            while (firstLots.size > maxGroups) {
-                firstLots.delete(firstLots.keys().next().value!);
+            while (firstBatchJobs.size > maxGroups) {
+                firstBatchJobs.delete(firstBatchJobs.keys().next().value!);
             }
         },
-        comesAgain: (lot, group) => (firstLots.get(group) ?? lot) !== lot,
+        isResubmitted: (batchJobId, group) => (firstBatchJobs.get(group) ?? batchJobId) !== batchJobId,
     };
 }
--- a/packages/runner/src/jobs/orderOwners.ts
+++ b/packages/runner/src/jobs/orderOwners.ts
@@ -8,7 +8,7 @@
     holdsWeights: boolean;
 }
 
-const compareBackwards = (a: string, b: string): number => a > b ? -1 : Number(a < b);
+const compareDescending = (a: string, b: string): number => a > b ? -1 : Number(a < b);
 
 /**
  * Orders runners for the policies that are placed on them, one after the other: one of each failure domain before a
@@ -17,17 +17,17 @@
  * its death moves no trainer's jobs.
  */
 export function orderOwners(candidates: OwnerCandidate[]): string[] {
-    const seen = new Map<FailureDomain | undefined, number>();
+    const countByDomain = new Map<FailureDomain | undefined, number>();
     return [...candidates]
-        .sort((a, b) => Number(a.holdsWeights) - Number(b.holdsWeights) || compareBackwards(a.name, b.name))
+        .sort((a, b) => Number(a.holdsWeights) - Number(b.holdsWeights) || compareDescending(a.name, b.name))
         .map(({ name, failureDomain, holdsWeights }) => {
-            const round = seen.get(failureDomain) ?? 0;
-            seen.set(failureDomain, round + 1);
+            const round = countByDomain.get(failureDomain) ?? 0;
+            countByDomain.set(failureDomain, round + 1);
             return { name, holdsWeights, round };
         })
         .sort((a, b) =>
             Number(a.holdsWeights) - Number(b.holdsWeights) || a.round - b.round
-            || compareBackwards(a.name, b.name)
+            || compareDescending(a.name, b.name)
         )
         .map(({ name }) => name);
 }
--- a/packages/runner/src/jobs/givesWay.test.ts
+++ b/packages/runner/src/jobs/yieldsTo.test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { givesWay } from "./givesWay.js";
+import { yieldsTo } from "./yieldsTo.js";
 
 test("of runners that took a job together one goes on", () => {
     // Guards against: a step of 112 items had 594 sends and ended after 11.7 s, and the next one stood behind it.
@@ -8,13 +8,13 @@
         name: "lugo-1",
         runMs: 0,
     }];
-    const goOn = runs.filter(own => !runs.some(peer => peer !== own && givesWay(own, peer)));
-    expect(goOn.map(run => run.name)).toEqual(["burgos-1"]);
+    const continuing = runs.filter(own => !runs.some(peer => peer !== own && yieldsTo(own, peer)));
+    expect(continuing.map(run => run.name)).toEqual(["burgos-1"]);
 });
 
 test("one that has made much is not stopped for one that began later", () => {
-    expect(givesWay({ name: "lugo-1", runMs: 3_000 }, { name: "burgos-1", runMs: 900 })).toBe(false);
-    expect(givesWay({ name: "burgos-1", runMs: 900 }, { name: "lugo-1", runMs: 3_000 })).toBe(true);
+    expect(yieldsTo({ name: "lugo-1", runMs: 3_000 }, { name: "burgos-1", runMs: 900 })).toBe(false);
+    expect(yieldsTo({ name: "burgos-1", runMs: 900 }, { name: "lugo-1", runMs: 3_000 })).toBe(true);
 });
 
 test("two never give way to each other, however late each hears of the other", () => {
@@ -23,8 +23,8 @@
     fc.assert(fc.property(ms, ms, late, late, (firstMs, secondMs, firstLateMs, secondLateMs) => {
         const first = { name: "a", runMs: firstMs };
         const second = { name: "b", runMs: secondMs };
-        const isFirstGone = givesWay(first, { ...second, runMs: secondMs - secondLateMs });
-        const isSecondGone = givesWay(second, { ...first, runMs: firstMs - firstLateMs });
+        const isFirstGone = yieldsTo(first, { ...second, runMs: secondMs - secondLateMs });
+        const isSecondGone = yieldsTo(second, { ...first, runMs: firstMs - firstLateMs });
         return !(isFirstGone && isSecondGone);
     }));
 });
--- a/packages/runner/src/jobs/givesWay.ts
+++ b/packages/runner/src/jobs/yieldsTo.ts
@@ -1,11 +1,11 @@
 /** A run of a job, as its runner tells. */
-interface ToldRun {
+interface ReportedRun {
     name: string;
     runMs: number;
 }
 
 /** What a peer says of its run is up to a probe and its answer old. */
-const toldLateMs = 600;
+const maxReportAgeMs = 600;
 
 /**
  * Whether a runner leaves a job to a peer that runs it too. The one that has run it for clearly longer goes on, since it
@@ -13,7 +13,7 @@
  * its items take the places of every other several times over. Never do both give way: what a peer tells is never ahead
  * of what it does.
  */
-export function givesWay(own: ToldRun, peer: ToldRun): boolean {
+export function yieldsTo(own: ReportedRun, peer: ReportedRun): boolean {
     const leadMs = peer.runMs - own.runMs;
-    return leadMs > toldLateMs || leadMs >= -toldLateMs && peer.name < own.name;
+    return leadMs > maxReportAgeMs || leadMs >= -maxReportAgeMs && peer.name < own.name;
 }
--- a/packages/runner/src/peers/PeerBook.ts
+++ b/packages/runner/src/peers/PeerRegistry.ts
@@ -1,11 +1,11 @@
 import type { PeerView } from "./PeerView.js";
 
 /** The other runners. */
-export interface PeerBook {
+export interface PeerRegistry {
     /** False until each registered peer has answered a probe or failed to for long enough. */
     isSettled(): boolean;
     peers(): PeerView[];
     /** Probes all peers now, so that they learn of a change here and tell theirs. */
-    poke(): void;
+    probeNow(): void;
     stop(): void;
 }
--- a/packages/runner/src/peers/RunnerStatus.ts
+++ b/packages/runner/src/peers/RunnerStatus.ts
@@ -1,7 +1,7 @@
 import type { StartReport } from "@auburnarch/account/StartReport";
-import type { LotId } from "@auburnarch/lots/LotId";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
-import type { RunningLot } from "../jobs/RunningLot.js";
+import type { RunningBatchJob } from "../jobs/RunningBatchJob.js";
 
 /** What a runner tells its peers when they probe it. */
 export interface RunnerStatus {
@@ -9,9 +9,9 @@
     incarnation: string;
     failureDomain: FailureDomain;
     /** Jobs whose items it runs. */
-    running: RunningLot[];
+    running: RunningBatchJob[];
     /** Jobs that it ran lately and whose results it still has. */
-    keptLots: LotId[];
+    keptLots: BatchJobId[];
     /** Runs that it has out, by the incarnation of their sampler. */
     sent: Record<string, number>;
     /** It gives samplers their orders. */
--- a/packages/runner/src/peers/chooseFeeder.ts
+++ b/packages/runner/src/peers/chooseFeeder.ts
@@ -10,10 +10,10 @@
  */
 export function chooseFeeder(
     self: string,
-    isSelfAble: boolean,
+    isSelfEligible: boolean,
     peers: PeerView[],
     avoided: readonly string[] = [],
 ): string | undefined {
-    const able = peers.filter(mayFeed).map(peer => peer.name);
-    return [...able, ...isSelfAble ? [self] : []].filter(name => !avoided.includes(name)).sort()[0];
+    const eligible = peers.filter(mayFeed).map(peer => peer.name);
+    return [...eligible, ...isSelfEligible ? [self] : []].filter(name => !avoided.includes(name)).sort()[0];
 }
--- a/packages/runner/src/peers/sentByPeers.ts
+++ b/packages/runner/src/peers/countPeerRuns.ts
@@ -2,7 +2,7 @@
 import type { PeerView } from "./PeerView.js";
 
 /** Runs that living peers have out at a sampler, by their latest answers. */
-export function sentByPeers(sampler: IncarnationId, peers: PeerView[]): number {
+export function countPeerRuns(sampler: IncarnationId, peers: PeerView[]): number {
     return peers
         .filter(({ isAlive }) => isAlive)
         .reduce((sum, { status }) => sum + (status?.sent[sampler] ?? 0), 0);
--- a/packages/runner/src/peers/createPeerBook.test.ts
+++ b/packages/runner/src/peers/createPeerRegistry.test.ts
@@ -1,11 +1,11 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import type { RunnerAddress } from "@auburnarch/discovery/RunnerAddress";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
-import type { LotId } from "@auburnarch/lots/LotId";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { Logger } from "@auburnarch/types/Logger";
 import { expect, test } from "vitest";
-import { createPeerBook } from "./createPeerBook.js";
+import { createPeerRegistry } from "./createPeerRegistry.js";
 import type { RunnerStatus } from "./RunnerStatus.js";
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
@@ -21,13 +21,13 @@
     ...over,
 });
 
-function createFixture(names: string[], gone: string[] = []) {
+function createFixture(names: string[], unreachable: string[] = []) {
     const clock = createFakeClock();
     const objects = new Map<string, RunnerAddress>(
         names.map((name, index) => [name, { host: name, port: index }]),
     );
     const answers = new Map<string, RunnerStatus | undefined>(
-        names.map(name => [name, gone.includes(name) ? undefined : statusOf()]),
+        names.map(name => [name, unreachable.includes(name) ? undefined : statusOf()]),
     );
     let listener = (): void => {};
     let changes = 0;
@@ -40,7 +40,7 @@
         },
         stop: () => {},
     };
-    const book = createPeerBook({
+    const registry = createPeerRegistry({
         self: "r1",
         registered,
         probe: async ({ host }) => {
@@ -55,8 +55,17 @@
         clock,
         logger: silent,
     });
-    const alive = (): string => book.peers().filter(peer => peer.isAlive).map(peer => peer.name).join(" ");
-    return { clock, objects, answers, book, alive, changed: () => listener(), changes: () => changes };
+    const alive = (): string =>
+        registry.peers().filter(peer => peer.isAlive).map(peer => peer.name).join(" ");
+    return {
+        clock,
+        objects,
+        answers,
+        book: registry,
+        alive,
+        changed: () => listener(),
+        changes: () => changes,
+    };
 }
 
 test("a peer counts as dead after three probes without an answer, and lives again with the next one", async () => {
@@ -90,9 +99,9 @@
     answers.set("r2", statusOf({ sent: { s: 3 } }));
     await clock.advance(500);
     expect(changes()).toBe(before);
-    answers.set("r2", statusOf({ running: [{ lot: "a" as LotId, runMs: 5 }] }));
+    answers.set("r2", statusOf({ running: [{ lot: "a" as BatchJobId, runMs: 5 }] }));
     await clock.advance(500);
-    answers.set("r2", statusOf({ running: [{ lot: "a" as LotId, runMs: 505 }], isLeaving: true }));
+    answers.set("r2", statusOf({ running: [{ lot: "a" as BatchJobId, runMs: 505 }], isLeaving: true }));
     await clock.advance(500);
     expect(changes()).toBe(before + 2);
 });
--- a/packages/runner/src/peers/createPeerBook.ts
+++ b/packages/runner/src/peers/createPeerRegistry.ts
@@ -2,11 +2,11 @@
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { PeerBook } from "./PeerBook.js";
+import type { PeerRegistry } from "./PeerRegistry.js";
 import type { PeerView } from "./PeerView.js";
 import type { RunnerStatus } from "./RunnerStatus.js";
 
-interface PeerBookDeps {
+interface PeerRegistryDeps {
     /** Own name, which is left out. */
     self: string;
     registered: WatchedKind<RunnerAddress>;
@@ -20,7 +20,7 @@
 
 interface Peer extends Omit<PeerView, "heardMs"> {
     address: RunnerAddress;
-    heardAtMs: number;
+    answeredAtMs: number;
     isProbing: boolean;
 }
 
@@ -33,46 +33,46 @@
  * A registered peer that has not answered since this process started is taken to be gone after two probes: jobs wait
  * until each peer has answered or is given up, and a VM that was removed leaves its registration behind.
  */
-const unheardMs = 600;
+const firstAnswerTimeoutMs = 600;
 /** A stopped process hears nobody; after a gap like this between two of its own rounds it trusts no silence. */
-const ownGapMs = 1_000;
+const maxRoundGapMs = 1_000;
 
-const lotsOf = (status: RunnerStatus | undefined): string =>
+const runningIdsOf = (status: RunnerStatus | undefined): string =>
     (status?.running ?? []).map(each => each.lot).join(" ");
 
 /** Keeps a view of the other runners by probing each. */
-export function createPeerBook(deps: PeerBookDeps): PeerBook {
+export function createPeerRegistry(deps: PeerRegistryDeps): PeerRegistry {
     const { clock, logger } = deps;
-    const book = new Map<string, Peer>();
+    const registry = new Map<string, Peer>();
     const stopped = new AbortController();
     let lastRoundMs = clock.monotonicMs();
 
-    function follow(): void {
+    function syncRegistered(): void {
         const registered = deps.registered.objects() ?? new Map<string, RunnerAddress>();
         for (const [name, address] of registered) {
-            const known = book.get(name);
+            const known = registry.get(name);
             const isSame = known?.address.host === address.host && known.address.port === address.port;
             if (name !== deps.self && !isSame) {
                 const nowMs = clock.monotonicMs();
-                const fresh = { heardAtMs: nowMs, isProbing: false };
-                book.set(name, { name, address, isAlive: true, status: undefined, ...fresh });
+                const fresh = { answeredAtMs: nowMs, isProbing: false };
+                registry.set(name, { name, address, isAlive: true, status: undefined, ...fresh });
             }
         }
-        for (const name of book.keys()) {
+        for (const name of registry.keys()) {
             if (!registered.has(name)) {
-                book.delete(name);
+                registry.delete(name);
             }
         }
     }
 
-    function noteAnswer(peer: Peer, status: RunnerStatus): void {
+    function recordAnswer(peer: Peer, status: RunnerStatus): void {
         const before = peer.status;
-        peer.heardAtMs = clock.monotonicMs();
+        peer.answeredAtMs = clock.monotonicMs();
         peer.status = status;
         if (!peer.isAlive) {
             logger.info("runnerBack", { runner: peer.name, incarnation: status.incarnation });
         }
-        const isChanged = !peer.isAlive || lotsOf(before) !== lotsOf(status)
+        const isChanged = !peer.isAlive || runningIdsOf(before) !== runningIdsOf(status)
             || before?.isLeaving !== status.isLeaving
             || before?.incarnation !== status.incarnation;
         peer.isAlive = true;
@@ -81,10 +81,10 @@
         }
     }
 
-    function noteSilence(peer: Peer): void {
-        const silentMs = clock.monotonicMs() - peer.heardAtMs;
-        const patienceMs = peer.status === undefined ? unheardMs : deadAfterMs;
-        if (peer.isAlive && silentMs > patienceMs) {
+    function recordSilence(peer: Peer): void {
+        const silentMs = clock.monotonicMs() - peer.answeredAtMs;
+        const timeoutMs = peer.status === undefined ? firstAnswerTimeoutMs : deadAfterMs;
+        if (peer.isAlive && silentMs > timeoutMs) {
             peer.isAlive = false;
             logger.warn("runnerDead", {
                 runner: peer.name,
@@ -101,25 +101,25 @@
         }
         peer.isProbing = true;
         try {
-            noteAnswer(peer, await deps.probe(peer.address, probeTimeoutMs));
+            recordAnswer(peer, await deps.probe(peer.address, probeTimeoutMs));
         }
         catch {
             // Silence is judged by its length, not by a single failure.
-            noteSilence(peer);
+            recordSilence(peer);
         }
         peer.isProbing = false;
     }
 
     function round(): void {
         const nowMs = clock.monotonicMs();
-        if (nowMs - lastRoundMs > ownGapMs) {
+        if (nowMs - lastRoundMs > maxRoundGapMs) {
             logger.warn("ownPauseNoticed", { pausedMs: Math.round(nowMs - lastRoundMs) });
-            book.forEach(peer => {
-                peer.heardAtMs = Math.max(peer.heardAtMs, nowMs - probeIntervalMs);
+            registry.forEach(peer => {
+                peer.answeredAtMs = Math.max(peer.answeredAtMs, nowMs - probeIntervalMs);
             });
         }
         lastRoundMs = nowMs;
-        book.forEach(peer => void probe(peer));
+        registry.forEach(peer => void probe(peer));
     }
 
     async function run(): Promise<void> {
@@ -129,26 +129,26 @@
         }
     }
 
-    follow();
+    syncRegistered();
     deps.registered.onChange(() => {
-        follow();
+        syncRegistered();
         round();
     });
     void run();
     return {
         isSettled: () =>
             deps.registered.objects() !== undefined
-            && [...book.values()].every(peer => peer.status !== undefined || !peer.isAlive),
+            && [...registry.values()].every(peer => peer.status !== undefined || !peer.isAlive),
         peers: () => {
             const nowMs = clock.monotonicMs();
-            return [...book.values()].map(({ name, isAlive, status, heardAtMs }) => ({
+            return [...registry.values()].map(({ name, isAlive, status, answeredAtMs: heardAtMs }) => ({
                 name,
                 isAlive,
                 status,
                 heardMs: nowMs - heardAtMs,
             }));
         },
-        poke: round,
+        probeNow: round,
         stop: () => stopped.abort(),
     };
 }
--- a/packages/runner/src/peers/createStoreCheck.ts
+++ b/packages/runner/src/peers/createStoreProbe.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
-interface StoreCheckDeps {
+interface StoreProbeDeps {
     /** A call that tells whether the store answers. */
-    ask: () => Promise<unknown>;
+    probe: () => Promise<unknown>;
     /** Milliseconds since the store last answered this process. */
     storeHeardMs: () => number;
     clock: Clock;
@@ -10,18 +10,18 @@
 
 const intervalMs = 400;
 /** Half the age from which an answer says nothing of the store any more. */
-const heardLimitMs = 300;
+const maxAnswerAgeMs = 300;
 
 /**
  * Makes the check. Without it a runner that has not called lately would take over from peers that know of an outage
  * already.
  */
-export function createStoreCheck({ ask, storeHeardMs, clock }: StoreCheckDeps): () => void {
-    let checkedAtMs = -Infinity;
+export function createStoreProbe({ probe: ask, storeHeardMs, clock }: StoreProbeDeps): () => void {
+    let probedAtMs = -Infinity;
     return () => {
         const nowMs = clock.monotonicMs();
-        if (nowMs - checkedAtMs > intervalMs && storeHeardMs() > heardLimitMs) {
-            checkedAtMs = nowMs;
+        if (nowMs - probedAtMs > intervalMs && storeHeardMs() > maxAnswerAgeMs) {
+            probedAtMs = nowMs;
             ask().catch(() => {
                 // Counted where calls are counted; silence is the answer.
             });
--- a/packages/runner/src/peers/createTimedProbe.ts
+++ b/packages/runner/src/peers/createTimedProbe.ts
@@ -1,4 +1,4 @@
-import type { StartBook } from "@auburnarch/account/StartBook";
+import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
 import type { TrueTimeEstimate } from "@auburnarch/clock/TrueTimeEstimate";
 import type { RunnerAddress } from "@auburnarch/discovery/RunnerAddress";
 import type { Clock } from "@auburnarch/types/Clock";
@@ -9,7 +9,7 @@
     probe: (address: RunnerAddress, timeoutMs: number, query: StatusQuery) => Promise<RunnerStatus>;
     /** Asked at each probe: only the holder of the duties needs the counts. */
     wantsStarts: () => boolean;
-    starts: Pick<StartBook, "learn"> | undefined;
+    starts: Pick<StartCountRegistry, "learn"> | undefined;
     trueTime: Pick<TrueTimeEstimate, "learn">;
     clock: Clock;
 }
--- a/packages/runner/src/peers/isStoreOutage.test.ts
+++ b/packages/runner/src/peers/isStoreOutage.test.ts
@@ -2,18 +2,18 @@
 import { createPeerView } from "../testing/createPeerView.js";
 import { isStoreOutage } from "./isStoreOutage.js";
 
-const served = createPeerView("r2");
-const turnedAway = createPeerView("r3", { storeSilentMs: 700 });
+const withStore = createPeerView("r2");
+const withoutStore = createPeerView("r3", { storeSilentMs: 700 });
 const dead = createPeerView("r4", { storeSilentMs: 700 }, false);
-const unheard = { ...served, status: undefined };
+const unanswered = { ...withStore, status: undefined };
 
 test("a runner does not take its own loss of the store for an outage", () => {
     const judged = [
-        ["its calls succeed", isStoreOutage(0, [turnedAway])],
-        ["a peer has the store", isStoreOutage(500, [served, turnedAway])],
+        ["its calls succeed", isStoreOutage(0, [withoutStore])],
+        ["a peer has the store", isStoreOutage(500, [withStore, withoutStore])],
         ["all peers are dead here", isStoreOutage(500, [dead])],
-        ["no peer was heard yet", isStoreOutage(500, [unheard])],
-        ["each peer heard has lost it too", isStoreOutage(500, [turnedAway, dead, unheard])],
+        ["no peer was heard yet", isStoreOutage(500, [unanswered])],
+        ["each peer heard has lost it too", isStoreOutage(500, [withoutStore, dead, unanswered])],
         ["there are no peers", isStoreOutage(500, [])],
     ];
     expect(judged).toMatchInlineSnapshot(`
--- a/packages/runner/src/peers/isStoreOutage.ts
+++ b/packages/runner/src/peers/isStoreOutage.ts
@@ -5,7 +5,7 @@
  * that are silent say nothing; a runner without registered peers has only its own calls to go by.
  */
 export function isStoreOutage(ownSilentMs: number, peers: PeerView[]): boolean {
-    const heard = peers.filter(({ isAlive, status }) => isAlive && status !== undefined);
-    const isHeard = heard.length > 0 || peers.length === 0;
-    return ownSilentMs > 0 && isHeard && heard.every(({ status }) => status!.storeSilentMs > 0);
+    const responding = peers.filter(({ isAlive, status }) => isAlive && status !== undefined);
+    const hasEvidence = responding.length > 0 || peers.length === 0;
+    return ownSilentMs > 0 && hasEvidence && responding.every(({ status }) => status!.storeSilentMs > 0);
 }
--- a/packages/runner/src/results/Recorder.ts
+++ b/packages/runner/src/results/Recorder.ts
@@ -1,4 +1,4 @@
-import type { LotResult } from "@auburnarch/lots/LotResult";
+import type { ItemResult } from "@auburnarch/lots/ItemResult";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { GroupNeed } from "./GroupNeed.js";
 
@@ -7,12 +7,12 @@
     /** Reads what is recorded already. Rejects as the store does; may be called again. */
     load(): Promise<void>;
     /** Tells what the trainer waits for, and when the step is due by the steady clock. */
-    expect(need: GroupNeed, dueAtMs: number): void;
-    add(result: LotResult): void;
+    setNeed(need: GroupNeed, dueAtMs: number): void;
+    add(result: ItemResult): void;
     isRecorded(item: SampleId): boolean;
     recorded(): number;
     /** Records what waits now, without gathering further results. */
-    hurry(): void;
+    flush(): void;
     /** Resolves once nothing waits any more, or the recorder is stopped. */
     drained(): Promise<void>;
     stop(): void;
--- a/packages/runner/src/results/ResultBook.ts
+++ b/packages/runner/src/results/ResultCache.ts
@@ -1,24 +1,24 @@
-import type { LotId } from "@auburnarch/lots/LotId";
-import type { LotOwner } from "@auburnarch/lots/LotOwner";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobSummary } from "@auburnarch/lots/BatchJobSummary";
 import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
 import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
 
 /** Results of the jobs that run or ran here, for gateways that ask. */
-export interface ResultBook {
+export interface ResultCache {
     /** A run of the job starts here; what stands in the store is not known yet. */
-    open(lot: LotId, owner: LotOwner): void;
-    note(lot: LotId, number: number, chunk: ResultChunk): void;
+    open(batchJobId: BatchJobId, summary: BatchJobSummary): void;
+    note(batchJobId: BatchJobId, number: number, chunk: ResultChunk): void;
     /** All chunks that stood in the store when the run started have been noted. */
-    markLoaded(lot: LotId): void;
+    markLoaded(batchJobId: BatchJobId): void;
     /** The job runs here no more. */
-    close(lot: LotId): void;
+    close(batchJobId: BatchJobId): void;
     /**
      * Notes that other runners have, or may have had, jobs that run here too. What they recorded is not known here, also
      * once they are done with them.
      */
-    noteRivals(isRivalled: (lot: LotId) => boolean): void;
+    markContested(isContested: (batchJobId: BatchJobId) => boolean): void;
     /** The newest of the jobs that run here no more but whose results are held. */
-    kept(): LotId[];
+    listCached(): BatchJobId[];
     /** Chunks from `fromChunk` on, waiting up to `waitMs` for the first of them. */
-    answer(lot: LotId, fromChunk: number, waitMs: number): Promise<ResultsAnswer>;
+    answer(batchJobId: BatchJobId, fromChunk: number, waitMs: number): Promise<ResultsAnswer>;
 }
--- a/packages/runner/src/results/BookPage.ts
+++ b/packages/runner/src/results/ResultCacheEntry.ts
@@ -1,8 +1,8 @@
-import type { LotOwner } from "@auburnarch/lots/LotOwner";
+import type { BatchJobSummary } from "@auburnarch/lots/BatchJobSummary";
 import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
 
 /** Results of one job, as far as they are known here. */
-export interface BookPage extends LotOwner {
+export interface ResultCacheEntry extends BatchJobSummary {
     chunks: ResultChunk[];
     results: number;
     isLoaded: boolean;
--- a/packages/runner/src/results/charsOf.ts
+++ b/packages/runner/src/results/countChars.ts
@@ -1,7 +1,7 @@
 import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
 
 /** Characters of the texts in some chunks. */
-export const charsOf = (chunks: ResultChunk[]): number =>
+export const countChars = (chunks: ResultChunk[]): number =>
     chunks.reduce(
         (sum, chunk) => sum + chunk.results.reduce((inner, { output }) => inner + output.length, 0),
         0,
--- a/packages/runner/src/results/createGathering.ts
+++ b/packages/runner/src/results/createBatchingWindow.ts
@@ -1,26 +1,26 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
 /** The time in which results gather before they are recorded together. */
-interface Gathering {
+interface BatchingWindow {
     /** Resolves once the pause since the call is over, as it stands then. */
     wait(): Promise<void>;
     /** Looks at the pause again: a result has come that may leave nothing to wait for. */
-    look(): void;
+    recheck(): void;
     /** Nothing gathers any more. */
-    end(): void;
+    close(): void;
 }
 
 /** Timers are no finer; a rest below it would be waited for again and again. */
-const timerStepMs = 1;
+const timerResolutionMs = 1;
 
 /** Makes the gathering; `pauseMs` is how long results wait for others in all, of which they have waited `waitedMs`. */
-export function createGathering(clock: Clock, pauseMs: (waitedMs: number) => number): Gathering {
-    let isEnded = false;
-    let news = new AbortController();
+export function createBatchingWindow(clock: Clock, pauseMs: (waitedMs: number) => number): BatchingWindow {
+    let isClosed = false;
+    let change = new AbortController();
 
-    function look(): void {
-        news.abort();
-        news = new AbortController();
+    function recheck(): void {
+        change.abort();
+        change = new AbortController();
     }
 
     return {
@@ -28,17 +28,17 @@
             const sinceMs = clock.monotonicMs();
             for (;;) {
                 const waitedMs = clock.monotonicMs() - sinceMs;
-                const leftMs = pauseMs(waitedMs) - waitedMs;
-                if (leftMs < timerStepMs || isEnded) {
+                const remainingMs = pauseMs(waitedMs) - waitedMs;
+                if (remainingMs < timerResolutionMs || isClosed) {
                     return;
                 }
-                await clock.sleep(leftMs, news.signal);
+                await clock.sleep(remainingMs, change.signal);
             }
         },
-        look,
-        end: () => {
-            isEnded = true;
-            look();
+        recheck,
+        close: () => {
+            isClosed = true;
+            recheck();
         },
     };
 }
--- a/packages/runner/src/results/createRivals.ts
+++ b/packages/runner/src/results/createContestedBatchJobs.ts
@@ -1,11 +1,11 @@
-import type { LotId } from "@auburnarch/lots/LotId";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { PeerView } from "../peers/PeerView.js";
 
 /**
  * Makes the view of which jobs other runners have too, or may have had: a peer that has started anew since the last look
  * says nothing of what it ran before.
  */
-export function createRivals(): (peers: PeerView[]) => (lot: LotId) => boolean {
+export function createContestedBatchJobs(): (peers: PeerView[]) => (batchJobId: BatchJobId) => boolean {
     const incarnations = new Map<string, string>();
     return peers => {
         const running = new Set(peers.flatMap(({ status }) => status?.running.map(each => each.lot) ?? []));
--- a/packages/runner/src/results/createGroupNeed.ts
+++ b/packages/runner/src/results/createGroupNeed.ts
@@ -1,4 +1,4 @@
-import type { Lot } from "@auburnarch/lots/Lot";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { GroupNeed } from "./GroupNeed.js";
 
@@ -6,19 +6,19 @@
  * Counts the whole groups of a job against those that its trainer waits for: a number of groups, whichever they are,
  * and each that came again from an earlier job. `comesAgain` tells these. A job that names no number is needed whole.
  */
-export function createGroupNeed(lot: Lot, comesAgain: (group: string) => boolean): GroupNeed {
+export function createGroupNeed(batchJob: BatchJob, isResubmitted: (group: string) => boolean): GroupNeed {
     const open = new Map<string, Set<SampleId>>();
     const groupOf = new Map<SampleId, string>();
-    for (const { item, group = item } of lot.items) {
+    for (const { item, group = item } of batchJob.items) {
         open.set(group, (open.get(group) ?? new Set()).add(item));
         groupOf.set(item, group);
     }
     const groups = open.size;
-    const needed = Math.min(lot.neededGroups ?? groups, groups);
-    const awaited = new Set([...open.keys()].filter(comesAgain));
+    const needed = Math.min(batchJob.neededGroups ?? groups, groups);
+    const awaited = new Set([...open.keys()].filter(isResubmitted));
 
     return {
-        note: item => {
+        markFinished: item => {
             const group = groupOf.get(item);
             const left = group === undefined ? undefined : open.get(group);
             left?.delete(item);
--- a/packages/runner/src/results/createRecorder.test.ts
+++ b/packages/runner/src/results/createRecorder.test.ts
@@ -3,18 +3,18 @@
 import { createFakeObjectStore } from "@auburnarch/fakes/createFakeObjectStore";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createLogger } from "@auburnarch/log/createLogger";
-import { createLotStore } from "@auburnarch/lots/createLotStore";
-import type { Lot } from "@auburnarch/lots/Lot";
-import type { LotId } from "@auburnarch/lots/LotId";
-import type { LotResult } from "@auburnarch/lots/LotResult";
+import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import { createBatchJobStore } from "@auburnarch/lots/createBatchJobStore";
+import type { ItemResult } from "@auburnarch/lots/ItemResult";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import { expect, test } from "vitest";
 import { createGroupNeed } from "./createGroupNeed.js";
 import { createRecorder } from "./createRecorder.js";
 import type { GroupNeed } from "./GroupNeed.js";
 
-const lot = "lot-1" as LotId;
-const result = (item: string): LotResult => ({
+const batchJobId = "lot-1" as BatchJobId;
+const result = (item: string): ItemResult => ({
     item: item as SampleId,
     state: "completed",
     output: `text of ${item}`,
@@ -26,7 +26,7 @@
     const clock = createFakeClock();
     const random = createRandom(5);
     const { store, control } = createFakeObjectStore({ clock, random, latencyMs });
-    const lots = createLotStore(store);
+    const batchJobStore = createBatchJobStore(store);
     const logger = createLogger(clock, () => {});
     const invariants = createInvariants(logger, code => {
         throw new Error(code.name);
@@ -34,8 +34,8 @@
     const records: { atMs: number; items: number; }[] = [];
     const start = () =>
         createRecorder({
-            lot,
-            lots,
+            batchJobId,
+            batchJobStore,
             total,
             onRecorded: () => {},
             onChunk: (_number, { from, results }) =>
@@ -48,7 +48,7 @@
     const readItems = async (): Promise<string[]> => {
         const items: string[] = [];
         for (let number = 0;; number++) {
-            const reading = lots.readChunk(lot, number);
+            const reading = batchJobStore.readChunk(batchJobId, number);
             await clock.advance(200);
             const chunk = await reading;
             if (chunk === undefined) {
@@ -110,15 +110,15 @@
     const wholeAt = new Map<string, number>();
     items.forEach(({ group, endsAtMs }) => wholeAt.set(group, Math.max(endsAtMs, wholeAt.get(group) ?? 0)));
     const neededAtMs = [...wholeAt.values()].sort((a, b) => a - b)[7]!;
-    return { items, neededAtMs, source: { lot, neededGroups: 8, items } as unknown as Lot };
+    return { items, neededAtMs, source: { lot: batchJobId, neededGroups: 8, items } as unknown as BatchJob };
 }
 
-async function playStep(isNeedKnown: boolean) {
+async function simulateStep(isNeedKnown: boolean) {
     const { items, neededAtMs, source } = createStep();
     const { clock, start, records } = createFixture(4, items.length);
     const recorder = start();
     if (isNeedKnown) {
-        recorder.expect(createGroupNeed(source, () => false), 7_500);
+        recorder.setNeed(createGroupNeed(source, () => false), 7_500);
     }
     items.forEach(({ item, endsAtMs }) => clock.startTimer(endsAtMs, () => recorder.add(result(item))));
     await clock.advance(7_000);
@@ -134,7 +134,7 @@
 
 test("a step is recorded in few records, and what completes the trainer's need at once", async () => {
     // Before: 16 records of a step. Now: 6, of which the one that the trainer waits for leaves as its last item ends.
-    const [before, after] = [await playStep(false), await playStep(true)];
+    const [before, after] = [await simulateStep(false), await simulateStep(true)];
     expect({ before, after }).toMatchInlineSnapshot(`
       {
         "after": {
@@ -154,9 +154,9 @@
 test("groups that came again are waited for beside the number, and a job without a number whole", () => {
     const items = ["a", "b", "c"].map(name => ({ item: name as SampleId, group: name }));
     const needOf = (neededGroups: number | undefined, again: string) =>
-        createGroupNeed({ neededGroups, items } as unknown as Lot, group => group === again);
+        createGroupNeed({ neededGroups, items } as unknown as BatchJob, group => group === again);
     const metAfter = (need: GroupNeed, ...made: string[]): boolean => {
-        made.forEach(item => need.note(item as SampleId));
+        made.forEach(item => need.markFinished(item as SampleId));
         return need.isMet();
     };
     expect([
@@ -173,7 +173,7 @@
     const { source } = createStep();
     const { clock, start, records } = createFixture(4, 72);
     const recorder = start();
-    recorder.expect(createGroupNeed(source, () => false), 7_500);
+    recorder.setNeed(createGroupNeed(source, () => false), 7_500);
     await clock.advance(7_000);
     recorder.add(result("i0"));
     await clock.advance(300);
--- a/packages/runner/src/results/createRecorder.ts
+++ b/packages/runner/src/results/createRecorder.ts
@@ -1,22 +1,22 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { Invariants } from "@auburnarch/invariants/Invariants";
-import type { LotId } from "@auburnarch/lots/LotId";
-import type { LotResult } from "@auburnarch/lots/LotResult";
-import type { LotStore } from "@auburnarch/lots/LotStore";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
+import type { ItemResult } from "@auburnarch/lots/ItemResult";
 import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { Random } from "@auburnarch/types/Random";
 import type { SampleId } from "@auburnarch/types/SampleId";
-import { createGathering } from "./createGathering.js";
+import { createBatchingWindow } from "./createBatchingWindow.js";
 import type { GroupNeed } from "./GroupNeed.js";
 import type { Recorder } from "./Recorder.js";
 import { recordPauseMs } from "./recordPauseMs.js";
 
 interface RecorderDeps {
-    lot: LotId;
-    lots: LotStore;
+    batchJobId: BatchJobId;
+    batchJobStore: BatchJobStore;
     /** Items of the job. */
     total: number;
     /** Called for each item that stands in the store now, whoever made it. */
@@ -38,63 +38,67 @@
  * created first is taken over as it is: so two runners of one job list no item twice and no position changes.
  */
 export function createRecorder(deps: RecorderDeps): Recorder {
-    const { lot, lots, clock, logger } = deps;
-    const done = new Set<SampleId>();
+    const { batchJobId: lot, batchJobStore: lots, clock, logger } = deps;
+    const recordedItems = new Set<SampleId>();
     const stopped = new AbortController();
-    const gathering = createGathering(clock, pauseMs);
+    const batchingWindow = createBatchingWindow(clock, pauseMs);
     let need: GroupNeed | undefined;
     let isNeedRecorded = false;
     let dueAtMs = Infinity;
-    let waiting: LotResult[] = [];
+    let waiting: ItemResult[] = [];
     let chunks = 0;
     let loop: Promise<void> | undefined;
 
-    function take(chunk: ResultChunk): void {
-        const isNext = chunk.from === done.size;
+    function applyChunk(chunk: ResultChunk): void {
+        const isNext = chunk.from === recordedItems.size;
         deps.invariants.check(resultCodes.deliveredTwice, isNext, { lot, chunk: chunks, from: chunk.from });
         for (const { item } of chunk.results) {
-            const isFirst = !done.has(item);
+            const isFirst = !recordedItems.has(item);
             deps.invariants.check(resultCodes.deliveredTwice, isFirst, { lot, item });
-            done.add(item);
-            need?.note(item);
+            recordedItems.add(item);
+            need?.markFinished(item);
             deps.onRecorded(item);
         }
-        isNeedRecorded ||= need?.isMet() === true && !waiting.some(result => !done.has(result.item));
+        isNeedRecorded ||= need?.isMet() === true && !waiting.some(result => !recordedItems.has(result.item));
         deps.onChunk(chunks, chunk);
         chunks++;
-        waiting = waiting.filter(result => !done.has(result.item));
+        waiting = waiting.filter(result => !recordedItems.has(result.item));
     }
 
     /**
      * A copy: results that come while the record is on its way belong to the next one. Taken for recorded with this
      * one, they would stand nowhere, and their groups would never be whole.
      */
-    function takeFirst(): LotResult[] {
+    function selectNextResults(): ItemResult[] {
         let chars = 0;
-        const first = waiting.findIndex(result => (chars += result.output.length) > maxChunkChars);
-        return first < 0 ? [...waiting] : waiting.slice(0, Math.max(1, first));
+        const end = waiting.findIndex(result => (chars += result.output.length) > maxChunkChars);
+        return end < 0 ? [...waiting] : waiting.slice(0, Math.max(1, end));
     }
 
     async function recordOnce(): Promise<void> {
         const sentAtMs = clock.monotonicMs();
-        const mine: ResultChunk = { from: done.size, results: takeFirst(), writer: deps.random.nextId() };
-        const standing = await lots.appendChunk(lot, chunks, mine);
-        const isOwn = standing.writer === mine.writer;
+        const own: ResultChunk = {
+            from: recordedItems.size,
+            results: selectNextResults(),
+            writer: deps.random.nextId(),
+        };
+        const stored = await lots.appendChunk(lot, chunks, own);
+        const isOwn = stored.writer === own.writer;
         logger.info("resultsRecorded", {
             lot,
             chunk: chunks,
             own: isOwn,
-            results: standing.results.length,
-            recorded: done.size + standing.results.length,
+            results: stored.results.length,
+            recorded: recordedItems.size + stored.results.length,
             tookMs: Math.round(clock.monotonicMs() - sentAtMs),
         });
-        take(standing);
+        applyChunk(stored);
     }
 
     function pauseMs(waitedMs: number): number {
         return recordPauseMs({
             total: deps.total,
-            made: done.size + waiting.length,
+            made: recordedItems.size + waiting.length,
             isNeedMet: need?.isMet(),
             isNeedRecorded,
             untilDueMs: dueAtMs - clock.monotonicMs(),
@@ -104,7 +108,7 @@
 
     async function run(): Promise<void> {
         while (waiting.length > 0 && !stopped.signal.aborted) {
-            await gathering.wait();
+            await batchingWindow.wait();
             try {
                 if (waiting.length > 0 && !stopped.signal.aborted) {
                     await recordOnce();
@@ -138,25 +142,25 @@
                 if (chunk === undefined) {
                     return;
                 }
-                take(chunk);
+                applyChunk(chunk);
             }
         },
-        expect: (expected, atMs) => {
+        setNeed: (expected, atMs) => {
             need = expected;
             dueAtMs = atMs;
         },
         add: result => {
-            if (!done.has(result.item) && !waiting.some(each => each.item === result.item)) {
+            if (!recordedItems.has(result.item) && !waiting.some(each => each.item === result.item)) {
                 waiting.push(result);
-                need?.note(result.item);
-                gathering.look();
+                need?.markFinished(result.item);
+                batchingWindow.recheck();
                 start();
             }
         },
-        isRecorded: item => done.has(item),
-        recorded: () => done.size,
-        hurry: () => {
-            gathering.end();
+        isRecorded: item => recordedItems.has(item),
+        recorded: () => recordedItems.size,
+        flush: () => {
+            batchingWindow.close();
         },
         drained: async () => {
             while (loop !== undefined) {
@@ -165,7 +169,7 @@
         },
         stop: () => {
             stopped.abort();
-            gathering.end();
+            batchingWindow.close();
         },
     };
 }
--- a/packages/runner/src/results/createResultBook.test.ts
+++ b/packages/runner/src/results/createResultCache.test.ts
@@ -1,25 +1,25 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import type { LotId } from "@auburnarch/lots/LotId";
-import type { LotOwner } from "@auburnarch/lots/LotOwner";
-import type { LotResult } from "@auburnarch/lots/LotResult";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobSummary } from "@auburnarch/lots/BatchJobSummary";
+import type { ItemResult } from "@auburnarch/lots/ItemResult";
 import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
 import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
 import { expect, test } from "vitest";
 import type { PeerView } from "../peers/PeerView.js";
 import type { RunnerStatus } from "../peers/RunnerStatus.js";
 import { createPeerView } from "../testing/createPeerView.js";
-import { createResultBook } from "./createResultBook.js";
-import { createRivals } from "./createRivals.js";
+import { createContestedBatchJobs } from "./createContestedBatchJobs.js";
+import { createResultCache } from "./createResultCache.js";
 import { isSoleWriter } from "./isSoleWriter.js";
 
-const lot = "lot-1" as LotId;
+const batchJobId = "lot-1" as BatchJobId;
 const chunkOf = (from: number, ...items: string[]): ResultChunk => ({
     from,
     writer: "w",
     results: items.map(item =>
-        ({ item, state: "completed", output: item, versions: [], score: "s" }) as unknown as LotResult
+        ({ item, state: "completed", output: item, versions: [], score: "s" }) as unknown as ItemResult
     ),
 });
 
@@ -29,38 +29,38 @@
         isSoleWriter: true,
         holder: undefined as string | undefined,
         stored: [] as ResultChunk[],
-        isAway: false,
-        endedEntry: undefined as LotOwner | undefined,
+        isStoreDown: false,
+        endedEntry: undefined as BatchJobSummary | undefined,
         reader: undefined as string | undefined,
         reads: 0,
     };
-    const book = createResultBook({
-        lots: {
+    const resultCache = createResultCache({
+        store: {
             readChunk: async (_lot, number) => {
                 state.reads++;
-                if (state.isAway) {
+                if (state.isStoreDown) {
                     throw new ResultError(resultCodes.storeUnavailable, "away");
                 }
                 return state.stored[number];
             },
         },
         isSoleWriter: () => state.isSoleWriter,
-        holderOf: () => state.holder,
-        endedEntry: () => state.endedEntry,
-        readerOf: () => state.reader,
+        findHolder: () => state.holder,
+        findEndedEntry: () => state.endedEntry,
+        chooseReader: () => state.reader,
         clock,
     });
     const append = (...items: string[]): void => {
         const chunk = chunkOf(state.stored.reduce((sum, each) => sum + each.results.length, 0), ...items);
         state.stored.push(chunk);
-        book.note(lot, state.stored.length - 1, chunk);
+        resultCache.note(batchJobId, state.stored.length - 1, chunk);
     };
-    const ask = async (fromChunk: number, waitMs = 0): Promise<string> => {
-        const asked = book.answer(lot, fromChunk, waitMs);
+    const query = async (fromChunk: number, waitMs = 0): Promise<string> => {
+        const asked = resultCache.answer(batchJobId, fromChunk, waitMs);
         await clock.advance(waitMs);
         return show(await asked);
     };
-    return { clock, state, book, append, ask };
+    return { clock, state, book: resultCache, append, ask: query };
 }
 
 function show(answer: ResultsAnswer): string {
@@ -74,24 +74,24 @@
 test("chunks are told from memory as they come, and the end of a job after its run", async () => {
     const { clock, state, book, append, ask } = createFixture();
     expect(await ask(0)).toBe('{"kind":"unsure"}');
-    book.open(lot, { total: 3, team: undefined });
+    book.open(batchJobId, { total: 3, team: undefined });
     expect(await ask(0)).toBe('{"kind":"unsure"}');
-    book.markLoaded(lot);
+    book.markLoaded(batchJobId);
     append("a");
     expect([await ask(0), await ask(1)]).toEqual(["a/3", "/3"]);
-    const waiting = book.answer(lot, 1, 1_000);
+    const waiting = book.answer(batchJobId, 1, 1_000);
     await clock.advance(300);
     append("b", "c");
     expect(show(await waiting)).toBe("b+c/3");
-    book.close(lot);
+    book.close(batchJobId);
     expect([await ask(0), await ask(2, 1_000), state.reads]).toEqual(["a,b+c/3", "/3", 0]);
 });
 
 test("a runner that another may have replaced asks the store before it says that there is nothing more", async () => {
     // Guards against: a position that one gateway had shown was missing at another.
     const { clock, state, book, append, ask } = createFixture();
-    book.open(lot, { total: 9, team: undefined });
-    book.markLoaded(lot);
+    book.open(batchJobId, { total: 9, team: undefined });
+    book.markLoaded(batchJobId);
     append("a");
     state.isSoleWriter = false;
     state.stored.push(chunkOf(1, "b"));
@@ -99,7 +99,7 @@
     expect([await ask(2), await ask(2), state.reads]).toEqual(["/9", "/9", 2]);
     await clock.advance(750);
     expect([await ask(2), state.reads]).toEqual(["/9", 3]);
-    state.isAway = true;
+    state.isStoreDown = true;
     await clock.advance(750);
     expect(await ask(2)).toBe('{"kind":"unsure"}');
 });
@@ -107,40 +107,46 @@
 test("a runner whose rival has had the job asks the store once before it is sure again", async () => {
     // Guards against: three results that one gateway had shown for a second were missing at another.
     const { state, book, append, ask } = createFixture();
-    book.open(lot, { total: 9, team: undefined });
-    book.markLoaded(lot);
+    book.open(batchJobId, { total: 9, team: undefined });
+    book.markLoaded(batchJobId);
     append("a");
     expect([await ask(1), state.reads]).toEqual(["/9", 0]);
-    book.noteRivals(() => true);
+    book.markContested(() => true);
     state.stored.push(chunkOf(1, "b"));
     expect(await ask(1)).toBe("part b/9");
     expect([await ask(2), state.reads]).toEqual(["/9", 2]);
-    book.noteRivals(() => false);
+    book.markContested(() => false);
     expect([await ask(2), await ask(2), state.reads]).toEqual(["/9", "/9", 2]);
 });
 
 test("a peer that runs a job, has run it, or was not heard lately may have recorded results of it", () => {
-    const running = [{ lot }] as RunnerStatus["running"];
+    const running = [{ lot: batchJobId }] as RunnerStatus["running"];
     const peers = [
         createPeerView("r2"),
         createPeerView("r2", { running }),
-        createPeerView("r2", { keptLots: [lot] }),
+        createPeerView("r2", { keptLots: [batchJobId] }),
         { ...createPeerView("r2"), heardMs: 1_000 },
     ];
-    expect(peers.map(peer => isSoleWriter(lot, [peer]))).toEqual([true, false, false, false]);
+    expect(peers.map(peer => isSoleWriter(batchJobId, [peer]))).toEqual([true, false, false, false]);
 });
 
 test("a peer that has started anew may have had any job before", () => {
-    const rivals = createRivals();
+    const rivals = createContestedBatchJobs();
     const peerOf = (incarnation: string, ...running: string[]): PeerView =>
         ({
             name: "r2",
             status: { incarnation, running: running.map(each => ({ lot: each })) },
         }) as unknown as PeerView;
     const isRivalled = [peerOf("1", "x"), peerOf("1"), peerOf("2"), peerOf("2")].map(peer =>
-        rivals([peer])(lot)
+        rivals([peer])(batchJobId)
     );
-    expect([...isRivalled, rivals([peerOf("2", lot)])(lot)]).toEqual([false, false, true, false, true]);
+    expect([...isRivalled, rivals([peerOf("2", batchJobId)])(batchJobId)]).toEqual([
+        false,
+        false,
+        true,
+        false,
+        true,
+    ]);
 });
 
 test("a job that is over and that no runner holds is read once for all, by one runner", async () => {
@@ -161,9 +167,9 @@
     const { clock, state, ask } = createFixture();
     state.stored = [chunkOf(0, "a")];
     state.endedEntry = { total: 3, team: undefined };
-    state.isAway = true;
+    state.isStoreDown = true;
     expect(await ask(0)).toBe('{"kind":"unsure"}');
-    state.isAway = false;
+    state.isStoreDown = false;
     await clock.advance(1_000);
     expect([await ask(0), state.reads]).toEqual(["a/3", 3]);
     state.stored.push(chunkOf(1, "b"));
@@ -173,22 +179,22 @@
 
 test("a job that another runner has is asked for there", async () => {
     const { state, book, append, ask } = createFixture();
-    book.open(lot, { total: 2, team: undefined });
-    book.markLoaded(lot);
+    book.open(batchJobId, { total: 2, team: undefined });
+    book.markLoaded(batchJobId);
     append("a");
     state.holder = "r2";
     expect(await ask(0)).toBe("a/2");
-    book.close(lot);
+    book.close(batchJobId);
     expect(await ask(0)).toBe('{"kind":"elsewhere","runner":"r2"}');
 });
 
 test("several chunks that another runner recorded are all asked for", async () => {
     // Guards against: the last position of a whole job was missing at one gateway.
     const { state, book, append, ask } = createFixture();
-    book.open(lot, { total: 4, team: undefined });
-    book.markLoaded(lot);
+    book.open(batchJobId, { total: 4, team: undefined });
+    book.markLoaded(batchJobId);
     append("a");
-    book.close(lot);
+    book.close(batchJobId);
     state.isSoleWriter = false;
     state.stored.push(chunkOf(1, "b"), chunkOf(2, "c"));
     expect([await ask(0), await ask(1), await ask(2), await ask(3)]).toEqual([
--- /dev/null
+++ b/packages/runner/src/results/createResultCache.ts
@@ -0,0 +1,187 @@
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
+import type { BatchJobSummary } from "@auburnarch/lots/BatchJobSummary";
+import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
+import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
+import type { Clock } from "@auburnarch/types/Clock";
+import { countChars } from "./countChars.js";
+import { createResultCacheEntries } from "./createResultCacheEntries.js";
+import type { ResultCache } from "./ResultCache.js";
+import type { ResultCacheEntry } from "./ResultCacheEntry.js";
+
+interface ResultCacheDeps {
+    store: Pick<BatchJobStore, "readChunk">;
+    /** No other runner can have recorded anything for the job lately. */
+    isSoleWriter: (batchJobId: BatchJobId) => boolean;
+    /** The other runner that runs a job. */
+    findHolder: (batchJobId: BatchJobId) => string | undefined;
+    /** A job that is over; undefined for any other. */
+    findEndedEntry: (batchJobId: BatchJobId) => BatchJobSummary | undefined;
+    /** The runner that reads a job for all that nobody holds any more; undefined if that is this one. */
+    chooseReader: (batchJobId: BatchJobId) => string | undefined;
+    clock: Clock;
+}
+
+/**
+ * How long it counts that the store had no further chunk. A position that one gateway has shown must be shown by all
+ * within a second; the rest is left for the answer's way. Shorter, more calls to the store would
+ * look behind the end of jobs that are over.
+ */
+const verifiedForMs = 700;
+/** Characters of one answer; a gateway asks again for what is left. */
+const maxAnswerChars = 1_000_000;
+function takeUpToLimit(chunks: ResultChunk[]): ResultChunk[] {
+    let chars = 0;
+    const end = chunks.findIndex(chunk => (chars += countChars([chunk])) > maxAnswerChars);
+    return end < 0 ? chunks : chunks.slice(0, Math.max(1, end));
+}
+
+/**
+ * Makes the book. What it holds stands in the store and never changes, so that a chunk from here is as good as one
+ * from there. That there is no further chunk is said only where this runner is the sole writer or the store has just
+ * said so: a second runner of the job may have recorded one that a client has seen already.
+ */
+export function createResultCache(deps: ResultCacheDeps): ResultCache {
+    const { clock } = deps;
+    const entries = createResultCacheEntries();
+
+    const isComplete = (entry: ResultCacheEntry): boolean => entry.results >= entry.total;
+
+    async function readNext(batchJobId: BatchJobId, entry: ResultCacheEntry): Promise<boolean> {
+        const sentAtMs = clock.monotonicMs();
+        const number = entry.chunks.length;
+        const isSole = deps.isSoleWriter(batchJobId);
+        try {
+            const chunk = await deps.store.readChunk(batchJobId, number);
+            if (chunk === undefined) {
+                entry.verifiedAtMs = sentAtMs;
+                entry.isContested &&= !isSole;
+            }
+            else {
+                entries.add(entry, number, chunk);
+                entry.verifiedAtMs = -Infinity;
+            }
+            return true;
+        }
+        catch {
+            // Counted where calls are counted; the gateway reads the store itself.
+            return false;
+        }
+    }
+
+    /** Nothing stands behind the last chunk. */
+    function isEnd(batchJobId: BatchJobId, entry: ResultCacheEntry): boolean {
+        const isFresh = clock.monotonicMs() - entry.verifiedAtMs < verifiedForMs;
+        return isFresh || isComplete(entry)
+            || entry.isRunning && !entry.isContested && deps.isSoleWriter(batchJobId);
+    }
+
+    /** Looks for one more chunk where there may be one; false if that cannot be told. */
+    async function verifyEnd(batchJobId: BatchJobId, entry: ResultCacheEntry): Promise<boolean> {
+        if (isEnd(batchJobId, entry)) {
+            return true;
+        }
+        entry.verifying ??= readNext(batchJobId, entry).finally(() => {
+            entry.verifying = undefined;
+        });
+        return entry.verifying;
+    }
+
+    async function waitForChunk(entry: ResultCacheEntry, fromChunk: number, waitMs: number): Promise<void> {
+        const deadlineMs = clock.monotonicMs() + waitMs;
+        const isOpen = (): boolean =>
+            entry.isRunning && !isComplete(entry) && entry.chunks.length <= fromChunk;
+        while (isOpen() && clock.monotonicMs() < deadlineMs) {
+            await clock.sleep(deadlineMs - clock.monotonicMs(), entry.wake.signal);
+        }
+    }
+
+    async function readAll(batchJobId: BatchJobId, entry: ResultCacheEntry): Promise<boolean> {
+        while (!isComplete(entry) && entry.verifiedAtMs === -Infinity) {
+            if (!await readNext(batchJobId, entry)) {
+                return false;
+            }
+        }
+        entry.isLoaded = true;
+        return true;
+    }
+
+    /**
+     * Reads a job that is over and that no runner holds, as after a loss of power of all. Without it each gateway reads
+     * each job from the store.
+     */
+    async function loadEnded(batchJobId: BatchJobId): Promise<ResultCacheEntry | undefined> {
+        const ended = deps.findEndedEntry(batchJobId);
+        if (ended === undefined) {
+            return undefined;
+        }
+        const entry = entries.open(batchJobId, ended);
+        entry.isRunning = false;
+        entry.loading = readAll(batchJobId, entry);
+        const isRead = await entry.loading;
+        if (!isRead && entries.get(batchJobId) === entry) {
+            entries.delete(batchJobId);
+        }
+        return isRead ? entry : undefined;
+    }
+
+    const findReader = (batchJobId: BatchJobId, entry: ResultCacheEntry | undefined): string | undefined =>
+        entry === undefined && deps.findEndedEntry(batchJobId) !== undefined
+            ? deps.chooseReader(batchJobId)
+            : undefined;
+
+    return {
+        open: (batchJobId, summary) => void entries.open(batchJobId, summary),
+        note: (batchJobId, number, chunk) => {
+            const entry = entries.get(batchJobId);
+            if (entry !== undefined) {
+                entries.add(entry, number, chunk);
+            }
+        },
+        markLoaded: batchJobId => {
+            const entry = entries.get(batchJobId);
+            if (entry !== undefined) {
+                entry.isLoaded = true;
+            }
+        },
+        close: batchJobId => {
+            const entry = entries.get(batchJobId);
+            if (entry?.isLoaded === false) {
+                entries.delete(batchJobId);
+            }
+            else if (entry !== undefined) {
+                entry.isRunning = false;
+                entry.wake.abort();
+            }
+        },
+        markContested: isContested => {
+            for (const [batchJobId, entry] of entries.running()) {
+                entry.isContested ||= isContested(batchJobId);
+            }
+        },
+        listCached: entries.listCached,
+        answer: async (batchJobId, fromChunk, waitMs): Promise<ResultsAnswer> => {
+            const cached = entries.get(batchJobId);
+            const runner = cached?.isRunning === true
+                ? undefined
+                : deps.findHolder(batchJobId) ?? findReader(batchJobId, cached);
+            if (runner !== undefined && !(cached !== undefined && isComplete(cached))) {
+                return { kind: "elsewhere", runner };
+            }
+            const entry = cached ?? await loadEnded(batchJobId);
+            await entry?.loading;
+            if (entry === undefined || !entry.isLoaded) {
+                return { kind: "unsure" };
+            }
+            await waitForChunk(entry, fromChunk, waitMs);
+            if (entry.chunks.length <= fromChunk && !await verifyEnd(batchJobId, entry)) {
+                return { kind: "unsure" };
+            }
+            const available = entry.chunks.slice(fromChunk);
+            const chunks = takeUpToLimit(available);
+            const isLast = chunks.length === available.length
+                && (chunks.length === 0 || isEnd(batchJobId, entry));
+            return { kind: "known", total: entry.total, team: entry.team, chunks, hasMore: !isLast };
+        },
+    };
+}
--- /dev/null
+++ b/packages/runner/src/results/findEndedEntry.ts
@@ -0,0 +1,12 @@
+import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
+import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+
+/** A job that its client has ended; undefined for an open one and for one that is not known. */
+export function findEndedEntry(
+    entries: Pick<WatchedKind<BatchJobEntry>, "objects">,
+    batchJobId: BatchJobId,
+): BatchJobEntry | undefined {
+    const entry = entries.objects()?.get(batchJobId);
+    return entry?.isEnded === true ? entry : undefined;
+}
--- /dev/null
+++ b/packages/runner/src/results/findHolder.ts
@@ -0,0 +1,10 @@
+import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { PeerView } from "../peers/PeerView.js";
+
+/** The living peer that runs a job, or ran it lately and has its results. */
+export function findHolder(batchJobId: BatchJobId, peers: PeerView[]): string | undefined {
+    const alive = peers.filter(peer => peer.isAlive);
+    const runner = alive.find(peer => peer.status?.running.some(each => each.lot === batchJobId) === true);
+    const formerRunner = alive.find(peer => peer.status?.keptLots.includes(batchJobId) === true);
+    return (runner ?? formerRunner)?.name;
+}
--- a/packages/runner/src/results/recordPause.load.test.ts
+++ b/packages/runner/src/results/recordPause.load.test.ts
@@ -8,7 +8,7 @@
 const longestEvents = 128;
 const recordMs = 20;
 /** A trainer reads twice a second at most, and acts on what it has read at its next turn. */
-const turnMs = 500;
+const pollMs = 500;
 
 type Pause = typeof recordPauseMs;
 
@@ -53,36 +53,36 @@
     let read = 0;
     let readInTime = 0;
     while (read < items) {
-        const turnAtMs = nowMs;
+        const pollAtMs = nowMs;
         const next = records.find(({ results }) => results > read)!;
         nowMs = Math.max(nowMs, next.atMs);
         read = records.filter(({ atMs }) => atMs <= nowMs).at(-1)!.results;
         readInTime = nowMs <= dueMs ? read : readInTime;
-        nowMs = Math.max(nowMs, turnAtMs + turnMs);
+        nowMs = Math.max(nowMs, pollAtMs + pollMs);
     }
     return { endedMs: nowMs, readInTime };
 }
 
-function playSteps(pause: Pause): { lateMs: number; records: number; unread: number; } {
+function simulateSteps(pause: Pause): { lateMs: number; records: number; unread: number; } {
     const steps = Array.from({ length: 40 }, (_, seed) => endsOf(seed));
-    const played = steps.map(ends => {
+    const simulated = steps.map(ends => {
         const records = recordsOf(ends, pause);
         const { endedMs, readInTime } = readAll(records);
-        const made = ends.filter(endMs => endMs <= dueMs - turnMs).length;
+        const made = ends.filter(endMs => endMs <= dueMs - pollMs).length;
         return { lateMs: endedMs - ends.at(-1)!, records: records.length, unread: made - readInTime };
     });
-    const meanOf = (value: (step: (typeof played)[number]) => number): number =>
-        Math.round(played.reduce((sum, step) => sum + value(step), 0) / played.length);
+    const meanOf = (value: (step: (typeof simulated)[number]) => number): number =>
+        Math.round(simulated.reduce((sum, step) => sum + value(step), 0) / simulated.length);
     return {
         lateMs: meanOf(step => step.lateMs),
         records: meanOf(step => step.records),
-        unread: Math.max(0, ...played.map(step => step.unread)),
+        unread: Math.max(0, ...simulated.map(step => step.unread)),
     };
 }
 
 test("a trainer that waits for its last items acts sooner, and what is made in time is read in time", () => {
     // Guards against: a page told just before the last one keeps the trainer from acting for up to a second.
-    expect({ before: playSteps(pauseBefore), now: playSteps(recordPauseMs) }).toMatchInlineSnapshot(`
+    expect({ before: simulateSteps(pauseBefore), now: simulateSteps(recordPauseMs) }).toMatchInlineSnapshot(`
       {
         "before": {
           "lateMs": 267,
--- a/packages/runner/src/results/recordPauseMs.ts
+++ b/packages/runner/src/results/recordPauseMs.ts
@@ -16,28 +16,28 @@
  * Before a trainer has all that it waits for, what is made is of no use to it: the record only guards against the loss
  * of a VM with its disk, which costs what was made in this time once more.
  */
-const openGatherMs = 1_000;
+const unmetPauseMs = 1_000;
 /** Nobody waits for what is made beyond that. */
-const surplusGatherMs = 1_000;
+const surplusPauseMs = 1_000;
 /**
  * A group earns only if it can be read when its step is due. Time for a record, for the answer to a waiting reader and
  * for the reader that asks twice a second.
  */
-const beforeDueMs = 500;
-const leastGatherMs = 200;
+const dueMarginMs = 500;
+const minUnmetPauseMs = 200;
 
 /** Where it is not known what a trainer waits for: results gather for this long, and for less towards the end. */
-const gatherMs = 350;
-const lastGatherMs = 80;
-const lastPart = 0.75;
+const defaultPauseMs = 350;
+const finalPauseMs = 80;
+const finalPhaseRatio = 0.75;
 /** Behind the last items nothing comes that could share their record. */
-const lastItems = 3;
+const unpausedItems = 3;
 
-function pauseOfAnyMs(made: number, total: number): number {
-    if (made >= total - lastItems) {
+function pauseForUnknownNeedMs(made: number, total: number): number {
+    if (made >= total - unpausedItems) {
         return 0;
     }
-    return made > lastPart * total ? lastGatherMs : gatherMs;
+    return made > finalPhaseRatio * total ? finalPauseMs : defaultPauseMs;
 }
 
 /**
@@ -49,13 +49,13 @@
 export function recordPauseMs(state: RecordingState): number {
     const { total, made, isNeedMet, isNeedRecorded, untilDueMs, waitedMs } = state;
     if (isNeedMet === undefined) {
-        return pauseOfAnyMs(made, total);
+        return pauseForUnknownNeedMs(made, total);
     }
     if (made >= total || isNeedMet && !isNeedRecorded) {
         return 0;
     }
     if (isNeedMet) {
-        return surplusGatherMs;
+        return surplusPauseMs;
     }
-    return Math.min(openGatherMs, Math.max(leastGatherMs, waitedMs + untilDueMs - beforeDueMs));
+    return Math.min(unmetPauseMs, Math.max(minUnmetPauseMs, waitedMs + untilDueMs - dueMarginMs));
 }
--- a/packages/runner/src/testing/ReportingProcess.ts
+++ b/packages/runner/src/testing/ReportingProcess.ts
@@ -1,4 +1,4 @@
-import type { StartBook } from "@auburnarch/account/StartBook";
+import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
 import type { createPausableProcess } from "@auburnarch/fakes/createPausableProcess";
 
 /** A runner of which only the duty of reports is played. */
@@ -6,5 +6,5 @@
     name: string;
     paused: ReturnType<typeof createPausableProcess>;
     state: { isPaused: boolean; resumedAtMs: number; stepMs: number; isEnded: boolean; };
-    starts: StartBook;
+    starts: StartCountRegistry;
 }
--- a/packages/runner/src/testing/createPeerView.ts
+++ b/packages/runner/src/testing/createPeerView.ts
@@ -3,7 +3,11 @@
 import type { RunnerStatus } from "../peers/RunnerStatus.js";
 
 /** A peer that was heard just now and does nothing, but for what `over` says. */
-export function createPeerView(name: string, over: Partial<RunnerStatus> = {}, isAlive = true): PeerView {
+export function createPeerView(
+    name: string,
+    overrides: Partial<RunnerStatus> = {},
+    isAlive = true,
+): PeerView {
     const idle: RunnerStatus = {
         incarnation: name,
         failureDomain: "lugo" as FailureDomain,
@@ -14,5 +18,5 @@
         isLeaving: false,
         storeSilentMs: 0,
     };
-    return { name, isAlive, heardMs: 0, status: { ...idle, ...over } };
+    return { name, isAlive, heardMs: 0, status: { ...idle, ...overrides } };
 }
--- a/packages/runner/src/testing/createReportingProcess.ts
+++ b/packages/runner/src/testing/createReportingProcess.ts
@@ -1,4 +1,4 @@
-import { createStartBook } from "@auburnarch/account/createStartBook";
+import { createStartCountRegistry } from "@auburnarch/account/createStartCountRegistry";
 import { createPausableProcess } from "@auburnarch/fakes/createPausableProcess";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
@@ -8,8 +8,8 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { Random } from "@auburnarch/types/Random";
-import { createAwakeGuard } from "../duties/createAwakeGuard.js";
 import { createDutyHolder } from "../duties/createDutyHolder.js";
+import { createPauseDetector } from "../duties/createPauseDetector.js";
 import type { Duty } from "../duties/Duty.js";
 import type { HeldDuties } from "../duties/HeldDuties.js";
 import { createUsageDuty } from "../usage/createUsageDuty.js";
@@ -27,7 +27,7 @@
     /** How the platform behaves now. */
     platform: { isDown: boolean; losesAnswers: boolean; };
     /** It acts as if the lease were its own all the time. */
-    believesAlways: boolean;
+    alwaysActs: boolean;
     /** Takes the calls that arrive there. */
     calls: ReportCall[];
 }
@@ -35,11 +35,11 @@
 const leaseTtlMs = 2_500;
 const handOverMs = 3_000;
 /** Calls of a sender that was stopped are excused for this long after it. */
-const thawMs = 300;
-const wayMs = 4;
+const resumeGraceMs = 300;
+const networkDelayMs = 4;
 const tickMs = 150;
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
-const never = (): never => {
+const failOnBrokenInvariant = (): never => {
     throw new Error("promise broken");
 };
 
@@ -50,13 +50,13 @@
 
 /** Starts the real duty, with its lease, in a process that can be stopped and whose time of day can jump. */
 export function createReportingProcess(options: ReportingProcessOptions): ReportingProcess {
-    const { name, clock, store, random, times, platform, believesAlways, calls } = options;
+    const { name, clock, store, random, times, platform, alwaysActs: believesAlways, calls } = options;
     const paused = createPausableProcess(clock, store);
     const state = { isPaused: false, resumedAtMs: -Infinity, stepMs: 0, isEnded: false };
-    const own: Clock = { ...paused.clock, wallMs: () => clock.wallMs() + state.stepMs };
-    const starts = createStartBook(own);
+    const ownClock: Clock = { ...paused.clock, wallMs: () => clock.wallMs() + state.stepMs };
+    const starts = createStartCountRegistry(ownClock);
     const receive: SendUsageReport = async ({ window, counts }, { holder, fencing }) => {
-        await clock.sleep(wayMs);
+        await clock.sleep(networkDelayMs);
         calls.push({
             atMs: clock.monotonicMs(),
             holder,
@@ -64,22 +64,22 @@
             window,
             counts: JSON.stringify(counts),
             isAccepted: !platform.isDown,
-            isAfterPause: state.isPaused || clock.monotonicMs() - state.resumedAtMs < thawMs,
+            isAfterPause: state.isPaused || clock.monotonicMs() - state.resumedAtMs < resumeGraceMs,
         });
         return platform.isDown ? "unknown" : platform.losesAnswers ? "unknown" : "accepted";
     };
     const send: SendUsageReport = async (...args) => {
         const outcome = await receive(...args);
         // An answer reaches a stopped process only once it goes on.
-        await own.sleep(1);
+        await ownClock.sleep(1);
         return outcome;
     };
     const leases = createLeaseKeeper({
         store: paused.store,
-        clock: own,
+        clock: ownClock,
         random: random.fork(),
         logger: silent,
-        invariants: createInvariants(silent, never),
+        invariants: createInvariants(silent, failOnBrokenInvariant),
         holder: name,
         ttlMs: leaseTtlMs,
         resumesOwn: true,
@@ -96,21 +96,21 @@
             starts,
             send,
             trueTime,
-            clock: own,
+            clock: ownClock,
             logger: silent,
             metrics: createMetrics(),
         }, held);
     if (believesAlways) {
-        runAlways(own, startDuty({ fencing: random.nextUnit() as FencingNumber, mayAct: () => true }));
+        runAlways(ownClock, startDuty({ fencing: random.nextUnit() as FencingNumber, mayAct: () => true }));
     }
     else {
         createDutyHolder({
             leases,
             leaseTtlMs,
-            isAwake: createAwakeGuard(own, silent, leaseTtlMs / 2).isAwake,
+            areClocksTrusted: createPauseDetector(ownClock, silent, leaseTtlMs / 2).areClocksTrusted,
             handOverMs,
             duties: [startDuty],
-            clock: own,
+            clock: ownClock,
             logger: silent,
         });
     }
--- a/packages/runner/src/testing/playUsageReports.ts
+++ b/packages/runner/src/testing/simulateUsageReports.ts
@@ -7,16 +7,16 @@
 import type { ReportCall } from "./ReportCall.js";
 import type { ReportingProcess } from "./ReportingProcess.js";
 
-interface PlayOptions {
+interface SimulationOptions {
     seed: number;
     /** Faults of the run, spread over its length. */
     faults: number;
     lengthMs: number;
     /** Each runner acts as if it held the duty. */
-    believeAlways: boolean;
+    alwaysActs: boolean;
 }
 
-interface Played {
+interface SimulationResult {
     calls: ReportCall[];
     /** Windows whose reports were due before the end of the run. */
     dueWindows: number[];
@@ -31,9 +31,9 @@
  * Plays three runners that report use by the real lease and duty, on a fake clock: they stop and go on, end and start
  * again, clocks jump, the store and the platform lose answers or are away.
  */
-export async function playUsageReports(
-    { seed, faults, lengthMs, believeAlways }: PlayOptions,
-): Promise<Played> {
+export async function simulateUsageReports(
+    { seed, faults, lengthMs, alwaysActs }: SimulationOptions,
+): Promise<SimulationResult> {
     const random = createRandom(seed);
     const clock = createFakeClock(1_000_000);
     const { store, control } = createFakeObjectStore({ clock, random: random.fork(), latencyMs: 4 });
@@ -52,14 +52,14 @@
             random: random.fork(),
             times,
             platform,
-            believesAlways: believeAlways,
+            alwaysActs,
             calls,
         });
 
     let processes = names.map(start);
 
     /** Each runner hears different counts, and hears them at different times, as after lost answers. */
-    function tellCounts(): void {
+    function reportCounts(): void {
         counted += 1 + upTo(3);
         const window = Math.floor(clock.wallMs() / windowMs);
         for (const { starts, state } of processes) {
@@ -68,7 +68,7 @@
                 starts.learn({ source: "g1", countedUntilMs: clock.wallMs(), counts });
             }
         }
-        clock.startTimer(130, tellCounts);
+        clock.startTimer(130, reportCounts);
     }
 
     function pause(process: ReportingProcess, forMs: number): void {
@@ -94,7 +94,7 @@
         processes = processes.map((process, at) => at === index ? start(name) : process);
     }
 
-    function strike(): void {
+    function injectFault(): void {
         const index = upTo(processes.length);
         const process = processes[index]!;
         const forMs = 200 + upTo(5_000);
@@ -125,8 +125,8 @@
         ][upTo(9)]!();
     }
 
-    tellCounts();
-    Array.from({ length: faults }, () => clock.startTimer(upTo(lengthMs), strike));
+    reportCounts();
+    Array.from({ length: faults }, () => clock.startTimer(upTo(lengthMs), injectFault));
     await clock.advance(lengthMs);
     const first = Math.floor(clock.wallMs() - (clock.monotonicMs() - startedAtMs)) / windowMs;
     const last = Math.floor((clock.wallMs() - dueMs) / windowMs) - 1;
--- a/packages/runner/src/usage/ReportLedger.ts
+++ b/packages/runner/src/usage/ReportLedger.ts
@@ -10,5 +10,5 @@
     /** Adds a report; if the window stands there already, with whatever counts, nothing changes. */
     record(report: UsageReport): Promise<void>;
     /** Notes that a report was accepted or given up; it is written with the next one that is recorded. */
-    noteSettled(window: number): void;
+    markSettled(window: number): void;
 }
--- a/packages/runner/src/usage/UsageDeps.ts
+++ b/packages/runner/src/usage/UsageDeps.ts
@@ -1,10 +1,10 @@
-import type { StartBook } from "@auburnarch/account/StartBook";
+import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
 import type { SendUsageReport } from "./SendUsageReport.js";
 import type { UsageTimes } from "./UsageTimes.js";
 
 /** What the reports of use need beside what a runner has. */
 export interface UsageDeps {
     times: UsageTimes;
-    starts: StartBook;
+    starts: StartCountRegistry;
     send: SendUsageReport;
 }
--- a/packages/runner/src/usage/createReportLedger.ts
+++ b/packages/runner/src/usage/createReportLedger.ts
@@ -9,7 +9,7 @@
 const key = "usage-reports/ledger";
 const absent = 0 as ObjectVersion;
 /** Far more windows than may still be sent. */
-const keptReports = 12;
+const maxReports = 12;
 
 const ledgerSchema = z.object({
     reports: z.array(z.object({
@@ -28,7 +28,7 @@
     let version = absent;
     let known: RecordedReport[] | undefined;
 
-    function take(object: StoredObject | undefined): void {
+    function adopt(object: StoredObject | undefined): void {
         version = object?.version ?? absent;
         known = object === undefined ? [] : ledgerSchema.parse(object.value).reports;
     }
@@ -37,13 +37,13 @@
         reports.map(report => ({ ...report, isSettled: report.isSettled || settled.has(report.window) }));
 
     async function load(): Promise<void> {
-        take(await store.read(key));
+        adopt(await store.read(key));
     }
 
     return {
         reports: () => known === undefined ? undefined : withSettled(known),
         load,
-        noteSettled: window => void settled.add(window),
+        markSettled: window => void settled.add(window),
         record: async report => {
             const reports = withSettled(known ?? []);
             if (reports.some(({ window }) => window === report.window)) {
@@ -51,7 +51,7 @@
             }
             const next = [...reports, { ...report, isSettled: false }]
                 .sort((a, b) => a.window - b.window)
-                .slice(-keptReports);
+                .slice(-maxReports);
             const before = version;
             // Until the answer it is not known what stands there.
             known = undefined;
@@ -61,7 +61,7 @@
                 known = next;
             }
             else {
-                take(outcome.current);
+                adopt(outcome.current);
             }
         },
     };
--- a/packages/runner/src/usage/createUsageDuty.ts
+++ b/packages/runner/src/usage/createUsageDuty.ts
@@ -1,4 +1,4 @@
-import type { StartBook } from "@auburnarch/account/StartBook";
+import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
@@ -19,7 +19,7 @@
     self: string;
     times: UsageTimes;
     store: Pick<ObjectStore, "read" | "write">;
-    starts: Pick<StartBook, "countsOf" | "isCountedUntil">;
+    starts: Pick<StartCountRegistry, "countsOf" | "isCountedUntil">;
     send: SendUsageReport;
     trueTime: TrueTime;
     clock: Clock;
@@ -41,30 +41,30 @@
     const { times, clock, logger, metrics, trueTime } = deps;
     const ledger = createReportLedger(deps.store);
     const firstWindow = Math.floor(trueTime.nowMs() / times.windowMs);
-    const givenUp = new Set<number>();
+    const abandoned = new Set<number>();
     /** Windows whose reports were sent here, with whatever outcome. */
-    const tried = new Set<number>();
+    const attempted = new Set<number>();
     /** What each window was recorded with here, to notice counts that come later. */
     const recordedTotals = new Map<number, number>();
     let isStopped = false;
     let isBusy = false;
     let failures = 0;
-    let resumeAtMs = -Infinity;
+    let retryAtMs = -Infinity;
     let lastFailure = "noHolderInTime";
 
-    function noteFailure(cause: string): void {
+    function recordFailure(cause: string): void {
         lastFailure = cause;
-        resumeAtMs = clock.monotonicMs() + Math.min(maxPauseMs, firstPauseMs * 2 ** failures);
+        retryAtMs = clock.monotonicMs() + Math.min(maxPauseMs, firstPauseMs * 2 ** failures);
         failures++;
     }
 
     /** An earlier holder that recorded a report and never said so may well have sent it. */
-    function giveUp(window: number): void {
+    function abandon(window: number): void {
         const isOfEarlierHolder = !recordedTotals.has(window)
             && ledger.reports()?.some(report => report.window === window) === true;
-        const result = isOfEarlierHolder && !tried.has(window) ? "unconfirmed" : "missed";
-        givenUp.add(window);
-        ledger.noteSettled(window);
+        const result = isOfEarlierHolder && !attempted.has(window) ? "unconfirmed" : "missed";
+        abandoned.add(window);
+        ledger.markSettled(window);
         metrics.count("usage_reports_total", { result });
         logger.warn("usageReportGivenUp", { window, result, cause: lastFailure, fencing: held.fencing });
     }
@@ -78,26 +78,26 @@
     }
 
     async function send({ window, counts }: RecordedReport): Promise<void> {
-        tried.add(window);
+        attempted.add(window);
         const outcome = await deps.send({ window, counts }, { holder: deps.self, fencing: held.fencing });
         const lateMs = Math.round(trueTime.nowMs() - (window + 1) * times.windowMs);
         metrics.count("usage_reports_total", { result: outcome });
         logger.info("usageReportSent", { window, outcome, fencing: held.fencing, sinceEndMs: lateMs });
         if (outcome === "accepted") {
             failures = 0;
-            ledger.noteSettled(window);
+            ledger.markSettled(window);
         }
         else if (outcome === "refused") {
             lastFailure = outcome;
-            giveUp(window);
+            abandon(window);
         }
         else {
-            noteFailure(outcome);
+            recordFailure(outcome);
         }
     }
 
     /** Counts that come after a window was recorded are never sent: they are told to the operator instead. */
-    function noteLateCounts(): void {
+    function reportLateCounts(): void {
         for (const [window, before] of recordedTotals) {
             const total = sumOf(deps.starts.countsOf(window).values());
             if (total > before) {
@@ -122,11 +122,11 @@
             nowMs: trueTime.nowMs(),
             reports,
             firstWindow,
-            isGivenUp: window => givenUp.has(window),
+            isAbandoned: window => abandoned.has(window),
             isCountedUntil: deps.starts.isCountedUntil,
         });
         if (next.kind === "giveUp") {
-            giveUp(next.window);
+            abandon(next.window);
         }
         else if (next.kind !== "wait" && held.mayAct()) {
             await (next.kind === "record" ? record(next.window) : send(next.report));
@@ -137,12 +137,13 @@
         isBusy = true;
         try {
             await step();
-            noteLateCounts();
+            reportLateCounts();
         }
         catch (error) {
             const code = codeOf(error);
-            const isStoreAway = code === resultCodes.storeUnavailable || code === resultCodes.storeThrottled;
-            noteFailure(isStoreAway ? code.name : String(error));
+            const isStoreUnavailable = code === resultCodes.storeUnavailable
+                || code === resultCodes.storeThrottled;
+            recordFailure(isStoreUnavailable ? code.name : String(error));
             logger.warn("usageStepFailed", { code: code.number, name: code.name, detail: String(error) });
         }
         isBusy = false;
@@ -150,7 +151,7 @@
 
     return {
         round: () => {
-            if (!isBusy && !isStopped && clock.monotonicMs() >= resumeAtMs) {
+            if (!isBusy && !isStopped && clock.monotonicMs() >= retryAtMs) {
                 void run();
             }
         },
--- a/packages/runner/src/usage/planReport.ts
+++ b/packages/runner/src/usage/planReport.ts
@@ -11,7 +11,7 @@
     /** The first window that this holder answers for where nothing is recorded. */
     firstWindow: number;
     /** Windows that were given up. */
-    isGivenUp: (window: number) => boolean;
+    isAbandoned: (window: number) => boolean;
     /** All processes have counted what began before this moment. */
     isCountedUntil: (trueMs: number) => boolean;
 }
@@ -26,9 +26,9 @@
 /** Counts may still come for this long after the end of a window, though all that is known of is counted. */
 const settleMs = 400;
 /** Processes that do not tell are waited for until this long before a report is due. */
-const reserveMs = 4_000;
+const sendReserveMs = 4_000;
 /** Windows that ended this many times `dueMs` ago are neither sent nor told as given up. */
-const forgottenAfter = 3;
+const maxAgeInDueTimes = 3;
 /** A report sent later would not arrive in time. */
 const sendSlackMs = 200;
 
@@ -40,7 +40,7 @@
     const { times: { windowMs, dueMs }, nowMs, reports } = query;
     const endOf = (window: number): number => (window + 1) * windowMs;
     const recorded = new Map(reports.map(report => [report.window, report]));
-    const oldest = Math.floor((nowMs - forgottenAfter * dueMs) / windowMs);
+    const oldest = Math.floor((nowMs - maxAgeInDueTimes * dueMs) / windowMs);
     const first = Math.max(oldest, reports[0]?.window ?? query.firstWindow);
 
     function stepFor(window: number): ReportStep {
@@ -48,8 +48,8 @@
         const sinceEndMs = nowMs - endOf(window);
         const isLate = sinceEndMs > dueMs - sendSlackMs;
         const isCounted = sinceEndMs > settleMs && query.isCountedUntil(endOf(window));
-        const isPressing = sinceEndMs > dueMs - reserveMs;
-        return match({ report, isLate, mayRecord: isCounted || isPressing })
+        const isUrgent = sinceEndMs > dueMs - sendReserveMs;
+        return match({ report, isLate, mayRecord: isCounted || isUrgent })
             .returnType<ReportStep>()
             .with({ report: { isSettled: true } }, () => ({ kind: "wait" }))
             .with({ isLate: true }, () => ({ kind: "giveUp", window }))
@@ -60,7 +60,7 @@
 
     const last = Math.floor(nowMs / windowMs) - 1;
     for (let window = first; window <= last; window++) {
-        const step: ReportStep = query.isGivenUp(window) ? { kind: "wait" } : stepFor(window);
+        const step: ReportStep = query.isAbandoned(window) ? { kind: "wait" } : stepFor(window);
         if (step.kind !== "wait") {
             return step;
         }
--- a/packages/runner/src/usage/usageProtocol.test.ts
+++ b/packages/runner/src/usage/usageProtocol.test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { playUsageReports } from "../testing/playUsageReports.js";
+import { simulateUsageReports } from "../testing/simulateUsageReports.js";
 
 const leaseMs = 3_000;
 const lengthMs = 20_000;
@@ -7,7 +7,7 @@
 /** Runs of each test; more by hand. */
 const runs = Number(process.env["USAGE_RUNS"] ?? 250);
 
-type Calls = Awaited<ReturnType<typeof playUsageReports>>["calls"];
+type Calls = Awaited<ReturnType<typeof simulateUsageReports>>["calls"];
 
 /** Windows that were accepted with different counts. */
 function differing(calls: Calls): string[] {
@@ -35,7 +35,7 @@
 }
 
 /** Holders that took turns within the time that belongs to one. */
-function takingTurns(calls: Calls): string[] {
+function alternations(calls: Calls): string[] {
     const judged = calls.filter(call => !call.isAfterPause);
     return judged.flatMap((call, index) => {
         const within = judged.slice(0, index).filter(earlier => call.atMs - earlier.atMs < leaseMs);
@@ -45,29 +45,29 @@
     });
 }
 
-async function playAll(
+async function simulateAll(
     seeds: number[],
-    believeAlways: boolean,
+    alwaysActs: boolean,
     judge: (calls: Calls) => string[],
 ): Promise<string[]> {
-    const broken: string[] = [];
+    const violations: string[] = [];
     for (const seed of seeds) {
-        const { calls } = await playUsageReports({ seed, faults, lengthMs, believeAlways });
+        const { calls } = await simulateUsageReports({ seed, faults, lengthMs, alwaysActs });
         const found = judge(calls);
-        broken.push(...found.map(fault => `seed ${seed}: ${fault}`));
+        violations.push(...found.map(fault => `seed ${seed}: ${fault}`));
     }
-    return broken;
+    return violations;
 }
 
 const seedsFrom = (first: number, count: number): number[] =>
     Array.from({ length: count }, (_, index) => first + index);
 
 test("each window is reported in time while nothing fails", async () => {
-    const { calls, dueWindows } = await playUsageReports({
+    const { calls, dueWindows } = await simulateUsageReports({
         seed: 1,
         faults: 0,
         lengthMs,
-        believeAlways: false,
+        alwaysActs: false,
     });
     expect(calls.map(call => call.window).slice(0, dueWindows.length)).toEqual(dueWindows);
     expect(calls.every(call => call.isAccepted)).toBe(true);
@@ -79,12 +79,12 @@
     const judge = (calls: Calls): string[] => [
         ...differing(calls),
         ...outOfOrder(calls),
-        ...takingTurns(calls),
+        ...alternations(calls),
     ];
-    expect(await playAll(seedsFrom(1_000, runs), false, judge)).toEqual([]);
+    expect(await simulateAll(seedsFrom(1_000, runs), false, judge)).toEqual([]);
 });
 
 test("runners that all believe to hold the duty send no two different reports of a window", async () => {
     // Guards against: a lease that is believed for too long changes what teams are charged.
-    expect(await playAll(seedsFrom(9_000, runs), true, differing)).toEqual([]);
+    expect(await simulateAll(seedsFrom(9_000, runs), true, differing)).toEqual([]);
 });
--- a/packages/runner/src/weights/LoadRollerDeps.ts
+++ b/packages/runner/src/weights/LoadSchedulerDeps.ts
@@ -1,7 +1,7 @@
 import type { RoutingView } from "@auburnarch/discovery/RoutingView";
 import type { SamplerDirectory } from "@auburnarch/discovery/SamplerDirectory";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
-import type { LotEntry } from "@auburnarch/lots/LotEntry";
+import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
@@ -10,7 +10,7 @@
 import type { NamedVersion } from "./NamedVersion.js";
 
 /** What a load roller is built from. */
-export interface LoadRollerDeps {
+export interface LoadSchedulerDeps {
     /** Name under which orders are given. */
     self: string;
     fencing: FencingNumber;
@@ -19,7 +19,7 @@
     /** Watches the named versions; only the holder of the duty does. */
     watchVersions: () => WatchedKind<NamedVersion>;
     /** Jobs, ended ones included. */
-    entries: WatchedKind<LotEntry>;
+    entries: WatchedKind<BatchJobEntry>;
     routing: RoutingView;
     directory: SamplerDirectory;
     orders: EngineOrders;
--- a/packages/runner/src/weights/createLoadRoller.test.ts
+++ b/packages/runner/src/weights/createLoadScheduler.test.ts
@@ -1,7 +1,7 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
-import type { LotEntry } from "@auburnarch/lots/LotEntry";
+import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
@@ -11,7 +11,7 @@
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import { expect, test } from "vitest";
-import { createLoadRoller } from "./createLoadRoller.js";
+import { createLoadScheduler } from "./createLoadScheduler.js";
 import type { NamedVersion } from "./NamedVersion.js";
 import type { OrderOutcome } from "./OrderOutcome.js";
 
@@ -32,7 +32,7 @@
 /** Samplers that carry an order out after 900 ms, unless a script says otherwise. */
 function createFixture(names: string[], script: Record<string, OrderOutcome[]> = {}) {
     const clock = createFakeClock();
-    const versions = new Map(names.map(name => [name, 1]));
+    const versions = new Map(names.map(nameVersion => [nameVersion, 1]));
     const accepted = new Map(names.map(name => [name, 0]));
     const named = new Map<string, NamedVersion>();
     const sent: string[] = [];
@@ -46,12 +46,12 @@
             served: [{ policy, version: versions.get(name)! as WeightVersion }],
         }) as unknown as KnownSampler;
 
-    const roller = createLoadRoller({
+    const scheduler = createLoadScheduler({
         self: "r1",
         fencing: 7 as FencingNumber,
         mayOrder: () => state.mayOrder,
         watchVersions: () => watched(named),
-        entries: watched(new Map<string, LotEntry>()),
+        entries: watched(new Map<string, BatchJobEntry>()),
         routing: () =>
             ({ services: new Map([[service, { service, policies: [policy] }]]) }) as unknown as RoutingTable,
         directory: {
@@ -91,11 +91,11 @@
     const name = (version: number): void => void named.set(policy, { version: version as WeightVersion });
     const tick = async (ms: number): Promise<void> => {
         for (let passed = 0; passed < ms; passed += 150) {
-            roller.round();
+            scheduler.round();
             await clock.advance(150);
         }
     };
-    return { state, sent, versions, name, tick, stop: roller.stop };
+    return { state, sent, versions, name, tick, stop: scheduler.stop };
 }
 
 test("an order counts by what the start of the sampler says that it is meant for", async () => {
--- a/packages/runner/src/weights/createLoadRoller.ts
+++ b/packages/runner/src/weights/createLoadScheduler.ts
@@ -1,26 +1,26 @@
 import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
-import type { LotEntry } from "@auburnarch/lots/LotEntry";
+import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import type { EngineStatus } from "./EngineStatus.js";
 import { jobItemsOf } from "./jobItemsOf.js";
 import { jobTokensOf } from "./jobTokensOf.js";
-import type { LoadRollerDeps } from "./LoadRollerDeps.js";
-import { loadsAtOnce } from "./loadsAtOnce.js";
+import type { LoadSchedulerDeps } from "./LoadSchedulerDeps.js";
+import { maxConcurrentLoads } from "./maxConcurrentLoads.js";
 import type { OrderOutcome } from "./OrderOutcome.js";
 import { planLoads } from "./planLoads.js";
 import type { PolicyNeed } from "./PolicyNeed.js";
 import { versionOf } from "./versionOf.js";
 
-interface LoadRoller {
+interface LoadScheduler {
     /** Plans and orders what is due now. */
     round(): void;
     stop(): void;
 }
 
 /** A load shows in the sampler's entry once it is done; how often that is looked for. */
-const lookMs = 50;
+const pollIntervalMs = 50;
 /** An order of which nothing shows after this time is given again; the first one is void by its expected count. */
 const loadTimeoutMs = 2_500;
 const failurePauseMs = 300;
@@ -29,16 +29,19 @@
  * A sampler that started again under its name counts its orders anew. With the count of its other start an order would
  * be refused as long as the two differ, or, where they are equal, be void for a load that was never made.
  */
-const isOfAnotherStart = (status: EngineStatus, sampler: KnownSampler): boolean =>
+const isOfDifferentStart = (status: EngineStatus, sampler: KnownSampler): boolean =>
     status.bornAtMs !== undefined && sampler.bornAtMs !== undefined && status.bornAtMs !== sampler.bornAtMs;
 
-const jobsOf = (lots: readonly LotEntry[], policy: PolicyId): Pick<PolicyNeed, "jobTokens" | "jobItems"> => ({
-    jobTokens: jobTokensOf(lots, policy),
-    jobItems: jobItemsOf(lots, policy),
+const sizeOf = (
+    jobs: readonly BatchJobEntry[],
+    policy: PolicyId,
+): Pick<PolicyNeed, "jobTokens" | "jobItems"> => ({
+    jobTokens: jobTokensOf(jobs, policy),
+    jobItems: jobItemsOf(jobs, policy),
 });
 
 /** Orders samplers to load the versions that trainers name, for the holder of the duty. */
-export function createLoadRoller(deps: LoadRollerDeps): LoadRoller {
+export function createLoadScheduler(deps: LoadSchedulerDeps): LoadScheduler {
     const { clock, logger, metrics, directory, orders } = deps;
     const versions = deps.watchVersions();
     const stopped = new AbortController();
@@ -49,7 +52,7 @@
     const accepted = new Map<IncarnationId, number>();
     let loading = 0;
 
-    const serves = (sampler: KnownSampler, policy: PolicyId): number =>
+    const servedVersion = (sampler: KnownSampler, policy: PolicyId): number =>
         versionOf(directory.find(sampler.incarnation), policy);
 
     async function waitForLoad(
@@ -57,12 +60,12 @@
         policy: PolicyId,
         target: WeightVersion,
     ): Promise<boolean> {
-        const untilMs = clock.monotonicMs() + loadTimeoutMs;
-        while (clock.monotonicMs() < untilMs && !stopped.signal.aborted) {
-            if (serves(sampler, policy) >= target) {
+        const deadlineMs = clock.monotonicMs() + loadTimeoutMs;
+        while (clock.monotonicMs() < deadlineMs && !stopped.signal.aborted) {
+            if (servedVersion(sampler, policy) >= target) {
                 return true;
             }
-            await clock.sleep(lookMs, stopped.signal);
+            await clock.sleep(pollIntervalMs, stopped.signal);
         }
         return false;
     }
@@ -73,7 +76,7 @@
             return known;
         }
         const status = await orders.readStatus(sampler);
-        if (status === undefined || status.isBusy || isOfAnotherStart(status, sampler)) {
+        if (status === undefined || status.isBusy || isOfDifferentStart(status, sampler)) {
             return undefined;
         }
         accepted.set(sampler.incarnation, status.orders);
@@ -81,7 +84,7 @@
     }
 
     /** Without a clear answer the count is asked for again before the next order. */
-    function noteOutcome(sampler: KnownSampler, expectedOrders: number, outcome: OrderOutcome): void {
+    function recordOutcome(sampler: KnownSampler, expectedOrders: number, outcome: OrderOutcome): void {
         if (outcome === "accepted") {
             accepted.set(sampler.incarnation, expectedOrders + 1);
         }
@@ -98,7 +101,7 @@
         const { self, fencing } = deps;
         const order = { policy, version, runs: "preserved" as const, holder: self, fencing, expectedOrders };
         const outcome = await orders.load(sampler, order);
-        noteOutcome(sampler, expectedOrders, outcome);
+        recordOutcome(sampler, expectedOrders, outcome);
         const { incarnation } = sampler;
         logger.info("loadOrdered", {
             sampler: incarnation,
@@ -109,8 +112,8 @@
             outcome,
         });
         metrics.count("load_orders_total", { outcome });
-        const mayCome = outcome === "accepted" || outcome === "alreadyHolds" || outcome === "unknown";
-        return mayCome && waitForLoad(sampler, policy, version);
+        const mayTakeEffect = outcome === "accepted" || outcome === "alreadyHolds" || outcome === "unknown";
+        return mayTakeEffect && waitForLoad(sampler, policy, version);
     }
 
     async function run(sampler: KnownSampler, policy: PolicyId, version: WeightVersion): Promise<void> {
@@ -148,28 +151,28 @@
         if (table === undefined || stopped.signal.aborted || !deps.mayOrder()) {
             return;
         }
-        const lots = [...deps.entries.objects()?.values() ?? []];
-        const open = new Set(lots.filter(lot => !lot.isEnded).map(lot => lot.policy));
+        const jobs = [...deps.entries.objects()?.values() ?? []];
+        const openPolicies = new Set(jobs.filter(job => !job.isEnded).map(lot => lot.policy));
         for (const { service, policies } of table.services.values()) {
             const needs = policies.map(policy => {
                 const target = versions.objects()?.get(policy)?.version;
-                const isQuiet = !open.has(policy);
-                return { policy, target, namedMs: namedMs(policy, target), isQuiet, ...jobsOf(lots, policy) };
+                const isQuiet = !openPolicies.has(policy);
+                return { policy, target, namedMs: namedMs(policy, target), isQuiet, ...sizeOf(jobs, policy) };
             });
             const samplers = directory.serving(service);
-            const maxLoading = deps.maxLoading ?? loadsAtOnce(samplers.length);
+            const maxLoading = deps.maxLoading ?? maxConcurrentLoads(samplers.length);
             for (const due of planLoads({ samplers, needs, blocked, loading, maxLoading, assigned })) {
                 void run(due.sampler, due.policy, due.version);
             }
         }
     }
 
-    const ends = [versions.onChange(round), deps.entries.onChange(round)];
+    const unsubscribes = [versions.onChange(round), deps.entries.onChange(round)];
     return {
         round,
         stop: () => {
             stopped.abort();
-            ends.forEach(end => end());
+            unsubscribes.forEach(end => end());
             versions.stop();
         },
     };
--- a/packages/runner/src/weights/jobTokensOf.ts
+++ b/packages/runner/src/weights/jobTokensOf.ts
@@ -1,7 +1,7 @@
-import type { LotEntry } from "@auburnarch/lots/LotEntry";
+import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import { averageOfLatest } from "./averageOfLatest.js";
 
 /** Output tokens of one of a policy's latest jobs, on average; undefined while none that says is known. */
-export const jobTokensOf = (lots: readonly LotEntry[], policy: PolicyId): number | undefined =>
-    averageOfLatest(lots, policy, lot => lot.expectedTokens);
+export const jobTokensOf = (entries: readonly BatchJobEntry[], policy: PolicyId): number | undefined =>
+    averageOfLatest(entries, policy, lot => lot.expectedTokens);
--- a/packages/runner/src/weights/listDueLoads.ts
+++ b/packages/runner/src/weights/listDueLoads.ts
@@ -17,19 +17,19 @@
 }
 
 /** A step may be made of the version before the newest named one, and of no older. */
-const usableLag = 1;
+const maxUsableLag = 1;
 /**
  * A version that nobody waits for is loaded between two jobs, or once most items of the open one have begun. Later
  * would leave the next step without samplers whenever the holder of the duty dies in between.
  */
-const latestAfterNamedMs = 1_200;
+const maxLoadDelayMs = 1_200;
 
 /** Of a load that only keeps half of the samplers at the newest version. */
-function urgencyOfEarly(need: PolicyNeed): number {
+function urgencyOfEarlyLoad(need: PolicyNeed): number {
     if (need.isQuiet) {
         return loadUrgency.quiet;
     }
-    return need.namedMs > latestAfterNamedMs ? loadUrgency.overdue : loadUrgency.notNow;
+    return need.namedMs > maxLoadDelayMs ? loadUrgency.overdue : loadUrgency.notNow;
 }
 
 /**
@@ -49,14 +49,14 @@
         return { loads: [], usable: own.length, missing: 0 };
     }
     const free = own.filter(({ incarnation }) => !blocked.has(incarnation));
-    const isUseless = (sampler: KnownSampler): boolean => versionOf(sampler, policy) < target - usableLag;
+    const isUnusable = (sampler: KnownSampler): boolean => versionOf(sampler, policy) < target - maxUsableLag;
     const isFresh = (sampler: KnownSampler): boolean => versionOf(sampler, policy) >= target;
-    const useless = free.filter(isUseless);
-    const missing = Math.ceil(own.length / 2) - own.filter(isFresh).length - loading - useless.length;
-    const urgency = urgencyOfEarly(need);
+    const unusable = free.filter(isUnusable);
+    const missing = Math.ceil(own.length / 2) - own.filter(isFresh).length - loading - unusable.length;
+    const urgency = urgencyOfEarlyLoad(need);
     const early = urgency === loadUrgency.notNow
         ? []
-        : free.filter(each => !isUseless(each) && !isFresh(each));
+        : free.filter(each => !isUnusable(each) && !isFresh(each));
     const toLoad = (sampler: KnownSampler, at: number): DueLoad => ({
         sampler,
         policy,
@@ -65,10 +65,10 @@
     });
     return {
         loads: [
-            ...useless.map(sampler => toLoad(sampler, loadUrgency.ofNoUse)),
+            ...unusable.map(sampler => toLoad(sampler, loadUrgency.unusable)),
             ...early.map(sampler => toLoad(sampler, urgency)),
         ],
         missing,
-        usable: own.filter(sampler => !isUseless(sampler)).length + loading,
+        usable: own.filter(sampler => !isUnusable(sampler)).length + loading,
     };
 }
--- a/packages/runner/src/weights/loadsAtOnce.test.ts
+++ b/packages/runner/src/weights/maxConcurrentLoads.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
-import { loadsAtOnce } from "./loadsAtOnce.js";
+import { maxConcurrentLoads } from "./maxConcurrentLoads.js";
 
 test("the loads at once keep within what the samplers' weight source takes, at each known size", () => {
     // Guards against: on a fleet of 33 samplers steps stood still for samplers of their version.
-    expect([1, 6, 27, 33].map(loadsAtOnce)).toEqual([2, 2, 7, 8]);
+    expect([1, 6, 27, 33].map(maxConcurrentLoads)).toEqual([2, 2, 7, 8]);
 });
