--- a/packages/runner/src/weights/planLoads.test.ts
+++ b/packages/runner/src/weights/planLoads.test.ts
@@ -155,7 +155,7 @@
         return policies.map(policy => loads.filter(load => load.policy === policy).length);
     };
     expect(perPolicy({})).toEqual([4, 4, 4]);
-    const underWay = new Map(many.slice(0, 3).map(each => [each.incarnation, policies[0]!]));
-    expect(perPolicy({ blocked: underWay, loading: 3 })[0]).toBe(1);
+    const inProgress = new Map(many.slice(0, 3).map(each => [each.incarnation, policies[0]!]));
+    expect(perPolicy({ blocked: inProgress, loading: 3 })[0]).toBe(1);
     expect(perPolicy({ maxLoading: 8 }).reduce((sum, each) => sum + each, 0)).toBe(8);
 });
--- a/packages/runner/src/weights/planLoads.ts
+++ b/packages/runner/src/weights/planLoads.ts
@@ -45,7 +45,7 @@
 function sharesOf({ samplers, needs }: PlanLoadsInput): Map<PolicyId, number> {
     const shares = widenShares(shareSamplers(samplers.length, needs.map(need => need.jobTokens)), {
         samplers: samplers.length,
-        placesPerSampler: samplers[0]?.maxBatch ?? 1,
+        slotsPerSampler: samplers[0]?.maxBatch ?? 1,
         jobItems: needs.map(need => need.jobItems),
     });
     return new Map(needs.map(({ policy }, at) => [policy, shares[at]!]));
@@ -54,31 +54,32 @@
 /** Gives each policy its number of samplers, and each sampler about as many policies as any other. */
 function assign(input: PlanLoadsInput, shares: ReadonlyMap<PolicyId, number>): void {
     const { samplers, needs, assigned } = input;
-    const given = [...shares.values()].reduce((sum, share) => sum + share, 0);
-    const most = Math.ceil(given / Math.max(1, samplers.length));
+    const totalShares = [...shares.values()].reduce((sum, share) => sum + share, 0);
+    const maxPolicies = Math.ceil(totalShares / Math.max(1, samplers.length));
     const present = new Set(samplers.map(sampler => sampler.incarnation));
-    const load = new Map<IncarnationId, number>();
-    const take = (sampler: IncarnationId): void => void load.set(sampler, (load.get(sampler) ?? 0) + 1);
+    const policiesOf = new Map<IncarnationId, number>();
+    const assignTo = (sampler: IncarnationId): void =>
+        void policiesOf.set(sampler, (policiesOf.get(sampler) ?? 0) + 1);
     for (const { policy } of needs) {
-        const kept = [...assigned.get(policy) ?? listServing(samplers, policy)]
-            .filter(each => present.has(each) && (load.get(each) ?? 0) < most)
+        const retained = [...assigned.get(policy) ?? listServing(samplers, policy)]
+            .filter(each => present.has(each) && (policiesOf.get(each) ?? 0) < maxPolicies)
             .slice(0, shares.get(policy));
-        kept.forEach(take);
-        assigned.set(policy, new Set(kept));
+        retained.forEach(assignTo);
+        assigned.set(policy, new Set(retained));
     }
     for (const { policy } of needs) {
         const own = assigned.get(policy)!;
         const free = rankByRendezvous(policy, samplers, sampler => sampler.incarnation)
             .filter(sampler => !own.has(sampler.incarnation))
-            .sort((a, b) => (load.get(a.incarnation) ?? 0) - (load.get(b.incarnation) ?? 0));
+            .sort((a, b) => (policiesOf.get(a.incarnation) ?? 0) - (policiesOf.get(b.incarnation) ?? 0));
         for (const { incarnation } of free.slice(0, shares.get(policy)! - own.size)) {
             own.add(incarnation);
-            take(incarnation);
+            assignTo(incarnation);
         }
     }
 }
 
-const ownOf = ({ policy }: PolicyNeed, { samplers, assigned }: PlanLoadsInput): KnownSampler[] =>
+const assignedTo = ({ policy }: PolicyNeed, { samplers, assigned }: PlanLoadsInput): KnownSampler[] =>
     samplers.filter(({ incarnation }) => assigned.get(policy)!.has(incarnation));
 
 /**
@@ -92,10 +93,10 @@
     assign(input, shares);
     const chosen: DueLoad[] = [];
     const taken = new Set<IncarnationId>();
-    const overdueAtOnce = (policy: PolicyId): number =>
+    const maxOverdueLoads = (policy: PolicyId): number =>
         Math.max(1, Math.floor(shares.get(policy)! / loadRounds));
-    const due = input.needs.map(need => listDueLoads(need, ownOf(need, input), input.blocked));
-    const underWay = new Map(
+    const due = input.needs.map(need => listDueLoads(need, assignedTo(need, input), input.blocked));
+    const inProgress = new Map(
         input.needs.map(({ policy }) => [
             policy,
             [...input.blocked.values()].filter(each => each === policy).length,
@@ -105,8 +106,8 @@
     function nextOf({ loads, missing }: ReturnType<typeof listDueLoads>): DueLoad | undefined {
         return loads.find(({ sampler, policy, urgency }) =>
             !taken.has(sampler.incarnation)
-            && (urgency === loadUrgency.ofNoUse || missing > 0)
-            && (urgency !== loadUrgency.overdue || underWay.get(policy)! < overdueAtOnce(policy))
+            && (urgency === loadUrgency.unusable || missing > 0)
+            && (urgency !== loadUrgency.overdue || inProgress.get(policy)! < maxOverdueLoads(policy))
         );
     }
 
@@ -120,9 +121,9 @@
         }
         const { sampler, policy, urgency } = next.load!;
         taken.add(sampler.incarnation);
-        underWay.set(policy, underWay.get(policy)! + 1);
+        inProgress.set(policy, inProgress.get(policy)! + 1);
         next.each.usable++;
-        next.each.missing -= urgency === loadUrgency.ofNoUse ? 0 : 1;
+        next.each.missing -= urgency === loadUrgency.unusable ? 0 : 1;
         next.each.loads = next.each.loads.filter(load => load !== next.load);
         chosen.push(next.load!);
     }
--- a/packages/runner/src/weights/shareSamplers.load.test.ts
+++ b/packages/runner/src/weights/shareSamplers.load.test.ts
@@ -3,12 +3,12 @@
 import { shareSamplers } from "./shareSamplers.js";
 
 const samplers = 8;
-const placesPerSampler = 6;
+const slotsPerSampler = 6;
 const eventMs = 40;
 const stepEveryMs = 4_000;
 const dueMs = 7_500;
 const trainMs = 1_000;
-const neededPart = 0.9;
+const neededRatio = 0.9;
 const steps = 12;
 /** All samplers stand still once, as in a loss of power. */
 const stopAtMs = 14_000;
@@ -23,9 +23,9 @@
 const light: Trainer = { items: 80, meanEvents: 12 };
 
 /** Milliseconds from the asking to the end of each step, and how late the last one was asked. */
-function playTrainer({ items, meanEvents }: Trainer, places: number) {
+function simulateTrainer({ items, meanEvents }: Trainer, slots: number) {
     const random = createRandom(items);
-    const freeAtMs = Array.from({ length: places }, () => 0);
+    const freeAtMs = Array.from({ length: slots }, () => 0);
     const endedAtMs: number[] = [];
     const tookMs: number[] = [];
     let lateMs = 0;
@@ -36,34 +36,34 @@
         const lengths = Array.from({ length: items }, () => -Math.log(1 - random.nextUnit()) * meanEvents)
             .sort((a, b) => b - a);
         const ends = lengths.map(events => {
-            const place = freeAtMs.indexOf(Math.min(...freeAtMs));
-            const startMs = Math.max(askedAtMs, freeAtMs[place]!);
+            const slot = freeAtMs.indexOf(Math.min(...freeAtMs));
+            const startMs = Math.max(askedAtMs, freeAtMs[slot]!);
             const endMs = startMs + events * eventMs;
             const isStopped = startMs < stopAtMs + stopMs && endMs > stopAtMs;
-            freeAtMs[place] = endMs + (isStopped ? stopMs : 0);
-            return freeAtMs[place]!;
+            freeAtMs[slot] = endMs + (isStopped ? stopMs : 0);
+            return freeAtMs[slot]!;
         }).sort((a, b) => a - b);
-        endedAtMs.push(ends[Math.floor(neededPart * items)]!);
+        endedAtMs.push(ends[Math.floor(neededRatio * items)]!);
         tookMs.push(endedAtMs.at(-1)! - askedAtMs);
     }
     return { lateMs: Math.round(lateMs), inTime: tookMs.filter(ms => ms <= dueMs).length };
 }
 
 /** Policies that share a sampler share its places. */
-function playShares(shares: number[]) {
-    const given = shares.reduce((sum, share) => sum + share, 0);
-    const placesOf = (share: number): number => Math.floor(samplers * placesPerSampler * share / given);
+function simulateShares(shares: number[]) {
+    const totalShares = shares.reduce((sum, share) => sum + share, 0);
+    const slotsOf = (share: number): number => Math.floor(samplers * slotsPerSampler * share / totalShares);
     return {
-        heavy: playTrainer(heavy, placesOf(shares[0]!)),
-        light: playTrainer(light, placesOf(shares[1]!)),
+        heavy: simulateTrainer(heavy, slotsOf(shares[0]!)),
+        light: simulateTrainer(light, slotsOf(shares[1]!)),
     };
 }
 
 test("a trainer with three times the work gets its steps in time, and the other loses none", () => {
     const work = [heavy, light].map(({ items, meanEvents }) => items * meanEvents);
     expect({
-        before: playShares(shareSamplers(samplers, [undefined, undefined])),
-        after: playShares(shareSamplers(samplers, work)),
+        before: simulateShares(shareSamplers(samplers, [undefined, undefined])),
+        after: simulateShares(shareSamplers(samplers, work)),
     }).toMatchInlineSnapshot(`
       {
         "after": {
--- a/packages/runner/src/weights/shareSamplers.test.ts
+++ b/packages/runner/src/weights/shareSamplers.test.ts
@@ -1,11 +1,11 @@
-import type { LotEntry } from "@auburnarch/lots/LotEntry";
+import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import { expect, test } from "vitest";
 import { jobTokensOf } from "./jobTokensOf.js";
 import { shareSamplers } from "./shareSamplers.js";
 
 const plume = "plume" as PolicyId;
-const entry = (submittedAtMs: number, expectedTokens: number | undefined, policy = plume): LotEntry => ({
+const entry = (submittedAtMs: number, expectedTokens: number | undefined, policy = plume): BatchJobEntry => ({
     total: 8,
     team: undefined,
     submittedAtMs,
@@ -65,8 +65,8 @@
 });
 
 test("a policy's work is that of its latest jobs", () => {
-    const lots = [entry(1, 9_000), entry(5, 100), entry(3, 300), entry(4, 200), entry(2, 400)];
+    const entries = [entry(1, 9_000), entry(5, 100), entry(3, 300), entry(4, 200), entry(2, 400)];
     const others = [entry(6, 7_000, "ridge" as PolicyId), entry(7, undefined)];
-    expect(jobTokensOf([...lots, ...others], plume)).toBe(250);
+    expect(jobTokensOf([...entries, ...others], plume)).toBe(250);
     expect(jobTokensOf([entry(1, undefined)], plume)).toBeUndefined();
 });
--- a/packages/runner/src/weights/widenShares.test.ts
+++ b/packages/runner/src/weights/widenShares.test.ts
@@ -3,13 +3,13 @@
 import { widenShares } from "./widenShares.js";
 
 test("a policy whose step has more items than its samplers have places gets more, within what can be loaded", () => {
-    const places = { samplers: 29, placesPerSampler: 8 };
+    const capacity = { samplers: 29, slotsPerSampler: 8 };
     expect({
-        fits: widenShares([12, 12, 8], { ...places, jobItems: [90, 60, 40] }),
-        widened: widenShares([12, 12, 8], { ...places, jobItems: [136, 96, 64] }),
-        scarce: widenShares([12, 12, 8], { ...places, jobItems: [160, 160, 160] }),
-        unknown: widenShares([12, 12, 8], { ...places, jobItems: [undefined, undefined, undefined] }),
-        none: widenShares([0, 0], { samplers: 0, placesPerSampler: 8, jobItems: [160, 160] }),
+        fits: widenShares([12, 12, 8], { ...capacity, jobItems: [90, 60, 40] }),
+        widened: widenShares([12, 12, 8], { ...capacity, jobItems: [136, 96, 64] }),
+        scarce: widenShares([12, 12, 8], { ...capacity, jobItems: [160, 160, 160] }),
+        unknown: widenShares([12, 12, 8], { ...capacity, jobItems: [undefined, undefined, undefined] }),
+        none: widenShares([0, 0], { samplers: 0, slotsPerSampler: 8, jobItems: [160, 160] }),
     }).toMatchInlineSnapshot(`
       {
         "fits": [
@@ -49,7 +49,7 @@
             fc.infiniteStream(fc.nat(400)),
             (own, samplers, items) => {
                 const jobItems = own.map(() => items.next().value as number);
-                const widened = widenShares(own, { samplers, placesPerSampler: 8, jobItems });
+                const widened = widenShares(own, { samplers, slotsPerSampler: 8, jobItems });
                 const before = own.reduce((sum, share) => sum + share, 0);
                 const after = widened.reduce((sum, share) => sum + share, 0);
                 expect(widened.every((share, at) => share >= own[at]! && share <= samplers)).toBe(true);
--- a/packages/runner/src/weights/widenShares.ts
+++ b/packages/runner/src/weights/widenShares.ts
@@ -2,12 +2,12 @@
  * Shares of all policies together, in samplers: half of them serve a second policy. Each further one is a load for
  * every second version, and only some samplers may load at once.
  */
-const mostServed = 1.5;
+const maxSharesPerSampler = 1.5;
 
 interface WidenQuery {
     samplers: number;
     /** Requests that one sampler processes at once. */
-    placesPerSampler: number;
+    slotsPerSampler: number;
     /** Items of one job of each policy; undefined where no job is known. */
     jobItems: readonly (number | undefined)[];
 }
@@ -19,15 +19,15 @@
  */
 export function widenShares(
     shares: readonly number[],
-    { samplers, placesPerSampler, jobItems }: WidenQuery,
+    { samplers, slotsPerSampler: placesPerSampler, jobItems }: WidenQuery,
 ): number[] {
-    const lacking = shares.map((share, at) => {
+    const shortfalls = shares.map((share, at) => {
         const wanted = Math.ceil((jobItems[at] ?? 0) / Math.max(1, placesPerSampler));
         return Math.max(0, Math.min(samplers, wanted) - share);
     });
-    const total = lacking.reduce((sum, each) => sum + each, 0);
-    const given = shares.reduce((sum, share) => sum + share, 0);
-    const spare = Math.max(0, Math.floor(mostServed * samplers) - given);
-    const part = total === 0 ? 0 : Math.min(1, spare / total);
-    return shares.map((share, at) => share + Math.floor(lacking[at]! * part));
+    const total = shortfalls.reduce((sum, each) => sum + each, 0);
+    const totalShares = shares.reduce((sum, share) => sum + share, 0);
+    const spare = Math.max(0, Math.floor(maxSharesPerSampler * samplers) - totalShares);
+    const ratio = total === 0 ? 0 : Math.min(1, spare / total);
+    return shares.map((share, at) => share + Math.floor(shortfalls[at]! * ratio));
 }
--- a/packages/spread/src/Spread.ts
+++ b/packages/spread/src/DocumentSync.ts
@@ -1,10 +1,10 @@
 import type { DocumentDigest } from "@auburnarch/types/DocumentDigest";
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import type { DocumentTransfer } from "./DocumentTransfer.js";
-import type { SpreadMessage } from "./SpreadMessage.js";
+import type { SyncMessage } from "./SyncMessage.js";
 
 /** Versioned documents that all entries come to share. A version never goes back in a process. */
-export interface Spread {
+export interface DocumentSync {
     start(): void;
     stop(): void;
     /** Takes a document if it is newer and without faults, and sends it on; true if taken. */
@@ -22,9 +22,9 @@
      * holds a manifest with faults have none, though each sidecar still works by the last good one, and serve nobody
      * until an operator mends it.
      */
-    takeAbsent(transfers: DocumentTransfer[]): void;
+    applyAbsent(transfers: DocumentTransfer[]): void;
     /** Answers a peer's message, unchecked as it came. Throws `badRequest` if it is malformed. */
-    receive(message: unknown): SpreadMessage;
+    receive(message: unknown): SyncMessage;
     /** True once a peer or the object API has told what it holds; a process serves nothing before. */
     isCaughtUp(): boolean;
 }
--- a/packages/spread/src/SpreadDeps.ts
+++ b/packages/spread/src/DocumentSyncDeps.ts
@@ -5,13 +5,13 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { Random } from "@auburnarch/types/Random";
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
+import type { DocumentSyncGuards } from "./DocumentSyncGuards.js";
+import type { DocumentSyncTiming } from "./DocumentSyncTiming.js";
 import type { PeerAddress } from "./PeerAddress.js";
-import type { SpreadGuards } from "./SpreadGuards.js";
-import type { SpreadMessage } from "./SpreadMessage.js";
-import type { SpreadTiming } from "./SpreadTiming.js";
+import type { SyncMessage } from "./SyncMessage.js";
 
 /** What spreading is built from. */
-export interface SpreadDeps {
+export interface DocumentSyncDeps {
     clock: Clock;
     random: Random;
     logger: Logger;
@@ -24,9 +24,9 @@
     /** True while this process is one of the few that watch the object API. */
     isRelay: () => boolean;
     /** Sends a message to a peer and resolves with its answer; rejects if there is none. */
-    exchange: (address: string, message: SpreadMessage) => Promise<unknown>;
+    exchange: (address: string, message: SyncMessage) => Promise<unknown>;
     /** Faults of a document's value; a document with any is never taken. */
     faultsOf: (document: SharedDocument) => ConfigFault[];
-    guards?: SpreadGuards;
-    timing?: Partial<SpreadTiming>;
+    guards?: DocumentSyncGuards;
+    timing?: Partial<DocumentSyncTiming>;
 }
--- a/packages/spread/src/SpreadTiming.ts
+++ b/packages/spread/src/DocumentSyncTiming.ts
@@ -1,5 +1,5 @@
 /** Times and sizes of spreading. None needs tuning; tests and benches vary them. */
-export interface SpreadTiming {
+export interface DocumentSyncTiming {
     /** Mean time between two exchanges that a process starts. */
     exchangeIntervalMs: number;
     /** The same until the first exchange is answered: a process serves nothing before. */
--- a/packages/spread/src/SpreadMessage.ts
+++ b/packages/spread/src/SyncMessage.ts
@@ -5,7 +5,7 @@
  * One message of an exchange, in either direction. With equal checksums both hold the same versions and nothing
  * more is said, so that the steady state costs the same whatever the number of documents.
  */
-export interface SpreadMessage {
+export interface SyncMessage {
     /** Hash over the names and versions held. */
     checksum: string;
     /** All versions held, sent once the checksums differ. */
--- a/packages/spread/src/callInTime.ts
+++ b/packages/spread/src/callWithTimeout.ts
@@ -4,7 +4,7 @@
  * The answer of `call`, or undefined if it fails or takes longer than `limitMs`. A peer that takes a message and
  * never answers would otherwise hold its sender for ever.
  */
-export function callInTime<T>(
+export function callWithTimeout<T>(
     clock: Clock,
     limitMs: number,
     call: () => Promise<T>,
--- a/packages/spread/src/createFollower.ts
+++ b/packages/spread/src/createDocumentFollower.ts
@@ -2,41 +2,41 @@
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import { z } from "zod";
 import { createDocumentSet } from "./createDocumentSet.js";
-import { defaultSpreadGuards } from "./defaultSpreadGuards.js";
+import { defaultDocumentSyncGuards } from "./defaultDocumentSyncGuards.js";
+import type { DocumentFollower } from "./DocumentFollower.js";
+import type { DocumentSyncDeps } from "./DocumentSyncDeps.js";
 import type { DocumentTransfer } from "./DocumentTransfer.js";
 import { documentTransferSchema } from "./documentTransferSchema.js";
-import type { Follower } from "./Follower.js";
-import type { SpreadDeps } from "./SpreadDeps.js";
 
 const followedNames = ["manifest", "quarantine"];
 const transfersSchema = z.array(documentTransferSchema).max(followedNames.length);
 
 /** Makes a sidecar's set of documents; `onTaken` hears of each one taken. */
-export function createFollower(
-    deps: Pick<SpreadDeps, "invariants" | "logger" | "faultsOf" | "guards">,
-    onTaken: (document: SharedDocument) => void,
-): Follower {
-    const documents = createDocumentSet(deps, deps.guards ?? defaultSpreadGuards, onTaken);
+export function createDocumentFollower(
+    deps: Pick<DocumentSyncDeps, "invariants" | "logger" | "faultsOf" | "guards">,
+    onApplied: (document: SharedDocument) => void,
+): DocumentFollower {
+    const documents = createDocumentSet(deps, deps.guards ?? defaultDocumentSyncGuards, onApplied);
     /** Documents whose change did not fit what is held here: they are asked for whole. */
-    const askedWhole = new Set<string>();
+    const wholeRequested = new Set<string>();
     /** Versions with faults: not asked for again, else each answer would bring them. */
     const refusedVersions = new Map<string, number>();
 
     function digest(): DocumentDigest {
         const versions = followedNames.map(name => {
             const held = Math.max(documents.get(name)?.version ?? 0, refusedVersions.get(name) ?? 0);
-            return [name, askedWhole.has(name) ? 0 : held] as const;
+            return [name, wholeRequested.has(name) ? 0 : held] as const;
         });
         return Object.fromEntries(versions);
     }
 
-    function take(transfer: DocumentTransfer): void {
-        const result = documents.takeTransfer(transfer);
+    function applyTransfer(transfer: DocumentTransfer): void {
+        const result = documents.applyTransfer(transfer);
         if (result === "baseMissing") {
-            askedWhole.add(transfer.name);
+            wholeRequested.add(transfer.name);
             return;
         }
-        askedWhole.delete(transfer.name);
+        wholeRequested.delete(transfer.name);
         if (result === "refused") {
             refusedVersions.set(transfer.name, transfer.version);
         }
@@ -51,7 +51,7 @@
                 return;
             }
             for (const transfer of parsed.data as DocumentTransfer[]) {
-                take(transfer);
+                applyTransfer(transfer);
             }
         },
         wholeDocuments: names =>
--- a/packages/spread/src/createDocumentSet.test.ts
+++ b/packages/spread/src/createDocumentSet.test.ts
@@ -4,9 +4,9 @@
 import { expect, test } from "vitest";
 import { answerMessage } from "./answerMessage.js";
 import { createDocumentSet } from "./createDocumentSet.js";
-import { defaultSpreadGuards } from "./defaultSpreadGuards.js";
+import { defaultDocumentSyncGuards } from "./defaultDocumentSyncGuards.js";
 import type { DocumentSet } from "./DocumentSet.js";
-import type { SpreadMessage } from "./SpreadMessage.js";
+import type { SyncMessage } from "./SyncMessage.js";
 
 const silent: Logger = {
     info: () => undefined,
@@ -23,7 +23,7 @@
     tail: [version % 3],
 });
 
-function build(guards = defaultSpreadGuards) {
+function build(guards = defaultDocumentSyncGuards) {
     const broken: string[] = [];
     const taken: string[] = [];
     const invariants = createInvariants(silent, code => broken.push(code.name));
@@ -35,11 +35,10 @@
     return { set, broken, taken };
 }
 
-const overTheWire = (message: SpreadMessage): SpreadMessage =>
-    JSON.parse(JSON.stringify(message)) as SpreadMessage;
+const overTheWire = (message: SyncMessage): SyncMessage => JSON.parse(JSON.stringify(message)) as SyncMessage;
 
 function exchangeWhole(from: DocumentSet, to: DocumentSet): void {
-    let message: SpreadMessage = { checksum: from.checksum(), documents: [] };
+    let message: SyncMessage = { checksum: from.checksum(), documents: [] };
     for (let round = 0; round < 4; round++) {
         message = answerMessage(to, overTheWire(message));
         message = answerMessage(from, overTheWire(message));
@@ -61,12 +60,12 @@
     fc.assert(
         fc.property(fc.array(step, { maxLength: 60 }), steps => {
             const nodes = [build(), build(), build()];
-            const sent: SpreadMessage[] = [];
+            const sent: SyncMessage[] = [];
             const highest = new Map<string, number>();
             for (const one of steps) {
                 if (one.kind === "offer") {
                     const name = names[one.name]!;
-                    nodes[one.at]!.set.take({
+                    nodes[one.at]!.set.apply({
                         name,
                         version: one.version,
                         value: valueOf(name, one.version),
@@ -103,32 +102,32 @@
 
 test("a change of a long document travels as a change, and whole where the base is missing", () => {
     const [a, b, late] = [build().set, build().set, build().set];
-    a.take({ name: "manifest", version: 1, value: valueOf("manifest", 1) });
+    a.apply({ name: "manifest", version: 1, value: valueOf("manifest", 1) });
     exchangeWhole(a, b);
-    a.take({ name: "manifest", version: 2, value: valueOf("manifest", 2) });
+    a.apply({ name: "manifest", version: 2, value: valueOf("manifest", 2) });
     const change = a.transfer("manifest", 1)!;
     expect(change.kind).toBe("delta");
     expect(JSON.stringify(change).length).toBeLessThan(300);
-    expect(b.takeTransfer(change)).toBe("taken");
+    expect(b.applyTransfer(change)).toBe("taken");
     expect(b.get("manifest")!.value).toEqual(valueOf("manifest", 2));
-    expect(late.takeTransfer(change)).toBe("baseMissing");
+    expect(late.applyTransfer(change)).toBe("baseMissing");
     expect(a.transfer("manifest", 0)!.kind).toBe("whole");
 });
 
 test("a document with faults is refused whole and not asked for again, and a later good one is taken", () => {
     // Guards against: after a bad manifest came by, each exchange fetches and refuses it again, for ever.
     const { set } = build();
-    set.take({ name: "manifest", version: 1, value: "good" });
-    expect(set.take({ name: "manifest", version: 2, value: "bad" })).toBe("refused");
+    set.apply({ name: "manifest", version: 1, value: "good" });
+    expect(set.apply({ name: "manifest", version: 2, value: "bad" })).toBe("refused");
     expect(set.get("manifest")).toEqual({ name: "manifest", version: 1, value: "good" });
-    expect(set.missing({ manifest: 2 })).toEqual({});
-    expect(set.missing({ manifest: 3 })).toEqual({ manifest: 1 });
-    expect(set.take({ name: "manifest", version: 3, value: "good" })).toBe("taken");
+    expect(set.findOutdated({ manifest: 2 })).toEqual({});
+    expect(set.findOutdated({ manifest: 3 })).toEqual({ manifest: 1 });
+    expect(set.apply({ name: "manifest", version: 3, value: "good" })).toBe("taken");
 });
 
 test("without the guard an older document would replace a newer one, and the assertion reports it", () => {
     const { set, broken } = build({ forwardOnly: () => true });
-    set.take({ name: "manifest", version: 2, value: "new" });
-    set.take({ name: "manifest", version: 1, value: "old" });
+    set.apply({ name: "manifest", version: 2, value: "new" });
+    set.apply({ name: "manifest", version: 1, value: "old" });
     expect(broken).toEqual(["configReverted"]);
 });
--- a/packages/spread/src/createDocumentSet.ts
+++ b/packages/spread/src/createDocumentSet.ts
@@ -4,51 +4,51 @@
 import { applyTextDelta } from "./applyTextDelta.js";
 import { createTextDelta } from "./createTextDelta.js";
 import type { DocumentSet } from "./DocumentSet.js";
+import type { DocumentSyncDeps } from "./DocumentSyncDeps.js";
+import type { DocumentSyncGuards } from "./DocumentSyncGuards.js";
 import type { DocumentTransfer } from "./DocumentTransfer.js";
 import { hashText } from "./hashText.js";
-import type { SpreadDeps } from "./SpreadDeps.js";
-import type { SpreadGuards } from "./SpreadGuards.js";
 
 /** Below this length a document is sent whole: a change would hardly be shorter. */
 const minDeltaChars = 1_024;
 /** Earlier texts kept of a long document, as bases of changes. */
-const keptTexts = 6;
-const shownFaults = 20;
+const maxBaseTexts = 6;
+const maxLoggedFaults = 20;
 const checksumChars = 16;
 
-interface Held {
+interface StoredEntry {
     document: SharedDocument;
     /** Texts by version, the newest last; only for long documents. */
-    texts: { version: number; text: string; }[];
+    baseTexts: { version: number; text: string; }[];
 }
 
 /** Makes the set of documents of a process; `onTaken` hears of each document taken. */
 export function createDocumentSet(
-    deps: Pick<SpreadDeps, "invariants" | "logger" | "faultsOf">,
-    guards: SpreadGuards,
-    onTaken: (document: SharedDocument) => void,
+    deps: Pick<DocumentSyncDeps, "invariants" | "logger" | "faultsOf">,
+    guards: DocumentSyncGuards,
+    onApplied: (document: SharedDocument) => void,
 ): DocumentSet {
-    const held = new Map<string, Held>();
+    const entries = new Map<string, StoredEntry>();
     const refusedVersions = new Map<string, number>();
     let checksum: string | undefined;
 
-    const versionOf = (name: string): number => held.get(name)?.document.version ?? 0;
+    const versionOf = (name: string): number => entries.get(name)?.document.version ?? 0;
 
     function findText(name: string, version: number): string | undefined {
-        return held.get(name)?.texts.find(kept => kept.version === version)?.text;
+        return entries.get(name)?.baseTexts.find(kept => kept.version === version)?.text;
     }
 
-    function keepTexts(name: string, version: number, text: string): Held["texts"] {
+    function appendText(name: string, version: number, text: string): StoredEntry["baseTexts"] {
         if (text.length < minDeltaChars) {
             return [];
         }
-        return [...(held.get(name)?.texts ?? []), { version, text }].slice(-keptTexts);
+        return [...(entries.get(name)?.baseTexts ?? []), { version, text }].slice(-maxBaseTexts);
     }
 
     function refuse(document: SharedDocument, faults: { path: string; message: string; }[]): void {
         // Without this note the document would be fetched again at each exchange.
         refusedVersions.set(document.name, document.version);
-        for (const fault of faults.slice(0, shownFaults)) {
+        for (const fault of faults.slice(0, maxLoggedFaults)) {
             deps.logger.error("documentRefused", {
                 document: document.name,
                 version: document.version,
@@ -60,7 +60,7 @@
         }
     }
 
-    function take(document: SharedDocument): ReturnType<DocumentSet["take"]> {
+    function apply(document: SharedDocument): ReturnType<DocumentSet["apply"]> {
         const { name, version, value } = document;
         const before = versionOf(name);
         if (!guards.forwardOnly(before, version)) {
@@ -79,17 +79,17 @@
             version,
             before,
         });
-        held.set(name, { document, texts: keepTexts(name, version, JSON.stringify(value) ?? "") });
+        entries.set(name, { document, baseTexts: appendText(name, version, JSON.stringify(value) ?? "") });
         checksum = undefined;
         deps.logger.info("documentTaken", { document: name, version, before });
-        onTaken(document);
+        onApplied(document);
         return "taken";
     }
 
-    function takeTransfer(transfer: DocumentTransfer): ReturnType<DocumentSet["take"]> {
+    function applyTransfer(transfer: DocumentTransfer): ReturnType<DocumentSet["apply"]> {
         const { name, version } = transfer;
         if (transfer.kind === "whole") {
-            return take({ name, version, value: transfer.value });
+            return apply({ name, version, value: transfer.value });
         }
         if (!guards.forwardOnly(versionOf(name), version)) {
             return "notNewer";
@@ -98,11 +98,11 @@
         const text = base === undefined ? undefined : applyTextDelta(base, transfer.delta);
         return text === undefined
             ? "baseMissing"
-            : take({ name, version, value: JSON.parse(text) as unknown });
+            : apply({ name, version, value: JSON.parse(text) as unknown });
     }
 
     function transfer(name: string, baseVersion: number): DocumentTransfer | undefined {
-        const document = held.get(name)?.document;
+        const document = entries.get(name)?.document;
         if (document === undefined) {
             return undefined;
         }
@@ -116,22 +116,22 @@
     }
 
     function digest(): DocumentDigest {
-        return Object.fromEntries([...held].map(([name, { document }]) => [name, document.version]));
+        return Object.fromEntries([...entries].map(([name, { document }]) => [name, document.version]));
     }
 
     function computeChecksum(): string {
-        const lines = [...held].map(([name, { document }]) => `${name}=${document.version}`).sort();
+        const lines = [...entries].map(([name, { document }]) => `${name}=${document.version}`).sort();
         return hashText(lines.join("\n")).slice(0, checksumChars);
     }
 
     return {
-        get: name => held.get(name)?.document,
+        get: name => entries.get(name)?.document,
         digest,
         checksum: () => checksum ??= computeChecksum(),
-        take,
-        takeTransfer,
+        apply,
+        applyTransfer,
         transfer,
-        missing: theirs => {
+        findOutdated: theirs => {
             const newer = Object.entries(theirs).filter(([name, version]) =>
                 version > Math.max(versionOf(name), refusedVersions.get(name) ?? 0)
             );
--- a/packages/spread/src/createSpread.test.ts
+++ b/packages/spread/src/createDocumentSync.test.ts
@@ -6,8 +6,8 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ObjectVersion } from "@auburnarch/types/ObjectVersion";
 import { expect, test } from "vitest";
-import { createSpread } from "./createSpread.js";
-import type { Spread } from "./Spread.js";
+import { createDocumentSync } from "./createDocumentSync.js";
+import type { DocumentSync } from "./DocumentSync.js";
 
 const silent: Logger = {
     info: () => undefined,
@@ -30,11 +30,11 @@
     const net: Net = { loss: 0, connected: () => true };
     const broken: string[] = [];
     const invariants = createInvariants(silent, code => broken.push(code.name));
-    const nodes = new Map<number, Spread>();
+    const nodes = new Map<number, DocumentSync>();
     const addressOf = (at: number): string => `entry-${at}`;
-    const start = (at: number): Spread => {
+    const start = (at: number): DocumentSync => {
         const peers = Array.from({ length: count }, (_, peer) => peer).filter(peer => peer !== at);
-        const node = createSpread({
+        const node = createDocumentSync({
             clock,
             random: random.fork(),
             logger: silent,
--- a/packages/spread/src/createSpread.ts
+++ b/packages/spread/src/createDocumentSync.ts
@@ -1,61 +1,63 @@
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import { answerMessage } from "./answerMessage.js";
 import { createDocumentSet } from "./createDocumentSet.js";
-import { createExchanger } from "./createExchanger.js";
+import { createPeerExchange } from "./createPeerExchange.js";
 import { createRelay } from "./createRelay.js";
-import { defaultSpreadGuards } from "./defaultSpreadGuards.js";
-import { defaultSpreadTiming } from "./defaultSpreadTiming.js";
+import { defaultDocumentSyncGuards } from "./defaultDocumentSyncGuards.js";
+import { defaultDocumentSyncTiming } from "./defaultDocumentSyncTiming.js";
+import type { DocumentSync } from "./DocumentSync.js";
+import type { DocumentSyncDeps } from "./DocumentSyncDeps.js";
+import type { DocumentSyncTiming } from "./DocumentSyncTiming.js";
 import { drawSome } from "./drawSome.js";
-import { parseWith } from "./parseWith.js";
-import type { Spread } from "./Spread.js";
-import type { SpreadDeps } from "./SpreadDeps.js";
-import type { SpreadMessage } from "./SpreadMessage.js";
-import { spreadMessageSchema } from "./spreadMessageSchema.js";
-import type { SpreadTiming } from "./SpreadTiming.js";
+import { parseMessage } from "./parseMessage.js";
+import type { SyncMessage } from "./SyncMessage.js";
+import { syncMessageSchema } from "./syncMessageSchema.js";
 
 /**
  * Makes the spreading of documents in one entry: a fresh change goes at once to a few peers, and an exchange with
  * a random peer every second or so brings what was lost. A few relays watch the object API for all.
  */
-export function createSpread(deps: SpreadDeps): Spread {
-    const timing: SpreadTiming = { ...defaultSpreadTiming, ...deps.timing };
+export function createDocumentSync(deps: DocumentSyncDeps): DocumentSync {
+    const timing: DocumentSyncTiming = { ...defaultDocumentSyncTiming, ...deps.timing };
     const listeners = new Set<(document: SharedDocument) => void>();
     const stopped = new AbortController();
-    const documents = createDocumentSet(deps, deps.guards ?? defaultSpreadGuards, onTaken);
-    const exchangeWith = createExchanger(deps, documents, timing);
+    const documents = createDocumentSet(deps, deps.guards ?? defaultDocumentSyncGuards, onApplied);
+    const exchangeWith = createPeerExchange(deps, documents, timing);
     /** Documents to push with the next message, with the version that peers most likely have. */
-    const toPush = new Map<string, number>();
-    const heldVersions = new Map<string, number>();
-    let caughtUp = false;
+    const pendingPushes = new Map<string, number>();
+    const appliedVersions = new Map<string, number>();
+    let hasCaughtUp = false;
     const relay = createRelay(deps, timing, offer, () => {
-        caughtUp = true;
+        hasCaughtUp = true;
     });
 
-    function onTaken(document: SharedDocument): void {
+    function onApplied(document: SharedDocument): void {
         listeners.forEach(listener => listener(document));
         const { name, version } = document;
         // What a starting process catches up with is no news to its peers.
-        if (caughtUp) {
-            schedulePush(name, heldVersions.get(name) ?? 0);
+        if (hasCaughtUp) {
+            schedulePush(name, appliedVersions.get(name) ?? 0);
         }
-        heldVersions.set(name, version);
+        appliedVersions.set(name, version);
     }
 
     /** Changes that come within a moment go out together: a takeover of many key ranges is one message, not many. */
     function schedulePush(name: string, baseVersion: number): void {
-        if (toPush.size === 0) {
+        if (pendingPushes.size === 0) {
             deps.clock.startTimer(timing.pushDelayMs, push);
         }
-        toPush.set(name, toPush.get(name) ?? baseVersion);
+        pendingPushes.set(name, pendingPushes.get(name) ?? baseVersion);
     }
 
     function push(): void {
-        const transfers = [...toPush].map(([name, baseVersion]) => documents.transfer(name, baseVersion));
-        toPush.clear();
+        const transfers = [...pendingPushes].map(([name, baseVersion]) =>
+            documents.transfer(name, baseVersion)
+        );
+        pendingPushes.clear();
         if (stopped.signal.aborted) {
             return;
         }
-        const message: SpreadMessage = {
+        const message: SyncMessage = {
             checksum: documents.checksum(),
             documents: transfers.filter(transfer => transfer !== undefined),
         };
@@ -65,7 +67,7 @@
     }
 
     function offer(document: SharedDocument): boolean {
-        return documents.take(document) === "taken";
+        return documents.apply(document) === "taken";
     }
 
     async function exchangeOnce(): Promise<void> {
@@ -74,7 +76,7 @@
             return;
         }
         if (await exchangeWith(peer.address, { checksum: documents.checksum(), documents: [] })) {
-            caughtUp = true;
+            hasCaughtUp = true;
         }
     }
 
@@ -82,9 +84,9 @@
         while (!stopped.signal.aborted) {
             // Not awaited: a slow peer does not delay the exchange with the next one.
             void exchangeOnce();
-            const spread = 0.8 + 0.4 * deps.random.nextUnit();
-            const intervalMs = caughtUp ? timing.exchangeIntervalMs : timing.startIntervalMs;
-            await deps.clock.sleep(intervalMs * spread, stopped.signal);
+            const jitter = 0.8 + 0.4 * deps.random.nextUnit();
+            const intervalMs = hasCaughtUp ? timing.exchangeIntervalMs : timing.startIntervalMs;
+            await deps.clock.sleep(intervalMs * jitter, stopped.signal);
         }
     }
 
@@ -110,12 +112,14 @@
                 .map(([name, version]) => documents.transfer(name, version)!),
         absentFrom: theirs =>
             Object.keys(theirs).filter(name =>
-                caughtUp && theirs[name]! > 0 && documents.get(name) === undefined
+                hasCaughtUp && theirs[name]! > 0 && documents.get(name) === undefined
             ),
-        takeAbsent: transfers => {
-            transfers.filter(({ name }) => documents.get(name) === undefined).forEach(documents.takeTransfer);
+        applyAbsent: transfers => {
+            transfers.filter(({ name }) => documents.get(name) === undefined).forEach(
+                documents.applyTransfer,
+            );
         },
-        receive: message => answerMessage(documents, parseWith<SpreadMessage>(spreadMessageSchema, message)),
-        isCaughtUp: () => caughtUp,
+        receive: message => answerMessage(documents, parseMessage<SyncMessage>(syncMessageSchema, message)),
+        isCaughtUp: () => hasCaughtUp,
     };
 }
--- a/packages/spread/src/createExchanger.ts
+++ b/packages/spread/src/createPeerExchange.ts
@@ -1,29 +1,29 @@
 import { answerMessage } from "./answerMessage.js";
-import { callInTime } from "./callInTime.js";
+import { callWithTimeout } from "./callWithTimeout.js";
 import type { DocumentSet } from "./DocumentSet.js";
-import { parseWith } from "./parseWith.js";
-import type { SpreadDeps } from "./SpreadDeps.js";
-import type { SpreadMessage } from "./SpreadMessage.js";
-import { spreadMessageSchema } from "./spreadMessageSchema.js";
-import type { SpreadTiming } from "./SpreadTiming.js";
+import type { DocumentSyncDeps } from "./DocumentSyncDeps.js";
+import type { DocumentSyncTiming } from "./DocumentSyncTiming.js";
+import { parseMessage } from "./parseMessage.js";
+import type { SyncMessage } from "./SyncMessage.js";
+import { syncMessageSchema } from "./syncMessageSchema.js";
 
 /** A first message, a digest and the documents asked for: more rounds than these settle nothing. */
 const maxRounds = 4;
 
-const needsFollowUp = (answer: SpreadMessage): boolean =>
+const needsFollowUp = (answer: SyncMessage): boolean =>
     answer.digest !== undefined || answer.wanted !== undefined;
 
 /** Makes the function that holds one whole exchange with a peer. It resolves with true if the peer answered. */
-export function createExchanger(
-    deps: Pick<SpreadDeps, "clock" | "exchange">,
+export function createPeerExchange(
+    deps: Pick<DocumentSyncDeps, "clock" | "exchange">,
     documents: DocumentSet,
-    timing: SpreadTiming,
-): (address: string, first: SpreadMessage) => Promise<boolean> {
+    timing: DocumentSyncTiming,
+): (address: string, first: SyncMessage) => Promise<boolean> {
     /** The peer's answer; undefined without one. Membership judges whether the peer is gone. */
-    async function send(address: string, message: SpreadMessage): Promise<SpreadMessage | undefined> {
-        const call = async (): Promise<SpreadMessage> =>
-            parseWith<SpreadMessage>(spreadMessageSchema, await deps.exchange(address, message));
-        const outcome = await callInTime(deps.clock, timing.exchangeTimeoutMs, call);
+    async function send(address: string, message: SyncMessage): Promise<SyncMessage | undefined> {
+        const call = async (): Promise<SyncMessage> =>
+            parseMessage<SyncMessage>(syncMessageSchema, await deps.exchange(address, message));
+        const outcome = await callWithTimeout(deps.clock, timing.exchangeTimeoutMs, call);
         return outcome?.answer;
     }
 
--- a/packages/spread/src/createRelay.ts
+++ b/packages/spread/src/createRelay.ts
@@ -2,8 +2,8 @@
 import type { ObjectVersion } from "@auburnarch/types/ObjectVersion";
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import type { StoredChange } from "@auburnarch/types/StoredChange";
-import type { SpreadDeps } from "./SpreadDeps.js";
-import type { SpreadTiming } from "./SpreadTiming.js";
+import type { DocumentSyncDeps } from "./DocumentSyncDeps.js";
+import type { DocumentSyncTiming } from "./DocumentSyncTiming.js";
 
 /** How long a watch may overstay before it is given up. */
 const watchGraceMs = 5_000;
@@ -14,7 +14,7 @@
  */
 const firstListBackoffMs = 1_500;
 /** A long pause ends this often at most, if other calls of the process have been answered meanwhile. */
-const lookMs = 1_500;
+const reachabilityCheckMs = 1_500;
 
 interface WatchedPrefix {
     prefix: string;
@@ -22,7 +22,7 @@
     names: ReadonlyMap<string, string>;
 }
 
-const watched: WatchedPrefix[] = [
+const watchedPrefixes: WatchedPrefix[] = [
     { prefix: "config/", names: new Map([["config/manifest", "manifest"]]) },
     { prefix: "quarantine", names: new Map([["quarantine", "quarantine"]]) },
 ];
@@ -32,8 +32,8 @@
  * anew, since changes in between may be missing; answers of a stale replica are sorted out by version.
  */
 export function createRelay(
-    deps: Pick<SpreadDeps, "clock" | "random" | "logger" | "store" | "isStoreReachable" | "isRelay">,
-    timing: SpreadTiming,
+    deps: Pick<DocumentSyncDeps, "clock" | "random" | "logger" | "store" | "isStoreReachable" | "isRelay">,
+    timing: DocumentSyncTiming,
     offer: (document: SharedDocument) => void,
     onListed: () => void,
 ): { start(): void; stop(): void; } {
@@ -54,7 +54,7 @@
         }
     }
 
-    async function inTime<T>(call: Promise<T>, limitMs: number): Promise<T> {
+    async function withTimeout<T>(call: Promise<T>, limitMs: number): Promise<T> {
         const done = new AbortController();
         const expired = deps.clock.sleep(limitMs, done.signal).then(() => {
             throw new Error("The object API overstayed.");
@@ -70,7 +70,7 @@
     }
 
     async function list({ prefix, names }: WatchedPrefix): Promise<ObjectVersion> {
-        const listed = await inTime(deps.store.list(prefix), watchGraceMs);
+        const listed = await withTimeout(deps.store.list(prefix), watchGraceMs);
         offerAll(names, listed.objects);
         onListed();
         return listed.revision;
@@ -78,7 +78,7 @@
 
     async function watch({ prefix, names }: WatchedPrefix, revision: ObjectVersion): Promise<ObjectVersion> {
         const limitMs = timing.watchWaitMs + watchGraceMs;
-        const answer = await inTime(deps.store.watch(prefix, revision, timing.watchWaitMs), limitMs);
+        const answer = await withTimeout(deps.store.watch(prefix, revision, timing.watchWaitMs), limitMs);
         offerAll(names, answer.changes);
         return answer.revision;
     }
@@ -86,7 +86,7 @@
     async function pause(backoffMs: number): Promise<void> {
         let leftMs = backoffMs * (0.5 + deps.random.nextUnit());
         do {
-            const sliceMs = Math.min(lookMs, leftMs);
+            const sliceMs = Math.min(reachabilityCheckMs, leftMs);
             await deps.clock.sleep(sliceMs, stopped.signal);
             leftMs -= sliceMs;
         }
@@ -123,7 +123,7 @@
     }
 
     return {
-        start: () => watched.forEach(target => void follow(target)),
+        start: () => watchedPrefixes.forEach(target => void follow(target)),
         stop: () => stopped.abort(),
     };
 }
--- a/packages/spread/src/defaultSpreadTiming.ts
+++ b/packages/spread/src/defaultDocumentSyncTiming.ts
@@ -1,7 +1,7 @@
-import type { SpreadTiming } from "./SpreadTiming.js";
+import type { DocumentSyncTiming } from "./DocumentSyncTiming.js";
 
 /** Times and sizes in use unless a test says otherwise. */
-export const defaultSpreadTiming: SpreadTiming = {
+export const defaultDocumentSyncTiming: DocumentSyncTiming = {
     exchangeIntervalMs: 2_000,
     startIntervalMs: 250,
     exchangeTimeoutMs: 3_000,
--- a/packages/spread/src/parseWith.ts
+++ b/packages/spread/src/parseMessage.ts
@@ -3,7 +3,7 @@
 import type { z } from "zod";
 
 /** `message` once its shape is checked; names and versions get their branded types. Throws `badRequest`. */
-export function parseWith<T>(schema: z.ZodType, message: unknown): T {
+export function parseMessage<T>(schema: z.ZodType, message: unknown): T {
     const parsed = schema.safeParse(message);
     if (!parsed.success) {
         const issue = parsed.error.issues[0];
--- a/packages/spread/src/spreadMessageSchema.ts
+++ b/packages/spread/src/syncMessageSchema.ts
@@ -8,7 +8,7 @@
 );
 
 /** Shape of a `SpreadMessage` as it comes from another process. */
-export const spreadMessageSchema = z.strictObject({
+export const syncMessageSchema = z.strictObject({
     checksum: z.string().max(64),
     digest: digest.optional(),
     documents: z.array(documentTransferSchema).max(maxDocuments),
