--- a/packages/bench/src/faults/EntryNode.ts
+++ b/packages/bench/src/faults/EntryNode.ts
@@ -1,5 +1,5 @@
 import type { Entry } from "@auburnarch/entry/Entry";
-import type { TestProcess } from "@auburnarch/own/testing/TestProcess";
+import type { TestProcess } from "@auburnarch/ownership/testing/TestProcess";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 
 /** A VM with an entry process. */
--- a/packages/bench/src/faults/FaultGuards.ts
+++ b/packages/bench/src/faults/FaultGuards.ts
@@ -1,10 +1,10 @@
-import type { KeyRangeGuards } from "@auburnarch/admit/KeyRangeGuards";
-import type { QuarantineDeps } from "@auburnarch/admit/QuarantineDeps";
-import type { SidecarGuards } from "@auburnarch/gate/SidecarGuards";
+import type { KeyRangeGuards } from "@auburnarch/admission/KeyRangeGuards";
+import type { QuarantineDeps } from "@auburnarch/admission/QuarantineDeps";
+import type { DocumentSyncGuards } from "@auburnarch/documents/DocumentSyncGuards";
 import type { LeaseGuards } from "@auburnarch/lease/LeaseGuards";
-import type { OwnerGuards } from "@auburnarch/own/OwnerGuards";
-import type { SendGuards } from "@auburnarch/send/SendGuards";
-import type { DocumentSyncGuards } from "@auburnarch/spread/DocumentSyncGuards";
+import type { OwnerGuards } from "@auburnarch/ownership/OwnerGuards";
+import type { SidecarGuards } from "@auburnarch/sidecar/SidecarGuards";
+import type { SendGuards } from "@auburnarch/transport/SendGuards";
 
 /** The guards of all parts that a randomised run is made of. */
 export interface FaultGuards {
--- a/packages/bench/src/faults/SamplerNode.ts
+++ b/packages/bench/src/faults/SamplerNode.ts
@@ -1,4 +1,4 @@
-import type { Sidecar } from "@auburnarch/gate/Sidecar";
+import type { Sidecar } from "@auburnarch/sidecar/Sidecar";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { SidecarProcess } from "./SidecarProcess.js";
 
--- a/packages/bench/src/faults/SidecarProcess.ts
+++ b/packages/bench/src/faults/SidecarProcess.ts
@@ -1,5 +1,5 @@
-import type { Sidecar } from "@auburnarch/gate/Sidecar";
-import type { TestProcess } from "@auburnarch/own/testing/TestProcess";
+import type { TestProcess } from "@auburnarch/ownership/testing/TestProcess";
+import type { Sidecar } from "@auburnarch/sidecar/Sidecar";
 
 /** One run of a sidecar. */
 export interface SidecarProcess {
--- a/packages/bench/src/faults/TrainerSide.ts
+++ b/packages/bench/src/faults/TrainerSide.ts
@@ -1,4 +1,4 @@
-import type { createTestTrainer } from "@auburnarch/own/testing/createTestTrainer";
+import type { createTestTrainer } from "@auburnarch/ownership/testing/createTestTrainer";
 
 /** The trainer of a run with its way to the entries. */
 export interface TrainerSide {
--- a/packages/bench/src/faults/createEntryPorts.ts
+++ b/packages/bench/src/faults/createEntryPorts.ts
@@ -4,7 +4,7 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import type { TestProcess } from "@auburnarch/own/testing/TestProcess";
+import type { TestProcess } from "@auburnarch/ownership/testing/TestProcess";
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import { createSidecarLink } from "./createSidecarLink.js";
--- a/packages/bench/src/faults/createRunParts.ts
+++ b/packages/bench/src/faults/createRunParts.ts
@@ -1,7 +1,7 @@
 import { createFakeScoring } from "@auburnarch/fakes/createFakeScoring";
 import { createFakeWeightStore } from "@auburnarch/fakes/createFakeWeightStore";
 import type { FakeEngineControl } from "@auburnarch/fakes/FakeEngineControl";
-import { createTestGroupStore } from "@auburnarch/own/testing/createTestGroupStore";
+import { createTestGroupStore } from "@auburnarch/ownership/testing/createTestGroupStore";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { TeamId } from "@auburnarch/types/TeamId";
--- a/packages/bench/src/faults/createSidecarLink.ts
+++ b/packages/bench/src/faults/createSidecarLink.ts
@@ -1,9 +1,9 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import type { TestProcess } from "@auburnarch/own/testing/TestProcess";
-import { createIncarnationMemory } from "@auburnarch/send/createIncarnationMemory";
-import { resolveBroken } from "@auburnarch/send/resolveBroken";
-import type { SendGuards } from "@auburnarch/send/SendGuards";
+import type { TestProcess } from "@auburnarch/ownership/testing/TestProcess";
+import { createIncarnationMemory } from "@auburnarch/transport/createIncarnationMemory";
+import { resolveBroken } from "@auburnarch/transport/resolveBroken";
+import type { SendGuards } from "@auburnarch/transport/SendGuards";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
--- a/packages/bench/src/faults/createSidecarProcess.ts
+++ b/packages/bench/src/faults/createSidecarProcess.ts
@@ -1,12 +1,12 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
-import { createSidecar } from "@auburnarch/gate/createSidecar";
-import { initialConfigWaitMs } from "@auburnarch/gate/initialConfigWaitMs";
-import type { SidecarDependencies } from "@auburnarch/gate/SidecarDependencies";
+import { createDocumentFollower } from "@auburnarch/documents/createDocumentFollower";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createReadFencing } from "@auburnarch/lease/createReadFencing";
 import { createReporter } from "@auburnarch/membership/createReporter";
-import { createTestProcess } from "@auburnarch/own/testing/createTestProcess";
-import { createDocumentFollower } from "@auburnarch/spread/createDocumentFollower";
+import { createTestProcess } from "@auburnarch/ownership/testing/createTestProcess";
+import { createSidecar } from "@auburnarch/sidecar/createSidecar";
+import { initialConfigWaitMs } from "@auburnarch/sidecar/initialConfigWaitMs";
+import type { SidecarDependencies } from "@auburnarch/sidecar/SidecarDependencies";
 import type { ConfigVersion } from "@auburnarch/types/ConfigVersion";
 import type { EnginePort } from "@auburnarch/types/EnginePort";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
--- a/packages/bench/src/faults/createWatchedParts.ts
+++ b/packages/bench/src/faults/createWatchedParts.ts
@@ -1,5 +1,5 @@
-import { defaultOwnerParts } from "@auburnarch/own/defaultOwnerParts";
-import type { OwnerParts } from "@auburnarch/own/OwnerParts";
+import { defaultOwnerParts } from "@auburnarch/ownership/defaultOwnerParts";
+import type { OwnerParts } from "@auburnarch/ownership/OwnerParts";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 
 /** The usual parts of an owner; `noteFencing` hears under which number it works, and undefined when it ends. */
--- a/packages/bench/src/faults/defaultFaultGuards.ts
+++ b/packages/bench/src/faults/defaultFaultGuards.ts
@@ -1,11 +1,11 @@
-import { defaultKeyRangeGuards } from "@auburnarch/admit/defaultKeyRangeGuards";
-import { isConvicted } from "@auburnarch/admit/isConvicted";
-import { isTrialDue } from "@auburnarch/admit/isTrialDue";
-import { defaultSidecarGuards } from "@auburnarch/gate/defaultSidecarGuards";
+import { defaultKeyRangeGuards } from "@auburnarch/admission/defaultKeyRangeGuards";
+import { isConvicted } from "@auburnarch/admission/isConvicted";
+import { isTrialDue } from "@auburnarch/admission/isTrialDue";
+import { defaultDocumentSyncGuards } from "@auburnarch/documents/defaultDocumentSyncGuards";
 import { defaultLeaseGuards } from "@auburnarch/lease/defaultLeaseGuards";
-import { defaultOwnerGuards } from "@auburnarch/own/defaultOwnerGuards";
-import { defaultSendGuards } from "@auburnarch/send/defaultSendGuards";
-import { defaultDocumentSyncGuards } from "@auburnarch/spread/defaultDocumentSyncGuards";
+import { defaultOwnerGuards } from "@auburnarch/ownership/defaultOwnerGuards";
+import { defaultSidecarGuards } from "@auburnarch/sidecar/defaultSidecarGuards";
+import { defaultSendGuards } from "@auburnarch/transport/defaultSendGuards";
 import type { FaultGuards } from "./FaultGuards.js";
 
 /** The guards as they run in production. */
--- a/packages/bench/src/faults/judges/judgeRun.ts
+++ b/packages/bench/src/faults/judges/judgeRun.ts
@@ -1,8 +1,8 @@
-import { isConvicted } from "@auburnarch/admit/isConvicted";
+import { isConvicted } from "@auburnarch/admission/isConvicted";
 import { validateManifest } from "@auburnarch/config/validateManifest";
 import { digestRequest } from "@auburnarch/entry/digestRequest";
-import { initialConfigWaitMs } from "@auburnarch/gate/initialConfigWaitMs";
-import type { OwnerStatus } from "@auburnarch/own/OwnerStatus";
+import type { OwnerStatus } from "@auburnarch/ownership/OwnerStatus";
+import { initialConfigWaitMs } from "@auburnarch/sidecar/initialConfigWaitMs";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import { createPoisonRequest } from "../createPoisonRequest.js";
--- a/packages/bench/src/faults/removedMechanisms.ts
+++ b/packages/bench/src/faults/removedMechanisms.ts
@@ -1,4 +1,4 @@
-import { countedCrashes } from "@auburnarch/admit/countedCrashes";
+import { countedCrashes } from "@auburnarch/admission/countedCrashes";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import type { FaultGuards } from "./FaultGuards.js";
 
--- a/packages/bench/src/faults/scripts/runBystanderScript.ts
+++ b/packages/bench/src/faults/scripts/runBystanderScript.ts
@@ -1,4 +1,4 @@
-import { createQuarantine } from "@auburnarch/admit/createQuarantine";
+import { createQuarantine } from "@auburnarch/admission/createQuarantine";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { createFakeObjectStore } from "@auburnarch/fakes/createFakeObjectStore";
--- a/packages/bench/src/faults/scripts/runSuspectsScript.ts
+++ b/packages/bench/src/faults/scripts/runSuspectsScript.ts
@@ -1,4 +1,4 @@
-import { createSidecarFixture } from "@auburnarch/gate/testing/createSidecarFixture";
+import { createSidecarFixture } from "@auburnarch/sidecar/testing/createSidecarFixture";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import type { VmId } from "@auburnarch/types/VmId";
--- a/packages/bench/src/faults/scripts/runUninformedScript.ts
+++ b/packages/bench/src/faults/scripts/runUninformedScript.ts
@@ -1,4 +1,4 @@
-import { createSidecarFixture } from "@auburnarch/gate/testing/createSidecarFixture";
+import { createSidecarFixture } from "@auburnarch/sidecar/testing/createSidecarFixture";
 import type { FaultGuards } from "../FaultGuards.js";
 import type { ScriptedViolation } from "./ScriptedViolation.js";
 
--- a/packages/bench/src/faults/strikeFault.ts
+++ b/packages/bench/src/faults/strikeFault.ts
@@ -1,5 +1,5 @@
 import { digestRequest } from "@auburnarch/entry/digestRequest";
-import type { TestProcess } from "@auburnarch/own/testing/TestProcess";
+import type { TestProcess } from "@auburnarch/ownership/testing/TestProcess";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import { attemptMemoryMs } from "@auburnarch/types/attemptMemoryMs";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
--- a/packages/bench/src/policy/BenchPolicy.ts
+++ b/packages/bench/src/policy/BenchPolicy.ts
@@ -1,5 +1,5 @@
 import type { DispatchPolicy } from "@auburnarch/dispatch/DispatchPolicy";
-import type { SwapPlanner } from "@auburnarch/swap/SwapPlanner";
+import type { SwapPlanner } from "@auburnarch/weights/SwapPlanner";
 
 /** Everything that one policy of the bench decides with. */
 export interface BenchPolicy {
--- a/packages/bench/src/policy/ablations.ts
+++ b/packages/bench/src/policy/ablations.ts
@@ -7,12 +7,12 @@
 import { roomUnbounded } from "@auburnarch/dispatch/roomUnbounded";
 import { roomWithinLimit } from "@auburnarch/dispatch/roomWithinLimit";
 import { thinNever } from "@auburnarch/dispatch/thinNever";
-import { pickEarliestFinish } from "@auburnarch/pick/pickEarliestFinish";
-import { pickLeastFinish } from "@auburnarch/pick/pickLeastFinish";
-import { pickTwoChoices } from "@auburnarch/pick/pickTwoChoices";
-import type { SamplerPicker } from "@auburnarch/pick/SamplerPicker";
 import { orderByArrival } from "@auburnarch/queue/orderByArrival";
-import { planSwaps } from "@auburnarch/swap/planSwaps";
+import { pickEarliestFinish } from "@auburnarch/selection/pickEarliestFinish";
+import { pickLeastFinish } from "@auburnarch/selection/pickLeastFinish";
+import { pickTwoChoices } from "@auburnarch/selection/pickTwoChoices";
+import type { SamplerPicker } from "@auburnarch/selection/SamplerPicker";
+import { planSwaps } from "@auburnarch/weights/planSwaps";
 import type { BenchPolicy } from "./BenchPolicy.js";
 
 const pickWithoutHints: SamplerPicker = (candidates, request, random) =>
--- a/packages/bench/src/policy/benchPolicies.ts
+++ b/packages/bench/src/policy/benchPolicies.ts
@@ -8,14 +8,14 @@
 import { priorityByNeed } from "@auburnarch/dispatch/priorityByNeed";
 import { roomWithinLimit } from "@auburnarch/dispatch/roomWithinLimit";
 import { thinNever } from "@auburnarch/dispatch/thinNever";
-import { pickLeastFinish } from "@auburnarch/pick/pickLeastFinish";
-import { pickLeastReported } from "@auburnarch/pick/pickLeastReported";
-import { pickRandom } from "@auburnarch/pick/pickRandom";
-import { pickRoundRobin } from "@auburnarch/pick/pickRoundRobin";
-import { pickTwoChoices } from "@auburnarch/pick/pickTwoChoices";
 import { orderByLatestStart } from "@auburnarch/queue/orderByLatestStart";
 import { orderByStepAndLength } from "@auburnarch/queue/orderByStepAndLength";
-import { planSwaps } from "@auburnarch/swap/planSwaps";
+import { pickLeastFinish } from "@auburnarch/selection/pickLeastFinish";
+import { pickLeastReported } from "@auburnarch/selection/pickLeastReported";
+import { pickRandom } from "@auburnarch/selection/pickRandom";
+import { pickRoundRobin } from "@auburnarch/selection/pickRoundRobin";
+import { pickTwoChoices } from "@auburnarch/selection/pickTwoChoices";
+import { planSwaps } from "@auburnarch/weights/planSwaps";
 import type { BenchPolicy } from "./BenchPolicy.js";
 
 /** Late binding within each sampler's limit, the oldest step's longest sample first. */
--- a/packages/bench/src/policy/createFleet.ts
+++ b/packages/bench/src/policy/createFleet.ts
@@ -1,10 +1,10 @@
 import { createFakeEngine } from "@auburnarch/fakes/createFakeEngine";
 import { createFakeWeightStore } from "@auburnarch/fakes/createFakeWeightStore";
 import type { FakeEngineControl } from "@auburnarch/fakes/FakeEngineControl";
-import { createSidecar } from "@auburnarch/gate/createSidecar";
-import type { Sidecar } from "@auburnarch/gate/Sidecar";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
+import { createSidecar } from "@auburnarch/sidecar/createSidecar";
+import type { Sidecar } from "@auburnarch/sidecar/Sidecar";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
--- a/packages/bench/src/policy/createInteractiveLoad.ts
+++ b/packages/bench/src/policy/createInteractiveLoad.ts
@@ -1,4 +1,4 @@
-import type { Candidate } from "@auburnarch/pick/Candidate";
+import type { Candidate } from "@auburnarch/selection/Candidate";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
--- a/packages/bench/src/policy/createReportFeed.ts
+++ b/packages/bench/src/policy/createReportFeed.ts
@@ -1,4 +1,4 @@
-import type { Sidecar } from "@auburnarch/gate/Sidecar";
+import type { Sidecar } from "@auburnarch/sidecar/Sidecar";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Random } from "@auburnarch/types/Random";
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
--- a/packages/bench/src/policy/createTrainerLoop.ts
+++ b/packages/bench/src/policy/createTrainerLoop.ts
@@ -1,8 +1,6 @@
 import { createDispatcher } from "@auburnarch/dispatch/createDispatcher";
 import type { Dispatcher } from "@auburnarch/dispatch/Dispatcher";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
-import { createSwapRoller } from "@auburnarch/swap/createSwapRoller";
-import type { SwapRoller } from "@auburnarch/swap/SwapRoller";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
@@ -11,6 +9,8 @@
 import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { Random } from "@auburnarch/types/Random";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
+import { createSwapRoller } from "@auburnarch/weights/createSwapRoller";
+import type { SwapRoller } from "@auburnarch/weights/SwapRoller";
 import type { BenchPolicy } from "./BenchPolicy.js";
 import type { createFleet } from "./createFleet.js";
 import { createJobMeasures } from "./createJobMeasures.js";
--- a/packages/bench/src/slopes/capacityTarget.ts
+++ b/packages/bench/src/slopes/capacityTarget.ts
@@ -1,4 +1,4 @@
-import { rangeCount } from "@auburnarch/admit/rangeCount";
+import { rangeCount } from "@auburnarch/admission/rangeCount";
 import type { Target } from "./Target.js";
 
 /** The target of the first letter. "Several hundred writes" is taken as 300. */
--- a/packages/bench/src/slopes/createFleet.ts
+++ b/packages/bench/src/slopes/createFleet.ts
@@ -1,4 +1,4 @@
-import { rangeCount } from "@auburnarch/admit/rangeCount";
+import { rangeCount } from "@auburnarch/admission/rangeCount";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { createFakeObjectStore } from "@auburnarch/fakes/createFakeObjectStore";
--- a/packages/bench/src/slopes/createFleetEntry.ts
+++ b/packages/bench/src/slopes/createFleetEntry.ts
@@ -1,8 +1,8 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
+import { createDocumentSync } from "@auburnarch/documents/createDocumentSync";
+import type { DocumentSync } from "@auburnarch/documents/DocumentSync";
 import { createMembership } from "@auburnarch/membership/createMembership";
 import type { Membership } from "@auburnarch/membership/Membership";
-import { createDocumentSync } from "@auburnarch/spread/createDocumentSync";
-import type { DocumentSync } from "@auburnarch/spread/DocumentSync";
 import type { EntryRecord } from "@auburnarch/types/EntryRecord";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { FleetCommon } from "./FleetCommon.js";
--- a/packages/bench/src/slopes/createFleetSidecar.ts
+++ b/packages/bench/src/slopes/createFleetSidecar.ts
@@ -1,6 +1,6 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
+import { createDocumentFollower } from "@auburnarch/documents/createDocumentFollower";
 import { createReporter } from "@auburnarch/membership/createReporter";
-import { createDocumentFollower } from "@auburnarch/spread/createDocumentFollower";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { FleetCommon } from "./FleetCommon.js";
--- a/packages/bench/src/slopes/measureChange.ts
+++ b/packages/bench/src/slopes/measureChange.ts
@@ -1,9 +1,9 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
+import { createDocumentSet } from "@auburnarch/documents/createDocumentSet";
+import { defaultDocumentSyncGuards } from "@auburnarch/documents/defaultDocumentSyncGuards";
+import type { DocumentSet } from "@auburnarch/documents/DocumentSet";
+import type { DocumentTransfer } from "@auburnarch/documents/DocumentTransfer";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
-import { createDocumentSet } from "@auburnarch/spread/createDocumentSet";
-import { defaultDocumentSyncGuards } from "@auburnarch/spread/defaultDocumentSyncGuards";
-import type { DocumentSet } from "@auburnarch/spread/DocumentSet";
-import type { DocumentTransfer } from "@auburnarch/spread/DocumentTransfer";
 import type { ChangePoint } from "./ChangePoint.js";
 import { collectGarbage } from "./collectGarbage.js";
 import { createSuspicionLogger } from "./createSuspicionLogger.js";
--- a/packages/cli/src/createQuarantineCommand.ts
+++ b/packages/cli/src/createQuarantineCommand.ts
@@ -1,6 +1,6 @@
-import { countCrashedVms } from "@auburnarch/admit/countCrashedVms";
-import { isConvicted } from "@auburnarch/admit/isConvicted";
-import { openTrials } from "@auburnarch/admit/openTrials";
+import { countCrashedVms } from "@auburnarch/admission/countCrashedVms";
+import { isConvicted } from "@auburnarch/admission/isConvicted";
+import { openTrials } from "@auburnarch/admission/openTrials";
 import type { OperatorQuarantine } from "@auburnarch/types/OperatorQuarantine";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import { type CommandDef, defineCommand } from "citty";
--- a/packages/daemon/src/FeedExtras.ts
+++ b/packages/daemon/src/FeedExtras.ts
@@ -1,7 +1,7 @@
-import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
-import type { StartMeter } from "@auburnarch/account/StartMeter";
 import type { TrueTimeEstimate } from "@auburnarch/clock/TrueTimeEstimate";
-import type { BreakRegistry } from "@auburnarch/relay/BreakRegistry";
+import type { BreakRegistry } from "@auburnarch/forwarding/BreakRegistry";
+import type { StartCountRegistry } from "@auburnarch/usage/StartCountRegistry";
+import type { StartMeter } from "@auburnarch/usage/StartMeter";
 
 /** What goes along with questions for changes of the store, and with their answers. */
 export interface FeedExtras {
--- a/packages/daemon/src/createFeedExtras.ts
+++ b/packages/daemon/src/createFeedExtras.ts
@@ -1,8 +1,8 @@
-import { createStartCountRegistry } from "@auburnarch/account/createStartCountRegistry";
-import { createStartMeter } from "@auburnarch/account/createStartMeter";
 import { createClockVote } from "@auburnarch/clock/createClockVote";
 import { createToldTime } from "@auburnarch/clock/createToldTime";
-import { createBreakRegistry } from "@auburnarch/relay/createBreakRegistry";
+import { createBreakRegistry } from "@auburnarch/forwarding/createBreakRegistry";
+import { createStartCountRegistry } from "@auburnarch/usage/createStartCountRegistry";
+import { createStartMeter } from "@auburnarch/usage/createStartMeter";
 import type { FeedExtras } from "./FeedExtras.js";
 import type { RoleContext } from "./RoleContext.js";
 
--- a/packages/daemon/src/createPeerAnswers.test.ts
+++ b/packages/daemon/src/createPeerAnswers.test.ts
@@ -1,8 +1,8 @@
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { createToldTime } from "@auburnarch/clock/createToldTime";
 import { codeOf } from "@auburnarch/errors/codeOf";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import { createBreakRegistry } from "@auburnarch/relay/createBreakRegistry";
+import { createBreakRegistry } from "@auburnarch/forwarding/createBreakRegistry";
 import type { RunnerStatus } from "@auburnarch/runner/peers/RunnerStatus";
 import { expect, test } from "vitest";
 import { createPeerAnswers } from "./createPeerAnswers.js";
--- a/packages/daemon/src/createPeerAnswers.ts
+++ b/packages/daemon/src/createPeerAnswers.ts
@@ -1,8 +1,8 @@
+import { batchJobSchemas } from "@auburnarch/batches/batchJobSchemas";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import { batchJobSchemas } from "@auburnarch/lots/batchJobSchemas";
-import type { FeedHub } from "@auburnarch/peers/FeedHub";
-import { feedSchemas } from "@auburnarch/peers/feedSchemas";
+import type { FeedHub } from "@auburnarch/feeds/FeedHub";
+import { feedSchemas } from "@auburnarch/feeds/feedSchemas";
 import { statusQuerySchema } from "@auburnarch/runner/peers/statusQuerySchema";
 import type { Runner } from "@auburnarch/runner/Runner";
 import { match } from "ts-pattern";
--- a/packages/daemon/src/createUsageDeps.ts
+++ b/packages/daemon/src/createUsageDeps.ts
@@ -1,7 +1,7 @@
-import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
 import { createSendUsageReport } from "@auburnarch/platform/createSendUsageReport";
 import { splitAddress } from "@auburnarch/platform/splitAddress";
 import type { UsageDeps } from "@auburnarch/runner/usage/UsageDeps";
+import type { StartCountRegistry } from "@auburnarch/usage/StartCountRegistry";
 import type { RoleContext } from "./RoleContext.js";
 
 /** What a runner needs to report the use of teams; undefined where that is not asked for. */
--- a/packages/daemon/src/feedExtrasSchemas.ts
+++ b/packages/daemon/src/feedExtrasSchemas.ts
@@ -1,4 +1,4 @@
-import { startReportSchema } from "@auburnarch/account/startReportSchema";
+import { startReportSchema } from "@auburnarch/usage/startReportSchema";
 import { z } from "zod";
 
 /** Beside a question or an answer; a process of an earlier version sends none. */
--- a/packages/daemon/src/keys.test.ts
+++ b/packages/daemon/src/keys.test.ts
@@ -7,8 +7,8 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { createLogger } from "@auburnarch/log/createLogger";
-import { createHttpSidecar } from "@auburnarch/send/createHttpSidecar";
-import { createTrust } from "@auburnarch/trust/createTrust";
+import { createTrust } from "@auburnarch/tls/createTrust";
+import { createHttpSidecar } from "@auburnarch/transport/createHttpSidecar";
 import type { Manifest } from "@auburnarch/types/Manifest";
 import type { SamplerOrder } from "@auburnarch/types/SamplerOrder";
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
@@ -46,7 +46,7 @@
 type ClusterTokens = Pick<Settings, "clusterToken" | "previousClusterToken">;
 
 const pem = (name: string): string =>
-    fileURLToPath(new URL(`../../trust/src/testing/${name}.pem`, import.meta.url));
+    fileURLToPath(new URL(`../../tls/src/testing/${name}.pem`, import.meta.url));
 const tlsOf = (name: string) => ({
     certPath: pem(`${name}.cert`),
     keyPath: pem(`${name}.key`),
--- a/packages/daemon/src/openStartSnapshot.ts
+++ b/packages/daemon/src/openStartSnapshot.ts
@@ -1,5 +1,5 @@
 import type { StartSnapshot } from "@auburnarch/entry/StartSnapshot";
-import { createSnapshotFile } from "@auburnarch/keep/createSnapshotFile";
+import { createSnapshotFile } from "@auburnarch/persistence/createSnapshotFile";
 import type { Logger } from "@auburnarch/types/Logger";
 import { z } from "zod";
 
--- a/packages/daemon/src/openTextShelf.ts
+++ b/packages/daemon/src/openTextShelf.ts
@@ -1,4 +1,4 @@
-import { createTextJournal } from "@auburnarch/keep/createTextJournal";
+import { createTextJournal } from "@auburnarch/persistence/createTextJournal";
 import { createTextCache } from "@auburnarch/runner/items/createTextCache";
 import type { TextCache } from "@auburnarch/runner/items/TextCache";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
--- a/packages/daemon/src/openTrust.ts
+++ b/packages/daemon/src/openTrust.ts
@@ -1,6 +1,6 @@
 import type { Settings } from "@auburnarch/config/Settings";
-import { createTrust } from "@auburnarch/trust/createTrust";
-import type { Trust } from "@auburnarch/trust/Trust";
+import { createTrust } from "@auburnarch/tls/createTrust";
+import type { Trust } from "@auburnarch/tls/Trust";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
 
--- a/packages/daemon/src/serveInternal.ts
+++ b/packages/daemon/src/serveInternal.ts
@@ -1,5 +1,5 @@
-import { readRequest } from "@auburnarch/collect/readRequest";
 import { createPeerServer } from "@auburnarch/entry/createPeerServer";
+import { readRequest } from "@auburnarch/streams/readRequest";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { RoleContext } from "./RoleContext.js";
 
--- a/packages/daemon/src/startGateway.ts
+++ b/packages/daemon/src/startGateway.ts
@@ -1,11 +1,11 @@
+import { createBatchJobReader } from "@auburnarch/batches/createBatchJobReader";
+import { createBatchJobStore } from "@auburnarch/batches/createBatchJobStore";
+import { createRequestForwarder } from "@auburnarch/forwarding/createRequestForwarder";
 import { createGateway } from "@auburnarch/gateway/createGateway";
 import { createRunnerResults } from "@auburnarch/gateway/createRunnerResults";
-import { createBatchJobReader } from "@auburnarch/lots/createBatchJobReader";
-import { createBatchJobStore } from "@auburnarch/lots/createBatchJobStore";
 import { decodeLot } from "@auburnarch/platform/decodeLot";
 import { serveClients } from "@auburnarch/platform/serveClients";
 import { splitAddress } from "@auburnarch/platform/splitAddress";
-import { createRequestForwarder } from "@auburnarch/relay/createRequestForwarder";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { RoleContext } from "./RoleContext.js";
 import type { RunningRole } from "./RunningRole.js";
--- a/packages/daemon/src/startRunner.ts
+++ b/packages/daemon/src/startRunner.ts
@@ -1,8 +1,8 @@
+import { batchJobKinds } from "@auburnarch/batches/batchJobKinds";
+import { batchJobSchemas } from "@auburnarch/batches/batchJobSchemas";
 import { watchKind } from "@auburnarch/discovery/watchKind";
-import { batchJobKinds } from "@auburnarch/lots/batchJobKinds";
-import { batchJobSchemas } from "@auburnarch/lots/batchJobSchemas";
-import { createFeedHub } from "@auburnarch/peers/createFeedHub";
-import type { FeedHub } from "@auburnarch/peers/FeedHub";
+import { createFeedHub } from "@auburnarch/feeds/createFeedHub";
+import type { FeedHub } from "@auburnarch/feeds/FeedHub";
 import { createEngineOrders } from "@auburnarch/platform/createEngineOrders";
 import { decodeNamedVersion } from "@auburnarch/platform/decodeNamedVersion";
 import { decodeRetirement } from "@auburnarch/platform/decodeRetirement";
--- a/packages/daemon/src/takeDocument.ts
+++ b/packages/daemon/src/takeDocument.ts
@@ -1,5 +1,5 @@
 import { readManifestDocument } from "@auburnarch/config/readManifestDocument";
-import type { Sidecar } from "@auburnarch/gate/Sidecar";
+import type { Sidecar } from "@auburnarch/sidecar/Sidecar";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 
--- a/packages/daemon/src/watchState.ts
+++ b/packages/daemon/src/watchState.ts
@@ -1,4 +1,4 @@
-import type { Sidecar } from "@auburnarch/gate/Sidecar";
+import type { Sidecar } from "@auburnarch/sidecar/Sidecar";
 import type { Clock } from "@auburnarch/types/Clock";
 
 const everyMs = 250;
--- a/packages/dispatch/src/DispatchPolicy.ts
+++ b/packages/dispatch/src/DispatchPolicy.ts
@@ -1,5 +1,5 @@
-import type { SamplerPicker } from "@auburnarch/pick/SamplerPicker";
 import type { WorkOrder } from "@auburnarch/queue/WorkOrder";
+import type { SamplerPicker } from "@auburnarch/selection/SamplerPicker";
 import type { HoldRule } from "./HoldRule.js";
 import type { LengthModel } from "./LengthModel.js";
 import type { MovableRule } from "./MovableRule.js";
--- a/packages/dispatch/src/MoveRule.ts
+++ b/packages/dispatch/src/MoveRule.ts
@@ -1,4 +1,4 @@
-import type { Candidate } from "@auburnarch/pick/Candidate";
+import type { Candidate } from "@auburnarch/selection/Candidate";
 
 /** A running attempt as the rule for moves sees it. */
 interface MovableAttempt {
--- a/packages/dispatch/src/createAttemptRunner.ts
+++ b/packages/dispatch/src/createAttemptRunner.ts
@@ -1,5 +1,5 @@
-import type { Candidate } from "@auburnarch/pick/Candidate";
-import type { PickDecision } from "@auburnarch/pick/PickDecision";
+import type { Candidate } from "@auburnarch/selection/Candidate";
+import type { PickDecision } from "@auburnarch/selection/PickDecision";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { SampleAnswer } from "@auburnarch/types/SampleAnswer";
--- a/packages/dispatch/src/createBaselinePolicy.ts
+++ b/packages/dispatch/src/createBaselinePolicy.ts
@@ -1,5 +1,5 @@
-import type { SamplerPicker } from "@auburnarch/pick/SamplerPicker";
 import { orderByArrival } from "@auburnarch/queue/orderByArrival";
+import type { SamplerPicker } from "@auburnarch/selection/SamplerPicker";
 import { createMaxLengthModel } from "./createMaxLengthModel.js";
 import type { DispatchPolicy } from "./DispatchPolicy.js";
 import { hasExceededExpectedLength } from "./hasExceededExpectedLength.js";
--- a/packages/dispatch/src/createDispatchRound.ts
+++ b/packages/dispatch/src/createDispatchRound.ts
@@ -1,4 +1,4 @@
-import type { Candidate } from "@auburnarch/pick/Candidate";
+import type { Candidate } from "@auburnarch/selection/Candidate";
 import { countTokens } from "./countTokens.js";
 import type { createAttemptRunner } from "./createAttemptRunner.js";
 import type { createPlacement } from "./createPlacement.js";
--- a/packages/dispatch/src/createMoveRule.ts
+++ b/packages/dispatch/src/createMoveRule.ts
@@ -1,5 +1,5 @@
-import { correctedLoad } from "@auburnarch/pick/correctedLoad";
-import { expectedTokensPerSecond } from "@auburnarch/pick/expectedTokensPerSecond";
+import { correctedLoad } from "@auburnarch/selection/correctedLoad";
+import { expectedTokensPerSecond } from "@auburnarch/selection/expectedTokensPerSecond";
 import type { MoveRule } from "./MoveRule.js";
 
 interface MoveRuleOptions {
--- a/packages/dispatch/src/createPlacement.ts
+++ b/packages/dispatch/src/createPlacement.ts
@@ -1,8 +1,8 @@
-import type { Candidate } from "@auburnarch/pick/Candidate";
-import { correctedLoad } from "@auburnarch/pick/correctedLoad";
-import type { PickDecision } from "@auburnarch/pick/PickDecision";
-import type { PickRequest } from "@auburnarch/pick/PickRequest";
-import { selectCandidates } from "@auburnarch/pick/selectCandidates";
+import type { Candidate } from "@auburnarch/selection/Candidate";
+import { correctedLoad } from "@auburnarch/selection/correctedLoad";
+import type { PickDecision } from "@auburnarch/selection/PickDecision";
+import type { PickRequest } from "@auburnarch/selection/PickRequest";
+import { selectCandidates } from "@auburnarch/selection/selectCandidates";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SamplerView } from "@auburnarch/types/SamplerView";
 import type { DispatcherDeps } from "./DispatcherDeps.js";
--- a/packages/dispatch/src/defaultDispatchPolicy.ts
+++ b/packages/dispatch/src/defaultDispatchPolicy.ts
@@ -1,5 +1,5 @@
-import { pickEarliestFinish } from "@auburnarch/pick/pickEarliestFinish";
 import { orderByLatestStart } from "@auburnarch/queue/orderByLatestStart";
+import { pickEarliestFinish } from "@auburnarch/selection/pickEarliestFinish";
 import { createPromptLengthModel } from "./createPromptLengthModel.js";
 import type { DispatchPolicy } from "./DispatchPolicy.js";
 import { hasExceededExpectedLength } from "./hasExceededExpectedLength.js";
--- a/packages/dispatch/src/estimateBacklogMs.ts
+++ b/packages/dispatch/src/estimateBacklogMs.ts
@@ -1,5 +1,5 @@
-import type { Candidate } from "@auburnarch/pick/Candidate";
-import { expectedTokensPerSecond } from "@auburnarch/pick/expectedTokensPerSecond";
+import type { Candidate } from "@auburnarch/selection/Candidate";
+import { expectedTokensPerSecond } from "@auburnarch/selection/expectedTokensPerSecond";
 import type { DispatchState } from "./DispatchState.js";
 
 /** Time that all samplers together need for what waits, all their places in use; infinite without samplers. */
--- a/packages/dispatch/src/pauseAfterFailure.ts
+++ b/packages/dispatch/src/pauseAfterFailure.ts
@@ -1,5 +1,5 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import { pauseAfterBreaks } from "@auburnarch/send/pauseAfterBreaks";
+import { pauseAfterBreaks } from "@auburnarch/transport/pauseAfterBreaks";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
 /** How an attempt ended, and what went before it. */
--- a/packages/dispatch/src/rules.test.ts
+++ b/packages/dispatch/src/rules.test.ts
@@ -1,7 +1,7 @@
-import { createTestCandidate } from "@auburnarch/pick/testing/createTestCandidate";
 import { createWaitingQueue } from "@auburnarch/queue/createWaitingQueue";
 import { orderByLatestStart } from "@auburnarch/queue/orderByLatestStart";
 import type { WaitingSample } from "@auburnarch/queue/WaitingSample";
+import { createTestCandidate } from "@auburnarch/selection/testing/createTestCandidate";
 import fc from "fast-check";
 import { expect, test } from "vitest";
 import { createDispatchState } from "./createDispatchState.js";
--- a/packages/entry/src/EntryGuards.ts
+++ b/packages/entry/src/EntryGuards.ts
@@ -1,10 +1,10 @@
-import type { KeyRangeGuards } from "@auburnarch/admit/KeyRangeGuards";
-import type { QuarantineDeps } from "@auburnarch/admit/QuarantineDeps";
+import type { KeyRangeGuards } from "@auburnarch/admission/KeyRangeGuards";
+import type { QuarantineDeps } from "@auburnarch/admission/QuarantineDeps";
+import type { DocumentSyncGuards } from "@auburnarch/documents/DocumentSyncGuards";
 import type { LeaseGuards } from "@auburnarch/lease/LeaseGuards";
-import type { OwnerGuards } from "@auburnarch/own/OwnerGuards";
-import type { OwnerParts } from "@auburnarch/own/OwnerParts";
-import type { SendGuards } from "@auburnarch/send/SendGuards";
-import type { DocumentSyncGuards } from "@auburnarch/spread/DocumentSyncGuards";
+import type { OwnerGuards } from "@auburnarch/ownership/OwnerGuards";
+import type { OwnerParts } from "@auburnarch/ownership/OwnerParts";
+import type { SendGuards } from "@auburnarch/transport/SendGuards";
 
 /** Checks and parts that a bench may replace one at a time; each has its default. */
 export interface EntryGuards {
--- a/packages/entry/src/Fleet.ts
+++ b/packages/entry/src/Fleet.ts
@@ -1,5 +1,5 @@
+import type { DocumentSync } from "@auburnarch/documents/DocumentSync";
 import type { Membership } from "@auburnarch/membership/Membership";
-import type { DocumentSync } from "@auburnarch/spread/DocumentSync";
 import type { EntryId } from "@auburnarch/types/EntryId";
 import type { ManifestView } from "./ManifestView.js";
 import type { SamplerViews } from "./SamplerViews.js";
--- a/packages/entry/src/JobReport.ts
+++ b/packages/entry/src/JobReport.ts
@@ -1,4 +1,4 @@
-import type { OwnerStatus } from "@auburnarch/own/OwnerStatus";
+import type { OwnerStatus } from "@auburnarch/ownership/OwnerStatus";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 
 /** A job of the manifest with what its owner says; `status` is undefined where the owner did not answer. */
--- a/packages/entry/src/RangeOwnership.ts
+++ b/packages/entry/src/RangeOwnership.ts
@@ -1,4 +1,4 @@
-import type { KeyRange } from "@auburnarch/admit/KeyRange";
+import type { KeyRange } from "@auburnarch/admission/KeyRange";
 
 /** The key ranges that this entry owns. */
 export interface RangeOwnership {
--- a/packages/entry/src/createAdmission.ts
+++ b/packages/entry/src/createAdmission.ts
@@ -1,6 +1,6 @@
-import { createQuarantine } from "@auburnarch/admit/createQuarantine";
-import { createTeamLimit } from "@auburnarch/admit/createTeamLimit";
-import type { Quarantine } from "@auburnarch/admit/Quarantine";
+import { createQuarantine } from "@auburnarch/admission/createQuarantine";
+import { createTeamLimit } from "@auburnarch/admission/createTeamLimit";
+import type { Quarantine } from "@auburnarch/admission/Quarantine";
 import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { Logger } from "@auburnarch/types/Logger";
--- a/packages/entry/src/createEntry.ts
+++ b/packages/entry/src/createEntry.ts
@@ -1,4 +1,4 @@
-import { authenticate } from "@auburnarch/admit/authenticate";
+import { authenticate } from "@auburnarch/admission/authenticate";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
--- a/packages/entry/src/createFleet.ts
+++ b/packages/entry/src/createFleet.ts
@@ -1,6 +1,6 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
+import { createDocumentSync } from "@auburnarch/documents/createDocumentSync";
 import { createMembership } from "@auburnarch/membership/createMembership";
-import { createDocumentSync } from "@auburnarch/spread/createDocumentSync";
 import type { Logger } from "@auburnarch/types/Logger";
 import { createManifestView } from "./createManifestView.js";
 import { createSamplerViews } from "./createSamplerViews.js";
--- a/packages/entry/src/createForwardPlain.ts
+++ b/packages/entry/src/createForwardPlain.ts
@@ -1,10 +1,10 @@
 import { codeByNumber } from "@auburnarch/errors/codeByNumber";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import { exchangeHttp } from "@auburnarch/send/exchangeHttp";
-import { parseAddress } from "@auburnarch/send/parseAddress";
-import { passHeaders } from "@auburnarch/send/passHeaders";
-import { readWhole } from "@auburnarch/send/readWhole";
-import { writeHeaders } from "@auburnarch/send/writeHeaders";
+import { exchangeHttp } from "@auburnarch/transport/exchangeHttp";
+import { parseAddress } from "@auburnarch/transport/parseAddress";
+import { passHeaders } from "@auburnarch/transport/passHeaders";
+import { readWhole } from "@auburnarch/transport/readWhole";
+import { writeHeaders } from "@auburnarch/transport/writeHeaders";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
--- a/packages/entry/src/createJobOwnership.test.ts
+++ b/packages/entry/src/createJobOwnership.test.ts
@@ -1,4 +1,4 @@
-import type { Owner } from "@auburnarch/own/Owner";
+import type { Owner } from "@auburnarch/ownership/Owner";
 import type { EntryId } from "@auburnarch/types/EntryId";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 import type { Lease } from "@auburnarch/types/Lease";
--- a/packages/entry/src/createJobOwnership.ts
+++ b/packages/entry/src/createJobOwnership.ts
@@ -1,5 +1,5 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
-import type { Owner } from "@auburnarch/own/Owner";
+import type { Owner } from "@auburnarch/ownership/Owner";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { EntryId } from "@auburnarch/types/EntryId";
 import type { JobId } from "@auburnarch/types/JobId";
--- a/packages/entry/src/createJobReader.ts
+++ b/packages/entry/src/createJobReader.ts
@@ -1,4 +1,4 @@
-import type { OwnerStatus } from "@auburnarch/own/OwnerStatus";
+import type { OwnerStatus } from "@auburnarch/ownership/OwnerStatus";
 import type { EntryId } from "@auburnarch/types/EntryId";
 import type { JobId } from "@auburnarch/types/JobId";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
--- a/packages/entry/src/createKeyedRequestHandler.test.ts
+++ b/packages/entry/src/createKeyedRequestHandler.test.ts
@@ -1,4 +1,4 @@
-import type { KeyRange } from "@auburnarch/admit/KeyRange";
+import type { KeyRange } from "@auburnarch/admission/KeyRange";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
--- a/packages/entry/src/createKeyedRequestHandler.ts
+++ b/packages/entry/src/createKeyedRequestHandler.ts
@@ -1,6 +1,6 @@
-import type { KeyRange } from "@auburnarch/admit/KeyRange";
-import { mintTime } from "@auburnarch/admit/mintTime";
-import { rangeOf } from "@auburnarch/admit/rangeOf";
+import type { KeyRange } from "@auburnarch/admission/KeyRange";
+import { mintTime } from "@auburnarch/admission/mintTime";
+import { rangeOf } from "@auburnarch/admission/rangeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { Clock } from "@auburnarch/types/Clock";
--- a/packages/entry/src/createOperations.ts
+++ b/packages/entry/src/createOperations.ts
@@ -1,4 +1,4 @@
-import type { Quarantine } from "@auburnarch/admit/Quarantine";
+import type { Quarantine } from "@auburnarch/admission/Quarantine";
 import type { OperatorApplied } from "@auburnarch/types/OperatorApplied";
 import type { OperatorMember } from "@auburnarch/types/OperatorMember";
 import type { OperatorTeamUsage } from "@auburnarch/types/OperatorTeamUsage";
--- a/packages/entry/src/createOperatorHandler.ts
+++ b/packages/entry/src/createOperatorHandler.ts
@@ -1,4 +1,3 @@
-import { summarizeUsage } from "@auburnarch/account/summarizeUsage";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { Clock } from "@auburnarch/types/Clock";
@@ -15,6 +14,7 @@
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { VersionedManifest } from "@auburnarch/types/VersionedManifest";
+import { summarizeUsage } from "@auburnarch/usage/summarizeUsage";
 import { z } from "zod";
 import type { DecisionStore } from "./DecisionStore.js";
 import type { JobReport } from "./JobReport.js";
--- a/packages/entry/src/createOwnership.ts
+++ b/packages/entry/src/createOwnership.ts
@@ -1,6 +1,6 @@
 import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
-import { createOwner } from "@auburnarch/own/createOwner";
-import type { Owner } from "@auburnarch/own/Owner";
+import { createOwner } from "@auburnarch/ownership/createOwner";
+import type { Owner } from "@auburnarch/ownership/Owner";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 import type { Lease } from "@auburnarch/types/Lease";
 import type { Logger } from "@auburnarch/types/Logger";
--- a/packages/entry/src/createPeerCall.ts
+++ b/packages/entry/src/createPeerCall.ts
@@ -1,7 +1,7 @@
 import { codeByNumber } from "@auburnarch/errors/codeByNumber";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import { sidecarHeaders } from "@auburnarch/send/sidecarHeaders";
+import { sidecarHeaders } from "@auburnarch/transport/sidecarHeaders";
 import { isJSONRPCResponse, JSONRPCClient, JSONRPCErrorException } from "json-rpc-2.0";
 import { Agent, type AgentOptions, request as httpRequest } from "node:http";
 import { request as httpsRequest } from "node:https";
--- a/packages/entry/src/createRangeOwnership.ts
+++ b/packages/entry/src/createRangeOwnership.ts
@@ -1,8 +1,8 @@
-import { createAnswerCacheBudget } from "@auburnarch/admit/createAnswerCacheBudget";
-import { createKeyRange } from "@auburnarch/admit/createKeyRange";
-import type { KeyRange } from "@auburnarch/admit/KeyRange";
-import type { KeyRangeGuards } from "@auburnarch/admit/KeyRangeGuards";
-import { rangeCount } from "@auburnarch/admit/rangeCount";
+import { createAnswerCacheBudget } from "@auburnarch/admission/createAnswerCacheBudget";
+import { createKeyRange } from "@auburnarch/admission/createKeyRange";
+import type { KeyRange } from "@auburnarch/admission/KeyRange";
+import type { KeyRangeGuards } from "@auburnarch/admission/KeyRangeGuards";
+import { rangeCount } from "@auburnarch/admission/rangeCount";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import type { Invariants } from "@auburnarch/invariants/Invariants";
 import { rangeLeaseKey } from "@auburnarch/lease/rangeLeaseKey";
--- a/packages/entry/src/createServiceHandler.ts
+++ b/packages/entry/src/createServiceHandler.ts
@@ -1,10 +1,10 @@
-import type { Quarantine } from "@auburnarch/admit/Quarantine";
+import type { Quarantine } from "@auburnarch/admission/Quarantine";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
-import { createRetryBudget } from "@auburnarch/send/createRetryBudget";
-import type { SendGuards } from "@auburnarch/send/SendGuards";
-import { sendPlain } from "@auburnarch/send/sendPlain";
+import { createRetryBudget } from "@auburnarch/transport/createRetryBudget";
+import type { SendGuards } from "@auburnarch/transport/SendGuards";
+import { sendPlain } from "@auburnarch/transport/sendPlain";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { Clock } from "@auburnarch/types/Clock";
--- a/packages/entry/src/createSnapshotRestore.test.ts
+++ b/packages/entry/src/createSnapshotRestore.test.ts
@@ -1,8 +1,8 @@
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
 import { validateManifest } from "@auburnarch/config/validateManifest";
+import { createDocumentSync } from "@auburnarch/documents/createDocumentSync";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
-import { createDocumentSync } from "@auburnarch/spread/createDocumentSync";
 import type { ObjectVersion } from "@auburnarch/types/ObjectVersion";
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import { expect, test } from "vitest";
--- a/packages/entry/src/createTrainerCallHandler.ts
+++ b/packages/entry/src/createTrainerCallHandler.ts
@@ -1,6 +1,6 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import type { Owner } from "@auburnarch/own/Owner";
+import type { Owner } from "@auburnarch/ownership/Owner";
 import type { JobId } from "@auburnarch/types/JobId";
 import type { Manifest } from "@auburnarch/types/Manifest";
 import type { OwnerDocument } from "@auburnarch/types/OwnerDocument";
--- a/packages/entry/src/createTrialSidecar.ts
+++ b/packages/entry/src/createTrialSidecar.ts
@@ -1,5 +1,5 @@
-import type { Quarantine } from "@auburnarch/admit/Quarantine";
-import type { TrialKind } from "@auburnarch/admit/TrialKind";
+import type { Quarantine } from "@auburnarch/admission/Quarantine";
+import type { TrialKind } from "@auburnarch/admission/TrialKind";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
--- a/packages/entry/src/createUsageCollector.ts
+++ b/packages/entry/src/createUsageCollector.ts
@@ -1,4 +1,3 @@
-import { mergeUsage } from "@auburnarch/account/mergeUsage";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { EntryId } from "@auburnarch/types/EntryId";
@@ -8,6 +7,7 @@
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { UsageCounter } from "@auburnarch/types/UsageCounter";
+import { mergeUsage } from "@auburnarch/usage/mergeUsage";
 import { z } from "zod";
 import type { UsageCollector } from "./UsageCollector.js";
 
--- a/packages/entry/src/serveEntry.test.ts
+++ b/packages/entry/src/serveEntry.test.ts
@@ -1,4 +1,4 @@
-import { rangeCount } from "@auburnarch/admit/rangeCount";
+import { rangeCount } from "@auburnarch/admission/rangeCount";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { GroupKeep } from "@auburnarch/types/GroupKeep";
 import fc from "fast-check";
--- a/packages/entry/src/writeAnswer.ts
+++ b/packages/entry/src/writeAnswer.ts
@@ -1,6 +1,6 @@
-import { pipeBody } from "@auburnarch/collect/pipeBody";
-import { responseSink } from "@auburnarch/collect/responseSink";
-import { writeHeaders } from "@auburnarch/send/writeHeaders";
+import { pipeBody } from "@auburnarch/streams/pipeBody";
+import { responseSink } from "@auburnarch/streams/responseSink";
+import { writeHeaders } from "@auburnarch/transport/writeHeaders";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
 import type { ServerResponse } from "node:http";
--- a/packages/relay/src/createBreakRegistry.ts
+++ b/packages/forwarding/src/createBreakRegistry.ts
@@ -1,4 +1,4 @@
-import { pauseAfterBreaks } from "@auburnarch/send/pauseAfterBreaks";
+import { pauseAfterBreaks } from "@auburnarch/transport/pauseAfterBreaks";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { BreakRegistry } from "./BreakRegistry.js";
--- a/packages/relay/src/createContentGuard.ts
+++ b/packages/forwarding/src/createContentGuard.ts
@@ -1,4 +1,4 @@
-import { digestContent } from "@auburnarch/send/digestContent";
+import { digestContent } from "@auburnarch/transport/digestContent";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { BreakRegistry } from "./BreakRegistry.js";
 import type { ContentGuard } from "./ContentGuard.js";
--- a/packages/relay/src/createSamplerAttempts.ts
+++ b/packages/forwarding/src/createSamplerAttempts.ts
@@ -1,7 +1,7 @@
 import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { chooseService } from "@auburnarch/routing/chooseService";
-import { readWhole } from "@auburnarch/send/readWhole";
+import { readWhole } from "@auburnarch/transport/readWhole";
 import { createSamplerRecords } from "./createSamplerRecords.js";
 import { estimateWaitMs } from "./estimateWaitMs.js";
 import type { RequestForwarderDeps } from "./RequestForwarderDeps.js";
--- a/packages/gateway/src/ClientAnswer.ts
+++ b/packages/gateway/src/ClientAnswer.ts
@@ -1,4 +1,4 @@
-import type { ResultsPage } from "@auburnarch/lots/ResultsPage";
+import type { ResultsPage } from "@auburnarch/batches/ResultsPage";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
 /** What a client gets. */
--- a/packages/gateway/src/DecodeBatchJob.ts
+++ b/packages/gateway/src/DecodeBatchJob.ts
@@ -1,5 +1,5 @@
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 
 /** Decodes a submitted batch job, but for whose it is; throws a `ResultError` of code `badRequest` that names the fault. */
 export type DecodeBatchJob = (
--- a/packages/gateway/src/GatewayDeps.ts
+++ b/packages/gateway/src/GatewayDeps.ts
@@ -1,9 +1,9 @@
+import type { BatchJobReader } from "@auburnarch/batches/BatchJobReader";
+import type { BatchJobStore } from "@auburnarch/batches/BatchJobStore";
 import type { RoutingView } from "@auburnarch/discovery/RoutingView";
 import type { SamplerDirectory } from "@auburnarch/discovery/SamplerDirectory";
-import type { BatchJobReader } from "@auburnarch/lots/BatchJobReader";
-import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
+import type { RequestForwarder } from "@auburnarch/forwarding/RequestForwarder";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
-import type { RequestForwarder } from "@auburnarch/relay/RequestForwarder";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { DecodeBatchJob } from "./DecodeBatchJob.js";
--- a/packages/gateway/src/createBatchJobHandler.ts
+++ b/packages/gateway/src/createBatchJobHandler.ts
@@ -1,7 +1,7 @@
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { ClientAnswer } from "./ClientAnswer.js";
--- a/packages/gateway/src/createRunnerResults.test.ts
+++ b/packages/gateway/src/createRunnerResults.test.ts
@@ -1,7 +1,7 @@
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
+import type { ResultsAnswer } from "@auburnarch/batches/ResultsAnswer";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
-import { createRunnerCaller } from "@auburnarch/peers/createRunnerCaller";
+import { createRunnerCaller } from "@auburnarch/feeds/createRunnerCaller";
 import type { Logger } from "@auburnarch/types/Logger";
 import { expect, test } from "vitest";
 import { createRunnerResults } from "./createRunnerResults.js";
--- a/packages/gateway/src/createRunnerResults.ts
+++ b/packages/gateway/src/createRunnerResults.ts
@@ -1,8 +1,8 @@
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
+import type { ResultsAnswer } from "@auburnarch/batches/ResultsAnswer";
+import type { ResultsSource } from "@auburnarch/batches/ResultsSource";
 import type { RunnerAddress } from "@auburnarch/discovery/RunnerAddress";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
-import type { ResultsSource } from "@auburnarch/lots/ResultsSource";
-import type { RunnerCaller } from "@auburnarch/peers/RunnerCaller";
+import type { RunnerCaller } from "@auburnarch/feeds/RunnerCaller";
 
 interface RunnerResultsDeps {
     caller: RunnerCaller;
--- a/packages/commit/src/defaultLedgerGuards.ts
+++ b/packages/ledger/src/defaultLedgerGuards.ts
@@ -1,4 +1,4 @@
-import { isWholeGroup } from "@auburnarch/verify/isWholeGroup";
+import { isWholeGroup } from "@auburnarch/validation/isWholeGroup";
 import type { LedgerGuards } from "./LedgerGuards.js";
 
 /** The checks as they run in production. */
--- a/packages/membership/src/ReportAnswer.ts
+++ b/packages/membership/src/ReportAnswer.ts
@@ -1,4 +1,4 @@
-import type { DocumentTransfer } from "@auburnarch/spread/DocumentTransfer";
+import type { DocumentTransfer } from "@auburnarch/documents/DocumentTransfer";
 import type { EntryTarget } from "./EntryTarget.js";
 
 /** An entry's answer to a report. */
--- a/packages/membership/src/ReportMessage.ts
+++ b/packages/membership/src/ReportMessage.ts
@@ -1,4 +1,4 @@
-import type { DocumentTransfer } from "@auburnarch/spread/DocumentTransfer";
+import type { DocumentTransfer } from "@auburnarch/documents/DocumentTransfer";
 import type { DocumentDigest } from "@auburnarch/types/DocumentDigest";
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 
--- a/packages/membership/src/ReporterDeps.ts
+++ b/packages/membership/src/ReporterDeps.ts
@@ -1,4 +1,4 @@
-import type { DocumentTransfer } from "@auburnarch/spread/DocumentTransfer";
+import type { DocumentTransfer } from "@auburnarch/documents/DocumentTransfer";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { DocumentDigest } from "@auburnarch/types/DocumentDigest";
 import type { Logger } from "@auburnarch/types/Logger";
--- a/packages/membership/src/createGossip.ts
+++ b/packages/membership/src/createGossip.ts
@@ -1,7 +1,7 @@
-import { callWithTimeout } from "@auburnarch/spread/callWithTimeout";
-import { drawOne } from "@auburnarch/spread/drawOne";
-import { drawSome } from "@auburnarch/spread/drawSome";
-import { parseMessage } from "@auburnarch/spread/parseMessage";
+import { callWithTimeout } from "@auburnarch/documents/callWithTimeout";
+import { drawOne } from "@auburnarch/documents/drawOne";
+import { drawSome } from "@auburnarch/documents/drawSome";
+import { parseMessage } from "@auburnarch/documents/parseMessage";
 import type { EntryId } from "@auburnarch/types/EntryId";
 import type { createAwakeTime } from "./createAwakeTime.js";
 import { createGossipMessages } from "./createGossipMessages.js";
--- a/packages/membership/src/createGossipMessages.ts
+++ b/packages/membership/src/createGossipMessages.ts
@@ -1,4 +1,4 @@
-import { drawOne } from "@auburnarch/spread/drawOne";
+import { drawOne } from "@auburnarch/documents/drawOne";
 import type { EntryId } from "@auburnarch/types/EntryId";
 import type { EntryRegistry } from "./EntryRegistry.js";
 import type { GossipMessage } from "./GossipMessage.js";
--- a/packages/membership/src/createMembership.ts
+++ b/packages/membership/src/createMembership.ts
@@ -1,5 +1,5 @@
-import { drawSome } from "@auburnarch/spread/drawSome";
-import { parseMessage } from "@auburnarch/spread/parseMessage";
+import { drawSome } from "@auburnarch/documents/drawSome";
+import { parseMessage } from "@auburnarch/documents/parseMessage";
 import { chooseOverDomains } from "./chooseOverDomains.js";
 import { createAwakeTime } from "./createAwakeTime.js";
 import { createEntryRegistry } from "./createEntryRegistry.js";
--- a/packages/membership/src/createReporter.ts
+++ b/packages/membership/src/createReporter.ts
@@ -1,7 +1,7 @@
+import { callWithTimeout } from "@auburnarch/documents/callWithTimeout";
+import type { DocumentTransfer } from "@auburnarch/documents/DocumentTransfer";
+import { parseMessage } from "@auburnarch/documents/parseMessage";
 import { codeOf } from "@auburnarch/errors/codeOf";
-import { callWithTimeout } from "@auburnarch/spread/callWithTimeout";
-import type { DocumentTransfer } from "@auburnarch/spread/DocumentTransfer";
-import { parseMessage } from "@auburnarch/spread/parseMessage";
 import type { DocumentDigest } from "@auburnarch/types/DocumentDigest";
 import { createEntryDirectory } from "./createEntryDirectory.js";
 import { createTargetChooser } from "./createTargetChooser.js";
--- a/packages/membership/src/reportAnswerSchema.ts
+++ b/packages/membership/src/reportAnswerSchema.ts
@@ -1,4 +1,4 @@
-import { documentTransferSchema } from "@auburnarch/spread/documentTransferSchema";
+import { documentTransferSchema } from "@auburnarch/documents/documentTransferSchema";
 import { z } from "zod";
 
 const maxRows = 256;
--- a/packages/membership/src/reportMessageSchema.ts
+++ b/packages/membership/src/reportMessageSchema.ts
@@ -1,5 +1,5 @@
-import { samplerReportSchema } from "@auburnarch/send/samplerReportSchema";
-import { documentTransferSchema } from "@auburnarch/spread/documentTransferSchema";
+import { documentTransferSchema } from "@auburnarch/documents/documentTransferSchema";
+import { samplerReportSchema } from "@auburnarch/transport/samplerReportSchema";
 import { z } from "zod";
 
 const version = z.int().min(0);
--- a/packages/own/src/GroupReaderDeps.ts
+++ b/packages/ownership/src/GroupReaderDeps.ts
@@ -1,5 +1,5 @@
-import type { CursorCodec } from "@auburnarch/deliver/CursorCodec";
-import type { CursorState } from "@auburnarch/deliver/CursorState";
+import type { CursorCodec } from "@auburnarch/cursors/CursorCodec";
+import type { CursorState } from "@auburnarch/cursors/CursorState";
 import type { Invariants } from "@auburnarch/invariants/Invariants";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Clock } from "@auburnarch/types/Clock";
--- a/packages/own/src/JobState.ts
+++ b/packages/ownership/src/JobState.ts
@@ -1,6 +1,6 @@
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
-import type { VersionBounds } from "@auburnarch/verify/VersionBounds";
+import type { VersionBounds } from "@auburnarch/validation/VersionBounds";
 import type { OpenStep } from "./OpenStep.js";
 
 /** What an owner knows of its job; one record that the parts of the owner share. */
--- a/packages/own/src/OpenStep.ts
+++ b/packages/ownership/src/OpenStep.ts
@@ -1,5 +1,5 @@
-import type { StepLedger } from "@auburnarch/commit/StepLedger";
-import type { CursorState } from "@auburnarch/deliver/CursorState";
+import type { CursorState } from "@auburnarch/cursors/CursorState";
+import type { StepLedger } from "@auburnarch/ledger/StepLedger";
 import type { GroupsPage } from "@auburnarch/types/GroupsPage";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { StepDocument } from "./StepDocument.js";
--- a/packages/own/src/OwnerGuards.ts
+++ b/packages/ownership/src/OwnerGuards.ts
@@ -1,11 +1,11 @@
-import type { LedgerGuards } from "@auburnarch/commit/LedgerGuards";
-import type { isGenuineCursor } from "@auburnarch/deliver/isGenuineCursor";
+import type { isGenuineCursor } from "@auburnarch/cursors/isGenuineCursor";
+import type { LedgerGuards } from "@auburnarch/ledger/LedgerGuards";
 import type { JobId } from "@auburnarch/types/JobId";
 import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
-import type { SampleProblem } from "@auburnarch/verify/SampleProblem";
-import type { VersionBounds } from "@auburnarch/verify/VersionBounds";
+import type { SampleProblem } from "@auburnarch/validation/SampleProblem";
+import type { VersionBounds } from "@auburnarch/validation/VersionBounds";
 import type { AuthorityState } from "./AuthorityState.js";
 
 /** The checks that keep an owner's promises. The fault bench replaces one at a time and shows what is lost. */
--- a/packages/own/src/OwnerParts.ts
+++ b/packages/ownership/src/OwnerParts.ts
@@ -1,5 +1,5 @@
 import type { createDispatcher } from "@auburnarch/dispatch/createDispatcher";
-import type { createSwapRoller } from "@auburnarch/swap/createSwapRoller";
+import type { createSwapRoller } from "@auburnarch/weights/createSwapRoller";
 
 /** The parts of an owner that stand on their own, so that tests and measurements can put others in their place. */
 export interface OwnerParts {
--- a/packages/own/src/StepRegistry.ts
+++ b/packages/ownership/src/StepRegistry.ts
@@ -1,4 +1,4 @@
-import type { CursorState } from "@auburnarch/deliver/CursorState";
+import type { CursorState } from "@auburnarch/cursors/CursorState";
 import type { OpenStep } from "./OpenStep.js";
 import type { StepDocument } from "./StepDocument.js";
 
--- a/packages/own/src/buildCheckpoint.ts
+++ b/packages/ownership/src/buildCheckpoint.ts
@@ -1,4 +1,4 @@
-import type { CursorCodec } from "@auburnarch/deliver/CursorCodec";
+import type { CursorCodec } from "@auburnarch/cursors/CursorCodec";
 import type { Checkpoint } from "./Checkpoint.js";
 import type { JobState } from "./JobState.js";
 
--- a/packages/own/src/checkPageInvariants.ts
+++ b/packages/ownership/src/checkPageInvariants.ts
@@ -1,9 +1,9 @@
-import { hasGroup } from "@auburnarch/deliver/hasGroup";
+import { hasGroup } from "@auburnarch/cursors/hasGroup";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { Invariants } from "@auburnarch/invariants/Invariants";
 import type { JobId } from "@auburnarch/types/JobId";
 import type { SampleGroup } from "@auburnarch/types/SampleGroup";
-import type { VersionBounds } from "@auburnarch/verify/VersionBounds";
+import type { VersionBounds } from "@auburnarch/validation/VersionBounds";
 import { sampleIdOf } from "./sampleIdOf.js";
 
 interface PageToCheck {
--- a/packages/own/src/createOpenStep.ts
+++ b/packages/ownership/src/createOpenStep.ts
@@ -1,6 +1,6 @@
-import { createStepLedger } from "@auburnarch/commit/createStepLedger";
-import type { LedgerGuards } from "@auburnarch/commit/LedgerGuards";
-import type { CursorState } from "@auburnarch/deliver/CursorState";
+import type { CursorState } from "@auburnarch/cursors/CursorState";
+import { createStepLedger } from "@auburnarch/ledger/createStepLedger";
+import type { LedgerGuards } from "@auburnarch/ledger/LedgerGuards";
 import type { OpenStep } from "./OpenStep.js";
 import type { StepDocument } from "./StepDocument.js";
 
--- a/packages/own/src/createOwner.ts
+++ b/packages/ownership/src/createOwner.ts
@@ -1,4 +1,4 @@
-import { createCursorCodec } from "@auburnarch/deliver/createCursorCodec";
+import { createCursorCodec } from "@auburnarch/cursors/createCursorCodec";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import { buildCheckpoint } from "./buildCheckpoint.js";
--- a/packages/own/src/createPageIssuer.ts
+++ b/packages/ownership/src/createPageIssuer.ts
@@ -1,6 +1,6 @@
-import { advanceCursor } from "@auburnarch/deliver/advanceCursor";
-import { countGroups } from "@auburnarch/deliver/countGroups";
-import type { CursorState } from "@auburnarch/deliver/CursorState";
+import { advanceCursor } from "@auburnarch/cursors/advanceCursor";
+import { countGroups } from "@auburnarch/cursors/countGroups";
+import type { CursorState } from "@auburnarch/cursors/CursorState";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { GroupsPage } from "@auburnarch/types/GroupsPage";
--- a/packages/own/src/createSamplePipeline.ts
+++ b/packages/ownership/src/createSamplePipeline.ts
@@ -1,11 +1,11 @@
 import type { Dispatcher } from "@auburnarch/dispatch/Dispatcher";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import type { SwapRoller } from "@auburnarch/swap/SwapRoller";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { SampleGroup } from "@auburnarch/types/SampleGroup";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
+import type { SwapRoller } from "@auburnarch/weights/SwapRoller";
 import type { Authority } from "./Authority.js";
 import { createSampleProducer } from "./createSampleProducer.js";
 import type { JobState } from "./JobState.js";
--- a/packages/own/src/createStepRegistry.ts
+++ b/packages/ownership/src/createStepRegistry.ts
@@ -1,7 +1,7 @@
-import { countGroups } from "@auburnarch/deliver/countGroups";
-import type { CursorState } from "@auburnarch/deliver/CursorState";
-import { emptyCursor } from "@auburnarch/deliver/emptyCursor";
-import { hasGroup } from "@auburnarch/deliver/hasGroup";
+import { countGroups } from "@auburnarch/cursors/countGroups";
+import type { CursorState } from "@auburnarch/cursors/CursorState";
+import { emptyCursor } from "@auburnarch/cursors/emptyCursor";
+import { hasGroup } from "@auburnarch/cursors/hasGroup";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 import type { Logger } from "@auburnarch/types/Logger";
--- a/packages/own/src/createWeightUpdater.ts
+++ b/packages/ownership/src/createWeightUpdater.ts
@@ -1,9 +1,9 @@
 import type { Dispatcher } from "@auburnarch/dispatch/Dispatcher";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { Invariants } from "@auburnarch/invariants/Invariants";
-import type { SwapRoller } from "@auburnarch/swap/SwapRoller";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { PublishedWeights } from "@auburnarch/types/PublishedWeights";
+import type { SwapRoller } from "@auburnarch/weights/SwapRoller";
 import type { JobState } from "./JobState.js";
 import type { OpenStep } from "./OpenStep.js";
 import type { OwnerGuards } from "./OwnerGuards.js";
--- a/packages/own/src/defaultOwnerGuards.ts
+++ b/packages/ownership/src/defaultOwnerGuards.ts
@@ -1,8 +1,8 @@
-import { defaultLedgerGuards } from "@auburnarch/commit/defaultLedgerGuards";
-import { hasGroup } from "@auburnarch/deliver/hasGroup";
-import { isGenuineCursor } from "@auburnarch/deliver/isGenuineCursor";
-import { findSampleProblem } from "@auburnarch/verify/findSampleProblem";
-import { isFresh } from "@auburnarch/verify/isFresh";
+import { hasGroup } from "@auburnarch/cursors/hasGroup";
+import { isGenuineCursor } from "@auburnarch/cursors/isGenuineCursor";
+import { defaultLedgerGuards } from "@auburnarch/ledger/defaultLedgerGuards";
+import { findSampleProblem } from "@auburnarch/validation/findSampleProblem";
+import { isFresh } from "@auburnarch/validation/isFresh";
 import { mayRun } from "./mayRun.js";
 import type { OwnerGuards } from "./OwnerGuards.js";
 
--- a/packages/own/src/defaultOwnerParts.ts
+++ b/packages/ownership/src/defaultOwnerParts.ts
@@ -1,5 +1,5 @@
 import { createDispatcher } from "@auburnarch/dispatch/createDispatcher";
-import { createSwapRoller } from "@auburnarch/swap/createSwapRoller";
+import { createSwapRoller } from "@auburnarch/weights/createSwapRoller";
 import type { OwnerParts } from "./OwnerParts.js";
 
 /** The parts as they run in production. */
--- a/packages/own/src/describeStep.ts
+++ b/packages/ownership/src/describeStep.ts
@@ -1,5 +1,5 @@
-import { countGroups } from "@auburnarch/deliver/countGroups";
-import { hasGroup } from "@auburnarch/deliver/hasGroup";
+import { countGroups } from "@auburnarch/cursors/countGroups";
+import { hasGroup } from "@auburnarch/cursors/hasGroup";
 import type { OpenStep } from "./OpenStep.js";
 import type { OwnerStatus } from "./OwnerStatus.js";
 
--- a/packages/own/src/pageKey.ts
+++ b/packages/ownership/src/pageKey.ts
@@ -1,4 +1,4 @@
-import type { CursorState } from "@auburnarch/deliver/CursorState";
+import type { CursorState } from "@auburnarch/cursors/CursorState";
 
 /** Two cursors that say the same get the same page, whoever issued them. */
 export function pageKey(cursor: CursorState): string {
--- a/packages/own/src/parseStoredGroup.ts
+++ b/packages/ownership/src/parseStoredGroup.ts
@@ -1,8 +1,8 @@
 import type { JobId } from "@auburnarch/types/JobId";
 import type { SampleGroup } from "@auburnarch/types/SampleGroup";
-import { findSpanProblem } from "@auburnarch/verify/findSpanProblem";
-import { isWholeGroup } from "@auburnarch/verify/isWholeGroup";
-import type { VersionBounds } from "@auburnarch/verify/VersionBounds";
+import { findSpanProblem } from "@auburnarch/validation/findSpanProblem";
+import { isWholeGroup } from "@auburnarch/validation/isWholeGroup";
+import type { VersionBounds } from "@auburnarch/validation/VersionBounds";
 import { sampleGroupSchema } from "./sampleGroupSchema.js";
 import { sampleIdOf } from "./sampleIdOf.js";
 import type { StepDocument } from "./StepDocument.js";
--- a/packages/own/src/resumeSteps.ts
+++ b/packages/ownership/src/resumeSteps.ts
@@ -1,4 +1,4 @@
-import type { CursorCodec } from "@auburnarch/deliver/CursorCodec";
+import type { CursorCodec } from "@auburnarch/cursors/CursorCodec";
 import type { ClaimedState } from "./ClaimedState.js";
 import type { JobState } from "./JobState.js";
 import type { StepRegistry } from "./StepRegistry.js";
--- a/packages/runner/src/RunnerDeps.ts
+++ b/packages/runner/src/RunnerDeps.ts
@@ -1,12 +1,12 @@
+import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
 import type { TrueTimeEstimate } from "@auburnarch/clock/TrueTimeEstimate";
 import type { RoutingView } from "@auburnarch/discovery/RoutingView";
 import type { RunnerAddress } from "@auburnarch/discovery/RunnerAddress";
 import type { SamplerDirectory } from "@auburnarch/discovery/SamplerDirectory";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
+import type { CallSampler } from "@auburnarch/forwarding/CallSampler";
 import type { Invariants } from "@auburnarch/invariants/Invariants";
-import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
-import type { CallSampler } from "@auburnarch/relay/CallSampler";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { Logger } from "@auburnarch/types/Logger";
--- a/packages/runner/src/createRunner.ts
+++ b/packages/runner/src/createRunner.ts
@@ -1,8 +1,8 @@
+import type { BatchJobStore } from "@auburnarch/batches/BatchJobStore";
+import { createBatchJobStore } from "@auburnarch/batches/createBatchJobStore";
+import { createRequestForwarder } from "@auburnarch/forwarding/createRequestForwarder";
 import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
 import type { LeaseKeeper } from "@auburnarch/lease/LeaseKeeper";
-import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
-import { createBatchJobStore } from "@auburnarch/lots/createBatchJobStore";
-import { createRequestForwarder } from "@auburnarch/relay/createRequestForwarder";
 import { findRoute } from "@auburnarch/routing/findRoute";
 import type { Route } from "@auburnarch/routing/Route";
 import { createDutyHolder } from "./duties/createDutyHolder.js";
--- a/packages/runner/src/items/ItemDispatch.ts
+++ b/packages/runner/src/items/ItemDispatch.ts
@@ -1,5 +1,5 @@
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import type { Dispatcher } from "@auburnarch/dispatch/Dispatcher";
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
 import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { ItemRun } from "./ItemRun.js";
--- a/packages/runner/src/items/ItemRun.ts
+++ b/packages/runner/src/items/ItemRun.ts
@@ -1,5 +1,5 @@
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
-import type { BatchJobItem } from "@auburnarch/lots/BatchJobItem";
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
+import type { BatchJobItem } from "@auburnarch/batches/BatchJobItem";
 
 /** An item that is to be run, with what its earlier runs came to. */
 export interface ItemRun {
--- a/packages/runner/src/items/OpenItems.ts
+++ b/packages/runner/src/items/OpenItems.ts
@@ -1,4 +1,4 @@
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import type { SampleId } from "@auburnarch/types/SampleId";
 
 /** The items of one job that have no result yet. */
--- a/packages/runner/src/items/ScoreItem.ts
+++ b/packages/runner/src/items/ScoreItem.ts
@@ -1,4 +1,4 @@
-import type { RewardCall } from "@auburnarch/lots/RewardCall";
+import type { RewardCall } from "@auburnarch/batches/RewardCall";
 
 /** How a reward call ended: with the score, or with the scoring service having failed it for good. */
 type Scored = { kind: "scored"; score: string; } | { kind: "failed"; };
--- a/packages/runner/src/items/createItemDispatch.ts
+++ b/packages/runner/src/items/createItemDispatch.ts
@@ -1,11 +1,11 @@
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import type { RoutingView } from "@auburnarch/discovery/RoutingView";
 import type { SamplerDirectory } from "@auburnarch/discovery/SamplerDirectory";
 import { createDispatcher } from "@auburnarch/dispatch/createDispatcher";
 import type { Dispatcher } from "@auburnarch/dispatch/Dispatcher";
 import type { DispatchPolicy } from "@auburnarch/dispatch/DispatchPolicy";
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import type { CallSampler } from "@auburnarch/forwarding/CallSampler";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
-import type { CallSampler } from "@auburnarch/relay/CallSampler";
 import { findRoute } from "@auburnarch/routing/findRoute";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
--- a/packages/runner/src/items/createItemFinisher.ts
+++ b/packages/runner/src/items/createItemFinisher.ts
@@ -1,7 +1,7 @@
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
+import type { BatchJobItem } from "@auburnarch/batches/BatchJobItem";
+import type { ItemResult } from "@auburnarch/batches/ItemResult";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
-import type { BatchJobItem } from "@auburnarch/lots/BatchJobItem";
-import type { ItemResult } from "@auburnarch/lots/ItemResult";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import type { BatchJobRunDeps } from "../jobs/BatchJobRunDeps.js";
--- a/packages/runner/src/items/createItemPolicy.ts
+++ b/packages/runner/src/items/createItemPolicy.ts
@@ -4,8 +4,8 @@
 import { holdNever } from "@auburnarch/dispatch/holdNever";
 import { priorityFixed } from "@auburnarch/dispatch/priorityFixed";
 import { thinNever } from "@auburnarch/dispatch/thinNever";
-import { pickEarliestFinish } from "@auburnarch/pick/pickEarliestFinish";
 import { orderByStepAndLength } from "@auburnarch/queue/orderByStepAndLength";
+import { pickEarliestFinish } from "@auburnarch/selection/pickEarliestFinish";
 import { countFreeSlots } from "./countFreeSlots.js";
 import { createHintedLengthModel } from "./createHintedLengthModel.js";
 
--- a/packages/runner/src/items/createItemSidecar.test.ts
+++ b/packages/runner/src/items/createItemSidecar.test.ts
@@ -1,9 +1,9 @@
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
-import type { SamplerReply } from "@auburnarch/relay/SamplerReply";
-import type { SamplerRequest } from "@auburnarch/relay/SamplerRequest";
+import type { SamplerReply } from "@auburnarch/forwarding/SamplerReply";
+import type { SamplerRequest } from "@auburnarch/forwarding/SamplerRequest";
 import type { Route } from "@auburnarch/routing/Route";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
--- a/packages/runner/src/items/createItemSidecar.ts
+++ b/packages/runner/src/items/createItemSidecar.ts
@@ -1,9 +1,9 @@
 import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import type { CallSampler } from "@auburnarch/relay/CallSampler";
-import type { SamplerReply } from "@auburnarch/relay/SamplerReply";
+import type { CallSampler } from "@auburnarch/forwarding/CallSampler";
+import type { SamplerReply } from "@auburnarch/forwarding/SamplerReply";
 import type { Route } from "@auburnarch/routing/Route";
-import { readWhole } from "@auburnarch/send/readWhole";
+import { readWhole } from "@auburnarch/transport/readWhole";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
--- a/packages/runner/src/items/createOpenItems.ts
+++ b/packages/runner/src/items/createOpenItems.ts
@@ -1,6 +1,6 @@
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
+import type { BatchJobItem } from "@auburnarch/batches/BatchJobItem";
 import { countTokens } from "@auburnarch/dispatch/countTokens";
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
-import type { BatchJobItem } from "@auburnarch/lots/BatchJobItem";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { SampleTask } from "@auburnarch/types/SampleTask";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
--- a/packages/runner/src/items/createScoreItem.ts
+++ b/packages/runner/src/items/createScoreItem.ts
@@ -1,6 +1,6 @@
 import type { RoutingView } from "@auburnarch/discovery/RoutingView";
-import type { ForwardingOutcome } from "@auburnarch/relay/ForwardingOutcome";
-import type { RequestForwarder } from "@auburnarch/relay/RequestForwarder";
+import type { ForwardingOutcome } from "@auburnarch/forwarding/ForwardingOutcome";
+import type { RequestForwarder } from "@auburnarch/forwarding/RequestForwarder";
 import { findRoute } from "@auburnarch/routing/findRoute";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
--- a/packages/runner/src/items/toSampleTask.ts
+++ b/packages/runner/src/items/toSampleTask.ts
@@ -1,5 +1,5 @@
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
-import type { BatchJobItem } from "@auburnarch/lots/BatchJobItem";
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
+import type { BatchJobItem } from "@auburnarch/batches/BatchJobItem";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { SampleTask } from "@auburnarch/types/SampleTask";
--- a/packages/runner/src/items/tokensPerEvent.ts
+++ b/packages/runner/src/items/tokensPerEvent.ts
@@ -1,4 +1,4 @@
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import { findRoute } from "@auburnarch/routing/findRoute";
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
 
--- a/packages/runner/src/jobs/BatchJobRunDeps.ts
+++ b/packages/runner/src/jobs/BatchJobRunDeps.ts
@@ -1,9 +1,9 @@
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
+import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
+import type { BatchJobStore } from "@auburnarch/batches/BatchJobStore";
 import type { Dispatcher } from "@auburnarch/dispatch/Dispatcher";
 import type { Invariants } from "@auburnarch/invariants/Invariants";
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
-import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Route } from "@auburnarch/routing/Route";
 import type { Clock } from "@auburnarch/types/Clock";
--- a/packages/runner/src/jobs/RunningBatchJob.ts
+++ b/packages/runner/src/jobs/RunningBatchJob.ts
@@ -1,4 +1,4 @@
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 
 /** A job that a runner runs, and for how long it has. */
 export interface RunningBatchJob {
--- a/packages/runner/src/jobs/chooseOwner.ts
+++ b/packages/runner/src/jobs/chooseOwner.ts
@@ -1,4 +1,4 @@
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import { rankByRendezvous } from "@auburnarch/membership/rankByRendezvous";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
--- a/packages/runner/src/jobs/createBatchJobRegistry.ts
+++ b/packages/runner/src/jobs/createBatchJobRegistry.ts
@@ -1,6 +1,6 @@
+import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
-import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { Logger } from "@auburnarch/types/Logger";
--- a/packages/runner/src/jobs/createBatchJobRun.ts
+++ b/packages/runner/src/jobs/createBatchJobRun.ts
@@ -1,6 +1,6 @@
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import { createStopController } from "@auburnarch/clock/createStopController";
 import { codeOf } from "@auburnarch/errors/codeOf";
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
 import { createOpenItems } from "../items/createOpenItems.js";
 import { stepDueMs } from "../items/stepDueMs.js";
 import { createGroupNeed } from "../results/createGroupNeed.js";
--- a/packages/runner/src/jobs/createBatchJobSweeper.ts
+++ b/packages/runner/src/jobs/createBatchJobSweeper.ts
@@ -1,8 +1,8 @@
+import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
+import type { BatchJobStore } from "@auburnarch/batches/BatchJobStore";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
 import { codeOf } from "@auburnarch/errors/codeOf";
-import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
 
--- a/packages/runner/src/jobs/createSeenGroups.ts
+++ b/packages/runner/src/jobs/createSeenGroups.ts
@@ -1,5 +1,5 @@
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 
 /** Which job each group of prompts came with first. */
 interface SeenGroups {
--- a/packages/runner/src/peers/RunnerStatus.ts
+++ b/packages/runner/src/peers/RunnerStatus.ts
@@ -1,6 +1,6 @@
-import type { StartReport } from "@auburnarch/account/StartReport";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
+import type { StartReport } from "@auburnarch/usage/StartReport";
 import type { RunningBatchJob } from "../jobs/RunningBatchJob.js";
 
 /** What a runner tells its peers when they probe it. */
--- a/packages/runner/src/peers/createPeerRegistry.test.ts
+++ b/packages/runner/src/peers/createPeerRegistry.test.ts
@@ -1,7 +1,7 @@
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import type { RunnerAddress } from "@auburnarch/discovery/RunnerAddress";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { Logger } from "@auburnarch/types/Logger";
 import { expect, test } from "vitest";
--- a/packages/runner/src/peers/createTimedProbe.ts
+++ b/packages/runner/src/peers/createTimedProbe.ts
@@ -1,7 +1,7 @@
-import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
 import type { TrueTimeEstimate } from "@auburnarch/clock/TrueTimeEstimate";
 import type { RunnerAddress } from "@auburnarch/discovery/RunnerAddress";
 import type { Clock } from "@auburnarch/types/Clock";
+import type { StartCountRegistry } from "@auburnarch/usage/StartCountRegistry";
 import type { RunnerStatus } from "./RunnerStatus.js";
 import type { StatusQuery } from "./StatusQuery.js";
 
--- a/packages/runner/src/results/Recorder.ts
+++ b/packages/runner/src/results/Recorder.ts
@@ -1,4 +1,4 @@
-import type { ItemResult } from "@auburnarch/lots/ItemResult";
+import type { ItemResult } from "@auburnarch/batches/ItemResult";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { GroupNeed } from "./GroupNeed.js";
 
--- a/packages/runner/src/results/ResultCache.ts
+++ b/packages/runner/src/results/ResultCache.ts
@@ -1,7 +1,7 @@
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import type { BatchJobSummary } from "@auburnarch/lots/BatchJobSummary";
-import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
-import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
+import type { BatchJobSummary } from "@auburnarch/batches/BatchJobSummary";
+import type { ResultChunk } from "@auburnarch/batches/ResultChunk";
+import type { ResultsAnswer } from "@auburnarch/batches/ResultsAnswer";
 
 /** Results of the jobs that run or ran here, for gateways that ask. */
 export interface ResultCache {
--- a/packages/runner/src/results/ResultCacheEntry.ts
+++ b/packages/runner/src/results/ResultCacheEntry.ts
@@ -1,5 +1,5 @@
-import type { BatchJobSummary } from "@auburnarch/lots/BatchJobSummary";
-import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
+import type { BatchJobSummary } from "@auburnarch/batches/BatchJobSummary";
+import type { ResultChunk } from "@auburnarch/batches/ResultChunk";
 
 /** Results of one job, as far as they are known here. */
 export interface ResultCacheEntry extends BatchJobSummary {
--- a/packages/runner/src/results/countChars.ts
+++ b/packages/runner/src/results/countChars.ts
@@ -1,4 +1,4 @@
-import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
+import type { ResultChunk } from "@auburnarch/batches/ResultChunk";
 
 /** Characters of the texts in some chunks. */
 export const countChars = (chunks: ResultChunk[]): number =>
--- a/packages/runner/src/results/createContestedBatchJobs.ts
+++ b/packages/runner/src/results/createContestedBatchJobs.ts
@@ -1,4 +1,4 @@
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import type { PeerView } from "../peers/PeerView.js";
 
 /**
--- a/packages/runner/src/results/createRecorder.test.ts
+++ b/packages/runner/src/results/createRecorder.test.ts
@@ -1,12 +1,12 @@
+import type { BatchJob } from "@auburnarch/batches/BatchJob";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
+import { createBatchJobStore } from "@auburnarch/batches/createBatchJobStore";
+import type { ItemResult } from "@auburnarch/batches/ItemResult";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { createFakeObjectStore } from "@auburnarch/fakes/createFakeObjectStore";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createLogger } from "@auburnarch/log/createLogger";
-import type { BatchJob } from "@auburnarch/lots/BatchJob";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import { createBatchJobStore } from "@auburnarch/lots/createBatchJobStore";
-import type { ItemResult } from "@auburnarch/lots/ItemResult";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import { expect, test } from "vitest";
 import { createGroupNeed } from "./createGroupNeed.js";
--- a/packages/runner/src/results/createRecorder.ts
+++ b/packages/runner/src/results/createRecorder.ts
@@ -1,10 +1,10 @@
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
+import type { BatchJobStore } from "@auburnarch/batches/BatchJobStore";
+import type { ItemResult } from "@auburnarch/batches/ItemResult";
+import type { ResultChunk } from "@auburnarch/batches/ResultChunk";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { Invariants } from "@auburnarch/invariants/Invariants";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
-import type { ItemResult } from "@auburnarch/lots/ItemResult";
-import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { Random } from "@auburnarch/types/Random";
--- a/packages/runner/src/results/createResultCache.test.ts
+++ b/packages/runner/src/results/createResultCache.test.ts
@@ -1,11 +1,11 @@
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
+import type { BatchJobSummary } from "@auburnarch/batches/BatchJobSummary";
+import type { ItemResult } from "@auburnarch/batches/ItemResult";
+import type { ResultChunk } from "@auburnarch/batches/ResultChunk";
+import type { ResultsAnswer } from "@auburnarch/batches/ResultsAnswer";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import type { BatchJobSummary } from "@auburnarch/lots/BatchJobSummary";
-import type { ItemResult } from "@auburnarch/lots/ItemResult";
-import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
-import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
 import { expect, test } from "vitest";
 import type { PeerView } from "../peers/PeerView.js";
 import type { RunnerStatus } from "../peers/RunnerStatus.js";
--- a/packages/runner/src/results/createResultCache.ts
+++ b/packages/runner/src/results/createResultCache.ts
@@ -1,8 +1,8 @@
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import type { BatchJobStore } from "@auburnarch/lots/BatchJobStore";
-import type { BatchJobSummary } from "@auburnarch/lots/BatchJobSummary";
-import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
-import type { ResultsAnswer } from "@auburnarch/lots/ResultsAnswer";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
+import type { BatchJobStore } from "@auburnarch/batches/BatchJobStore";
+import type { BatchJobSummary } from "@auburnarch/batches/BatchJobSummary";
+import type { ResultChunk } from "@auburnarch/batches/ResultChunk";
+import type { ResultsAnswer } from "@auburnarch/batches/ResultsAnswer";
 import type { Clock } from "@auburnarch/types/Clock";
 import { countChars } from "./countChars.js";
 import { createResultCacheEntries } from "./createResultCacheEntries.js";
--- a/packages/runner/src/results/createResultCacheEntries.ts
+++ b/packages/runner/src/results/createResultCacheEntries.ts
@@ -1,6 +1,6 @@
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
-import type { BatchJobSummary } from "@auburnarch/lots/BatchJobSummary";
-import type { ResultChunk } from "@auburnarch/lots/ResultChunk";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
+import type { BatchJobSummary } from "@auburnarch/batches/BatchJobSummary";
+import type { ResultChunk } from "@auburnarch/batches/ResultChunk";
 import { countChars } from "./countChars.js";
 import type { ResultCacheEntry } from "./ResultCacheEntry.js";
 
--- a/packages/runner/src/results/findEndedEntry.ts
+++ b/packages/runner/src/results/findEndedEntry.ts
@@ -1,6 +1,6 @@
+import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
-import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
 
 /** A job that its client has ended; undefined for an open one and for one that is not known. */
 export function findEndedEntry(
--- a/packages/runner/src/results/isSoleWriter.ts
+++ b/packages/runner/src/results/isSoleWriter.ts
@@ -1,4 +1,4 @@
-import type { BatchJobId } from "@auburnarch/lots/BatchJobId";
+import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import type { PeerView } from "../peers/PeerView.js";
 
 /** A peer that was heard this lately has not taken over a job and recorded results for it. Two probes and an answer. */
--- a/packages/runner/src/testing/ReportingProcess.ts
+++ b/packages/runner/src/testing/ReportingProcess.ts
@@ -1,5 +1,5 @@
-import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
 import type { createPausableProcess } from "@auburnarch/fakes/createPausableProcess";
+import type { StartCountRegistry } from "@auburnarch/usage/StartCountRegistry";
 
 /** A runner of which only the duty of reports is played. */
 export interface ReportingProcess {
--- a/packages/runner/src/testing/createReportingProcess.ts
+++ b/packages/runner/src/testing/createReportingProcess.ts
@@ -1,4 +1,3 @@
-import { createStartCountRegistry } from "@auburnarch/account/createStartCountRegistry";
 import { createPausableProcess } from "@auburnarch/fakes/createPausableProcess";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
@@ -8,6 +7,7 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { Random } from "@auburnarch/types/Random";
+import { createStartCountRegistry } from "@auburnarch/usage/createStartCountRegistry";
 import { createDutyHolder } from "../duties/createDutyHolder.js";
 import { createPauseDetector } from "../duties/createPauseDetector.js";
 import type { Duty } from "../duties/Duty.js";
--- a/packages/runner/src/testing/simulateUsageReports.ts
+++ b/packages/runner/src/testing/simulateUsageReports.ts
@@ -1,8 +1,8 @@
-import type { StartCount } from "@auburnarch/account/StartCount";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { createFakeObjectStore } from "@auburnarch/fakes/createFakeObjectStore";
 import type { TeamId } from "@auburnarch/types/TeamId";
+import type { StartCount } from "@auburnarch/usage/StartCount";
 import { createReportingProcess } from "./createReportingProcess.js";
 import type { ReportCall } from "./ReportCall.js";
 import type { ReportingProcess } from "./ReportingProcess.js";
--- a/packages/runner/src/usage/UsageDeps.ts
+++ b/packages/runner/src/usage/UsageDeps.ts
@@ -1,4 +1,4 @@
-import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
+import type { StartCountRegistry } from "@auburnarch/usage/StartCountRegistry";
 import type { SendUsageReport } from "./SendUsageReport.js";
 import type { UsageTimes } from "./UsageTimes.js";
 
--- a/packages/runner/src/usage/createUsageDuty.ts
+++ b/packages/runner/src/usage/createUsageDuty.ts
@@ -1,4 +1,3 @@
-import type { StartCountRegistry } from "@auburnarch/account/StartCountRegistry";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
@@ -7,6 +6,7 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { TrueTime } from "@auburnarch/types/TrueTime";
+import type { StartCountRegistry } from "@auburnarch/usage/StartCountRegistry";
 import type { Duty } from "../duties/Duty.js";
 import type { HeldDuties } from "../duties/HeldDuties.js";
 import { createReportLedger } from "./createReportLedger.js";
--- a/packages/runner/src/weights/LoadSchedulerDeps.ts
+++ b/packages/runner/src/weights/LoadSchedulerDeps.ts
@@ -1,7 +1,7 @@
+import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
 import type { RoutingView } from "@auburnarch/discovery/RoutingView";
 import type { SamplerDirectory } from "@auburnarch/discovery/SamplerDirectory";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
-import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
--- a/packages/runner/src/weights/averageOfLatest.ts
+++ b/packages/runner/src/weights/averageOfLatest.ts
@@ -1,4 +1,4 @@
-import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
+import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 
 /** Jobs that a policy is judged by; one alone differs from the next by a quarter. */
--- a/packages/runner/src/weights/createLoadScheduler.test.ts
+++ b/packages/runner/src/weights/createLoadScheduler.test.ts
@@ -1,7 +1,7 @@
+import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
-import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
--- a/packages/runner/src/weights/createLoadScheduler.ts
+++ b/packages/runner/src/weights/createLoadScheduler.ts
@@ -1,5 +1,5 @@
+import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
 import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
-import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
--- a/packages/runner/src/weights/shareSamplers.test.ts
+++ b/packages/runner/src/weights/shareSamplers.test.ts
@@ -1,4 +1,4 @@
-import type { BatchJobEntry } from "@auburnarch/lots/BatchJobEntry";
+import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import { expect, test } from "vitest";
 import { jobTokensOf } from "./jobTokensOf.js";
--- a/packages/gate/src/SidecarContext.ts
+++ b/packages/sidecar/src/SidecarContext.ts
@@ -1,6 +1,6 @@
-import type { UsageCounters } from "@auburnarch/account/UsageCounters";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { LimitsManifest } from "@auburnarch/types/LimitsManifest";
+import type { UsageCounters } from "@auburnarch/usage/UsageCounters";
 import type { AdaptiveLimit } from "./AdaptiveLimit.js";
 import type { AttemptTable } from "./AttemptTable.js";
 import type { FencingTable } from "./FencingTable.js";
--- a/packages/gate/src/createCompletionRunner.ts
+++ b/packages/sidecar/src/createCompletionRunner.ts
@@ -1,6 +1,6 @@
-import { createByteStream } from "@auburnarch/collect/createByteStream";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
+import { createByteStream } from "@auburnarch/streams/createByteStream";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { EnginePort } from "@auburnarch/types/EnginePort";
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
--- a/packages/gate/src/createContext.ts
+++ b/packages/sidecar/src/createContext.ts
@@ -1,8 +1,8 @@
-import { createUsageCounters } from "@auburnarch/account/createUsageCounters";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { EngineDescription } from "@auburnarch/types/EngineDescription";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { VersionedManifest } from "@auburnarch/types/VersionedManifest";
+import { createUsageCounters } from "@auburnarch/usage/createUsageCounters";
 import { createAdaptiveLimit } from "./createAdaptiveLimit.js";
 import { createAttemptTable } from "./createAttemptTable.js";
 import { createFencingTable } from "./createFencingTable.js";
--- a/packages/gate/src/createPlainHandler.ts
+++ b/packages/sidecar/src/createPlainHandler.ts
@@ -1,11 +1,11 @@
-import { pipeBody } from "@auburnarch/collect/pipeBody";
-import { readRequest } from "@auburnarch/collect/readRequest";
-import { responseSink } from "@auburnarch/collect/responseSink";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import { passHeaders } from "@auburnarch/send/passHeaders";
-import { sidecarHeaders } from "@auburnarch/send/sidecarHeaders";
-import { writeHeaders } from "@auburnarch/send/writeHeaders";
+import { pipeBody } from "@auburnarch/streams/pipeBody";
+import { readRequest } from "@auburnarch/streams/readRequest";
+import { responseSink } from "@auburnarch/streams/responseSink";
+import { passHeaders } from "@auburnarch/transport/passHeaders";
+import { sidecarHeaders } from "@auburnarch/transport/sidecarHeaders";
+import { writeHeaders } from "@auburnarch/transport/writeHeaders";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { Clock } from "@auburnarch/types/Clock";
--- a/packages/gate/src/createQuarantineList.ts
+++ b/packages/sidecar/src/createQuarantineList.ts
@@ -1,4 +1,4 @@
-import { countCrashedVms } from "@auburnarch/admit/countCrashedVms";
+import { countCrashedVms } from "@auburnarch/admission/countCrashedVms";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import type { QuarantineList } from "./QuarantineList.js";
--- a/packages/gate/src/createRpcHandler.ts
+++ b/packages/sidecar/src/createRpcHandler.ts
@@ -1,9 +1,9 @@
-import { readRequest } from "@auburnarch/collect/readRequest";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import { samplerOrderSchema } from "@auburnarch/send/samplerOrderSchema";
-import { sidecarHeaders } from "@auburnarch/send/sidecarHeaders";
+import { readRequest } from "@auburnarch/streams/readRequest";
+import { samplerOrderSchema } from "@auburnarch/transport/samplerOrderSchema";
+import { sidecarHeaders } from "@auburnarch/transport/sidecarHeaders";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import { createJSONRPCErrorResponse, type JSONRPCID, JSONRPCServer } from "json-rpc-2.0";
--- a/packages/gate/src/createSampleHandler.ts
+++ b/packages/sidecar/src/createSampleHandler.ts
@@ -1,8 +1,8 @@
-import { readRequest } from "@auburnarch/collect/readRequest";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import { sampleAttemptSchema } from "@auburnarch/send/sampleAttemptSchema";
-import { sidecarHeaders } from "@auburnarch/send/sidecarHeaders";
+import { readRequest } from "@auburnarch/streams/readRequest";
+import { sampleAttemptSchema } from "@auburnarch/transport/sampleAttemptSchema";
+import { sidecarHeaders } from "@auburnarch/transport/sidecarHeaders";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { Clock } from "@auburnarch/types/Clock";
--- a/packages/gate/src/createSampleRunner.ts
+++ b/packages/sidecar/src/createSampleRunner.ts
@@ -1,5 +1,5 @@
-import { countTokens } from "@auburnarch/collect/countTokens";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
+import { countTokens } from "@auburnarch/streams/countTokens";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { EnginePort } from "@auburnarch/types/EnginePort";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
--- a/packages/gate/src/expectedEngineMs.ts
+++ b/packages/sidecar/src/expectedEngineMs.ts
@@ -1,4 +1,4 @@
-import { countTokens } from "@auburnarch/collect/countTokens";
+import { countTokens } from "@auburnarch/streams/countTokens";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { SidecarContext } from "./SidecarContext.js";
 
--- a/packages/gate/src/runGeneration.ts
+++ b/packages/sidecar/src/runGeneration.ts
@@ -1,6 +1,6 @@
-import { createSpanAssembler } from "@auburnarch/collect/createSpanAssembler";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
+import { createSpanAssembler } from "@auburnarch/streams/createSpanAssembler";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { EngineChunk } from "@auburnarch/types/EngineChunk";
 import type { EngineFinish } from "@auburnarch/types/EngineFinish";
--- a/packages/gate/src/serveSidecar.test.ts
+++ b/packages/sidecar/src/serveSidecar.test.ts
@@ -5,10 +5,10 @@
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createLogger } from "@auburnarch/log/createLogger";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
-import { createHttpSidecar } from "@auburnarch/send/createHttpSidecar";
-import type { HttpSidecar } from "@auburnarch/send/HttpSidecar";
-import { passHeaders } from "@auburnarch/send/passHeaders";
-import { readWhole } from "@auburnarch/send/readWhole";
+import { createHttpSidecar } from "@auburnarch/transport/createHttpSidecar";
+import type { HttpSidecar } from "@auburnarch/transport/HttpSidecar";
+import { passHeaders } from "@auburnarch/transport/passHeaders";
+import { readWhole } from "@auburnarch/transport/readWhole";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { EnginePort } from "@auburnarch/types/EnginePort";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
--- a/packages/gate/src/serveSidecar.ts
+++ b/packages/sidecar/src/serveSidecar.ts
@@ -1,5 +1,5 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import { sidecarHeaders } from "@auburnarch/send/sidecarHeaders";
+import { sidecarHeaders } from "@auburnarch/transport/sidecarHeaders";
 import { once } from "node:events";
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
--- a/packages/gate/src/writeErrorAnswer.ts
+++ b/packages/sidecar/src/writeErrorAnswer.ts
@@ -1,4 +1,4 @@
-import { sidecarHeaders } from "@auburnarch/send/sidecarHeaders";
+import { sidecarHeaders } from "@auburnarch/transport/sidecarHeaders";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 import type { ServerResponse } from "node:http";
--- a/packages/send/src/createSampleCaller.ts
+++ b/packages/transport/src/createSampleCaller.ts
@@ -1,6 +1,6 @@
-import { createSpanAssembler } from "@auburnarch/collect/createSpanAssembler";
 import { codeByNumber } from "@auburnarch/errors/codeByNumber";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
+import { createSpanAssembler } from "@auburnarch/streams/createSpanAssembler";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { SampleAnswer } from "@auburnarch/types/SampleAnswer";
--- a/packages/send/src/exchangeHttp.ts
+++ b/packages/transport/src/exchangeHttp.ts
@@ -1,6 +1,6 @@
-import { createByteStream } from "@auburnarch/collect/createByteStream";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
+import { createByteStream } from "@auburnarch/streams/createByteStream";
 import type { Clock } from "@auburnarch/types/Clock";
 import { type Agent, type ClientRequest, type IncomingMessage, request as httpRequest } from "node:http";
 import { Agent as HttpsAgent } from "node:https";
--- a/packages/swap/src/createOrderDoubts.ts
+++ b/packages/weights/src/createOrderDoubts.ts
@@ -1,4 +1,4 @@
-import { servedVersion } from "@auburnarch/pick/servedVersion";
+import { servedVersion } from "@auburnarch/selection/servedVersion";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SamplerOrderResult } from "@auburnarch/types/SamplerOrderResult";
--- a/packages/swap/src/createSwapRoller.ts
+++ b/packages/weights/src/createSwapRoller.ts
@@ -1,5 +1,5 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import { servedVersion } from "@auburnarch/pick/servedVersion";
+import { servedVersion } from "@auburnarch/selection/servedVersion";
 import type { PublishedWeights } from "@auburnarch/types/PublishedWeights";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SamplerOrderResult } from "@auburnarch/types/SamplerOrderResult";
--- a/packages/swap/src/planSwaps.ts
+++ b/packages/weights/src/planSwaps.ts
@@ -1,4 +1,4 @@
-import { servedVersion } from "@auburnarch/pick/servedVersion";
+import { servedVersion } from "@auburnarch/selection/servedVersion";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SamplerView } from "@auburnarch/types/SamplerView";
 import type { SwapPlan } from "./SwapPlan.js";
