--- a/packages/runner/src/RetirementRequest.ts
+++ b/packages/runner/src/RetirementRequest.ts
@@ -1,5 +1,5 @@
-/** The operator asks that a VM be emptied. */
+/** The operator's request to vacate a VM. */
 export interface RetirementRequest {
-    /** Time that it may take. */
+    /** Time that the retirement may take. */
     durationMs: number;
 }
--- a/packages/runner/src/Runner.ts
+++ b/packages/runner/src/Runner.ts
@@ -5,12 +5,18 @@
 /** A process that runs the items of batch jobs. */
 export interface Runner {
     status(query: StatusQuery): RunnerStatus;
-    /** Results of a job that runs or ran here, from a chunk on, waiting up to `waitMs` for the first. */
+    /** Results of a batch job that runs or ran here, from a chunk on, waiting up to `waitMs` for the first. */
     results: ResultCache["answer"];
-    /** The runner that follows the store for all that can use it, as this one believes. */
+    /**
+     * The runner that reads changes from the store on behalf of all others and feeds them, as seen by this runner;
+     * undefined if there is none.
+     */
     feeder(avoided?: readonly string[]): string | undefined;
     /** Milliseconds since the latest outage of the store, or 0 while it lasts; undefined if this runner knows of none. */
     sinceOutageMs(): number | undefined;
-    /** Hands over its jobs and duties; resolves once what was made is recorded, or the time is up. */
+    /**
+     * Hands over its batch jobs and duties. Resolves once all finished results are recorded, or the time limit is
+     * reached.
+     */
     leave(limitMs: number): Promise<void>;
 }
--- a/packages/runner/src/RunnerDeps.ts
+++ b/packages/runner/src/RunnerDeps.ts
@@ -21,10 +21,10 @@
 import type { EngineOrders } from "./weights/EngineOrders.js";
 import type { NamedVersion } from "./weights/NamedVersion.js";
 
-/** What a runner is built from. */
+/** Dependencies of a runner. */
 export interface RunnerDeps {
     name: string;
-    /** Key of its own registration in the store. */
+    /** Key of the runner's own registration in the store. */
     registration: string;
     /** Unique to this start of the process. */
     incarnation: string;
@@ -33,7 +33,7 @@
     storeSilentMs: () => number;
     /** Milliseconds since the store last answered this process. */
     storeHeardMs: () => number;
-    /** Milliseconds since calls succeed again; infinite if none ever failed. */
+    /** Milliseconds since store calls began to succeed again; infinite if none ever failed. */
     storeRegainedMs: () => number;
     routing: RoutingView;
     directory: SamplerDirectory;
@@ -45,17 +45,17 @@
     orders: EngineOrders;
     probe: (address: RunnerAddress, timeoutMs: number, query: StatusQuery) => Promise<RunnerStatus>;
     trueTime: TrueTimeEstimate;
-    /** Undefined where the use of teams is not reported. */
+    /** Undefined if usage of teams is not reported. */
     usage: UsageDeps | undefined;
     retirements: WatchedKind<RetirementRequest>;
     reportRetirement: (state: "running" | "completed") => Promise<void>;
-    /** Unfinished texts, in memory or on a disk. */
+    /** Unfinished texts, in memory or on disk. */
     textCache: TextCache;
-    /** Samplers must not get orders of two holders within this time. */
+    /** Samplers must not receive orders from two lease holders within this time. */
     orderHandOverMs: number;
-    /** Time for which clients may read a job after they submitted it. */
+    /** Time for which clients may read a batch job after its submission. */
     batchJobRetentionMs: number;
-    /** Samplers that load weights at once without slowing each other. */
+    /** Maximum number of samplers that load weights at the same time without slowing each other down. */
     maxLoading?: number;
     clock: Clock;
     random: Random;
--- a/packages/runner/src/createRunner.ts
+++ b/packages/runner/src/createRunner.ts
@@ -38,13 +38,15 @@
 import { createUsageDuty } from "./usage/createUsageDuty.js";
 import { createLoadScheduler } from "./weights/createLoadScheduler.js";
 
-/** Without renewal another runner takes the orders over after this time; a renewal costs a call each third of it. */
+/**
+ * After this time without a renewal another runner takes the lease over; renewal takes one call in each third of it.
+ */
 const leaseTtlMs = 2_500;
-/** An answer this old says nothing of the store any more. */
+/** An older answer no longer shows that the store is reachable. */
 const maxStoreAnswerAgeMs = 600;
 /**
- * What peers last said of the store is up to a probe old. Right after an outage each runner would believe that it alone
- * has the store back, and take over the jobs of all others.
+ * What peers last reported about the store is up to one probe interval old. Without this delay each runner would
+ * conclude right after an outage that it alone can reach the store again, and take over the batch jobs of all others.
  */
 const storeRecoveryGraceMs = 1_000;
 
@@ -72,7 +74,7 @@
         resumesOwn: true,
     });
 
-/** The usage duty is only there where the platform wants reports. */
+/** Lists the duties of a lease holder. Usage is reported only if the platform expects reports. */
 function listDuties(deps: RunnerDeps): ((held: HeldDuties) => Duty)[] {
     const { name: self, usage } = deps;
     const loads = (held: HeldDuties): Duty =>
@@ -82,7 +84,7 @@
         : [loads, held => createUsageDuty({ ...deps, ...usage, self }, held)];
 }
 
-/** Puts a runner together and starts it. */
+/** Creates a runner and starts it. */
 export function createRunner(deps: RunnerDeps): Runner {
     const { clock, random, logger, routing, directory } = deps;
     const batchJobStore = createBatchJobStore(deps.store);
--- a/packages/runner/src/duties/DutyHolder.ts
+++ b/packages/runner/src/duties/DutyHolder.ts
@@ -1,7 +1,7 @@
-/** Does what one process at a time may do for all, while this process holds the lease for it. */
+/** Performs the duties of a single process while this process holds the lease for them. */
 export interface DutyHolder {
-    /** This process has the duties. */
+    /** Whether this process holds the duties. */
     isHeld(): boolean;
-    /** Does nothing more and gives the lease up. */
+    /** Stops all duties and releases the lease. */
     stop(): Promise<void>;
 }
--- a/packages/runner/src/duties/HeldDuties.ts
+++ b/packages/runner/src/duties/HeldDuties.ts
@@ -1,9 +1,9 @@
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 
-/** The right to act, from its acquisition on. */
+/** The right to perform the duties, from the acquisition of the lease on. */
 export interface HeldDuties {
-    /** Rises with each holder. */
+    /** Increases with each holder. */
     fencing: FencingNumber;
-    /** Asked before each call: no later holder can have acted yet. */
+    /** Checked before each call: true only if no later holder can have acted yet. */
     mayAct(): boolean;
 }
--- a/packages/runner/src/duties/PauseDetector.ts
+++ b/packages/runner/src/duties/PauseDetector.ts
@@ -1,5 +1,5 @@
-/** Tells whether the process may trust its own clocks. */
+/** Detects pauses of the process, after which its clocks cannot be trusted. */
 export interface PauseDetector {
-    /** False for some time after the process was found to have stood still. */
+    /** False for some time after a pause of the process was detected. */
     areClocksTrusted(): boolean;
 }
--- a/packages/runner/src/duties/createDutyHolder.ts
+++ b/packages/runner/src/duties/createDutyHolder.ts
@@ -8,13 +8,13 @@
 
 interface DutyHolderDeps {
     leases: LeaseKeeper;
-    /** Term of the lease. */
+    /** Duration of the lease. */
     leaseTtlMs: number;
-    /** False while the process has just been found to have stood still. */
+    /** False for some time after a pause of the process was detected. */
     areClocksTrusted: () => boolean;
-    /** What a duty acts on must not hear of two holders within this time. */
+    /** The targets of a duty must not receive calls from two holders within this time. */
     handOverMs: number;
-    /** Each is made anew whenever the lease is acquired. */
+    /** Each duty is created anew whenever the lease is acquired. */
     duties: ((held: HeldDuties) => Duty)[];
     clock: Clock;
     logger: Logger;
@@ -22,24 +22,26 @@
 
 const leaseKey = "runner-leases/weights";
 /**
- * Calls are made only this long after a renewal was sent, though the lease lasts longer: a successor knows then that
- * the last call is as old as its own wait for the lease, less this. Renewals come every third of the term.
+ * Calls are made only within this time after a renewal was sent, although the lease is valid for longer. A successor
+ * thereby knows the minimum age of the last call: its own wait for the lease, less this time. The lease is renewed in
+ * each third of its duration.
  */
 const actWindowMs = 1_100;
-/** For calls under way when the window ends. */
+/** Allowance for calls in flight at the end of that window. */
 const handOverSlackMs = 300;
 const tickMs = 150;
 
 /**
- * Makes the holder. One lease serves all duties: each of its own would cost renewals, and none is lost alone. Two that
- * order the same sampler could take it back to older weights, and two that report one window could differ.
+ * Creates the holder. One lease covers all duties: separate leases would cost more renewals, and a process that loses
+ * one loses all. Two holders that order the same sampler could revert it to older weights, and two that report the
+ * same window could report different counts.
  */
 export function createDutyHolder(deps: DutyHolderDeps): DutyHolder {
     const { clock, logger } = deps;
     const stopped = new AbortController();
     let isHeld = (): boolean => false;
 
-    /** How long the last call of an earlier holder may still be too fresh. */
+    /** Time for which the last call of an earlier holder may still be too recent. */
     function quietMsAfter(found: Lease["found"]): number {
         if (found === "nothing" || found === "ownEarlier") {
             return 0;
--- a/packages/runner/src/duties/createPauseDetector.ts
+++ b/packages/runner/src/duties/createPauseDetector.ts
@@ -2,16 +2,19 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { PauseDetector } from "./PauseDetector.js";
 
-/** The steady clock stops while a VM is suspended, the time of day does not; small steps of the latter are usual. */
+/**
+ * The monotonic clock stops while a VM is suspended, the wall clock does not. Small adjustments of the wall clock are
+ * normal.
+ */
 const maxClockDriftMs = 700;
-/** A gap between two ticks of the event loop that no work of ours takes. */
+/** A longer gap between two ticks of the event loop is not caused by the work of this process. */
 const maxTickGapMs = 900;
 const tickMs = 200;
 
 /**
- * Notices that the process stood still or its VM was suspended. A lease judged by the steady clock alone looks held
- * after a suspension while another holder acts already. After a gap nothing is done for `restMs`, in which the lease
- * is renewed or found lost.
+ * Detects that the process was paused or its VM suspended. Judged by the monotonic clock alone, a lease looks valid
+ * after a suspension although another holder already acts. After a pause nothing is done for `restMs`, within which
+ * the lease is renewed or found to be lost.
  */
 export function createPauseDetector(clock: Clock, logger: Logger, restMs: number): PauseDetector {
     let lastSteadyMs = clock.monotonicMs();
--- a/packages/runner/src/followRetirement.test.ts
+++ b/packages/runner/src/followRetirement.test.ts
@@ -11,8 +11,8 @@
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 const absent = 0 as ObjectVersion;
 
-test("a VM that is to be emptied hands over first and reports completed last, through failures of the store", async () => {
-    // Guards against: a VM was not emptied in the time that the operator gave.
+test("a retiring VM hands over first and reports completion last, also while status reports fail", async () => {
+    // Guards against a VM not being vacated within the time that the operator allowed.
     const clock = createFakeClock();
     const { store } = createFakeObjectStore({ clock, random: createRandom(2) });
     const events: string[] = [];
--- a/packages/runner/src/followRetirement.ts
+++ b/packages/runner/src/followRetirement.ts
@@ -5,12 +5,12 @@
 import type { RetirementRequest } from "./RetirementRequest.js";
 
 interface FollowRetirementDeps {
-    /** Name of the own VM. */
+    /** Name of this VM. */
     self: string;
     requests: WatchedKind<RetirementRequest>;
-    /** Tells the operator how far it is. */
+    /** Reports progress to the operator. */
     report: (state: "running" | "completed") => Promise<void>;
-    /** Hands over all that is run here; resolves once nothing is. */
+    /** Hands over all work of this runner; resolves once none is left. */
     handOver: () => Promise<void>;
     clock: Clock;
     logger: Logger;
@@ -19,8 +19,8 @@
 const retryMs = 300;
 
 /**
- * Empties the own VM once the operator asks for it. The VM is removed at once with its disk when it is reported as
- * completed, so that is said only after the last result made here is recorded.
+ * Vacates this VM once the operator requests it. The VM and its disk are removed as soon as it is reported as
+ * completed, so that report is sent only after the last result generated here is recorded.
  */
 export function followRetirement(deps: FollowRetirementDeps): { stop(): void; } {
     const { clock, logger } = deps;
--- a/packages/runner/src/items/ItemDispatch.ts
+++ b/packages/runner/src/items/ItemDispatch.ts
@@ -4,7 +4,7 @@
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { ItemRun } from "./ItemRun.js";
 
-/** The dispatchers of one runner and the items they have in hand. */
+/** The dispatchers of one runner and the items registered with them. */
 export interface ItemDispatch {
     dispatcherFor(batchJob: BatchJob): Dispatcher;
     register(task: SampleId, run: ItemRun, onMade: (made: MadeSample) => void): void;
--- a/packages/runner/src/items/ItemRun.ts
+++ b/packages/runner/src/items/ItemRun.ts
@@ -1,14 +1,14 @@
 import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import type { BatchJobItem } from "@auburnarch/batches/BatchJobItem";
 
-/** An item that is to be run, with what its earlier runs came to. */
+/** An item to be run, with the outcome of its earlier runs. */
 export interface ItemRun {
     batchJob: BatchJob;
     item: BatchJobItem;
-    /** By the client's hint; undefined if it gave none. */
+    /** Derived from the client's hint; undefined if it gave none. */
     expectedEvents: number | undefined;
-    /** Answers of 500 so far. */
+    /** Number of responses with status 500 so far. */
     failures: number;
-    /** Gives the item up for good. */
+    /** Terminates the item permanently. */
     terminate: (reason: string) => void;
 }
--- a/packages/runner/src/items/OpenItems.ts
+++ b/packages/runner/src/items/OpenItems.ts
@@ -1,18 +1,20 @@
 import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import type { SampleId } from "@auburnarch/types/SampleId";
 
-/** The items of one job that have no result yet. */
+/** The items of one batch job that have no result yet. */
 export interface OpenItems {
-    /** Starts those that have none; tells how many of them are run and how many go on behind an earlier text. */
+    /** Starts the items without a result. Returns how many are run, and how many of these resume an earlier text. */
     start(batchJob: BatchJob): { runs: number; resumed: number; };
-    /** The item stands in the store. */
+    /** Closes an item whose result is in the store. */
     close(item: SampleId): void;
-    /** Gives up all that are open. */
+    /** Terminates all open items. */
     terminateAll(reason: string): void;
-    /** Keeps what is made of those that run, for a process that comes after this one. */
+    /** Saves the texts generated so far for a later process. */
     saveTexts(): void;
-    /** Ends their runs and keeps what was made, since items may come again in a later job. */
+    /**
+     * Stops the runs of open items and caches their texts, since items may be submitted again with a later batch job.
+     */
     withdrawAll(): void;
-    /** Nothing of them is of use any more. */
+    /** Discards all open items. */
     forgetAll(): void;
 }
--- a/packages/runner/src/items/ReadItemEvents.ts
+++ b/packages/runner/src/items/ReadItemEvents.ts
@@ -1,4 +1,4 @@
 import type { ItemEvent } from "./ItemEvent.js";
 
-/** Splits the body of a run's answer into events; throws if the body is cut short or no stream of events. */
+/** Splits a response body into events; throws if the body is truncated or is no event stream. */
 export type ReadItemEvents = (body: AsyncIterable<Uint8Array>) => AsyncIterable<ItemEvent>;
--- a/packages/runner/src/items/SamplerHealth.ts
+++ b/packages/runner/src/items/SamplerHealth.ts
@@ -1,18 +1,20 @@
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 
-/** What runs at a sampler tell of its health. */
+/** Health of samplers, as observed by the runs of this process. */
 export interface SamplerHealth {
     recordRunStarted(sampler: IncarnationId): void;
-    /** An answer or an event arrived; `gapMs` is the time since the event before of the same run, if there was one. */
+    /**
+     * Records a response or an event; `gapMs` is the time since the previous event of the same run, if there was one.
+     */
     recordActivity(sampler: IncarnationId, gapMs?: number): void;
-    /** Events a second of single runs there lately; undefined before any were seen. */
+    /** Events per second of a single run there lately; undefined before any were observed. */
     eventsPerSecond(sampler: IncarnationId): number | undefined;
     recordFailure(sampler: IncarnationId): void;
     recordRunEnded(sampler: IncarnationId): void;
-    /** Runs of this process there. */
+    /** Number of runs of this process at the sampler. */
     running(sampler: IncarnationId): number;
-    /** All runs of this process, by sampler. */
+    /** Number of runs of this process by sampler. */
     allRunning(): Record<string, number>;
-    /** It failed lately, or is silent though runs are there. */
+    /** Whether it failed recently, or is silent although it has runs. */
     isSuspected(sampler: IncarnationId): boolean;
 }
--- a/packages/runner/src/items/ScoreItem.ts
+++ b/packages/runner/src/items/ScoreItem.ts
@@ -1,9 +1,12 @@
 import type { RewardCall } from "@auburnarch/batches/RewardCall";
 
-/** How a reward call ended: with the score, or with the scoring service having failed it for good. */
+/** Outcome of a reward call: a score, or a permanent failure of the scoring service. */
 type Scored = { kind: "scored"; score: string; } | { kind: "failed"; };
 
-/** Sends the reward call of a finished item, again until it is answered. Undefined once the signal is aborted. */
+/**
+ * Sends the reward call of a finished item and repeats it until it is answered. Resolves with undefined once the
+ * signal is aborted.
+ */
 export type ScoreItem = (
     call: RewardCall,
     headers: Record<string, string>,
--- a/packages/runner/src/items/TextCache.ts
+++ b/packages/runner/src/items/TextCache.ts
@@ -2,21 +2,21 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** What was made of an item. */
+/** The text generated for an item so far. */
 interface CachedText {
     spans: TokenSpan[];
-    /** It has its last event. */
+    /** Whether it includes the last event. */
     isComplete: boolean;
 }
 
 /**
- * Texts of items that may be asked for again: items of a group that was not whole when its job ended come back in a
- * later job under the same ids.
+ * Cache of texts of items that may be requested again: items of a group that was incomplete when its batch job ended
+ * are submitted again with a later batch job under the same ids.
  */
 export interface TextCache {
-    /** Texts outlive the process, so that it is worth keeping unfinished ones too. */
+    /** Whether texts outlive the process, so that saving unfinished ones is worthwhile. */
     isPersistent: boolean;
     put(item: SampleId, text: CachedText): void;
-    /** The kept text if all of it is of `minVersion` or newer. */
+    /** Returns the cached text if all of it was generated with `minVersion` or newer. */
     find(item: SampleId, minVersion: WeightVersion): CachedText | undefined;
 }
--- a/packages/runner/src/items/createHintedLengthModel.ts
+++ b/packages/runner/src/items/createHintedLengthModel.ts
@@ -1,12 +1,15 @@
 import { createPromptLengthModel } from "@auburnarch/dispatch/createPromptLengthModel";
 import type { LengthModel } from "@auburnarch/dispatch/LengthModel";
 
-/** A hint is right at the median but often far off, so an item near its hint is expected to have this part left. */
+/**
+ * Expected remaining length of an item near its hint, relative to the length so far. A hint is accurate at the median
+ * but often far off.
+ */
 const overrunRatio = 0.35;
 
 /**
- * Predicts lengths by the client's hint of each item. Without a hint by what the job's items came to. `prompt` is the
- * item's id: items that share a prompt differ in length as much as any.
+ * Predicts the length of each item by the client's hint, or without a hint by the observed lengths of the items.
+ * `prompt` is the item's id, since items that share a prompt differ in length as much as any others.
  */
 export function createHintedLengthModel(hintOf: (item: string) => number | undefined): LengthModel {
     const observed = createPromptLengthModel();
--- a/packages/runner/src/items/createItemDispatch.ts
+++ b/packages/runner/src/items/createItemDispatch.ts
@@ -37,13 +37,13 @@
     callSampler: CallSampler;
     readEvents: ReadItemEvents;
     samplerHealth: SamplerHealth;
-    /** Runs that other runners have at a sampler, as of their last answer. */
+    /** Number of runs that other runners have at a sampler, by their last answers. */
     countPeerRuns: (sampler: IncarnationId) => number;
     clock: Clock;
     random: Random;
     logger: Logger;
     metrics: Metrics;
-    /** Made from the expected events of an item; `createItemPolicy` by default. */
+    /** Creates the policy from the expected events of items; `createItemPolicy` by default. */
     createPolicy?: (hintOf: (task: string) => number | undefined) => DispatchPolicy;
 }
 
@@ -52,13 +52,16 @@
     onMade: (made: MadeSample) => void;
 }
 
-/** Trainers ask for a step about this often; only a first guess, the dispatcher learns the rhythm. */
+/**
+ * Trainers request a step about this often; only an initial estimate, since the dispatcher learns the actual
+ * interval.
+ */
 const stepIntervalMs = 4_000;
 const anyPriority = 5;
-/** A suspected sampler has been silent for longer already; a run just sent gets this long for its first event. */
+/** Time for the first event of a run that was just sent; a suspected sampler has been silent for longer already. */
 const stallMs = 400;
 const noFencing = 0 as FencingNumber;
-/** Bounds that only the product's own interface sets; items have their own. */
+/** Limits that only apply to the product's own interface; items have their own. */
 const limits: LimitsManifest = {
     maxBodyBytes: 33_554_432,
     maxQueuedPerTeam: 100_000,
@@ -68,10 +71,10 @@
     interactiveWaitMs: 0,
 };
 
-/** Items may run any number of times, so their retries are bounded by each item's own failures alone. */
+/** Items may run any number of times; only an item's own failures limit its retries. */
 const alwaysRetry = (): boolean => true;
 
-/** Makes the dispatchers: one for each path and policy, since a trainer's jobs share what is learnt of lengths. */
+/** Creates the dispatchers: one for each path and policy, since a trainer's batch jobs share the learned lengths. */
 export function createItemDispatch(deps: ItemDispatchDeps): ItemDispatch {
     const { routing, directory, samplerHealth } = deps;
     const tasks = new Map<SampleId, RegisteredItem>();
@@ -101,7 +104,10 @@
         return existing as SidecarPort;
     }
 
-    /** Samplers of the services that the route goes to now; a change of the configuration shows at once. */
+    /**
+     * Lists the samplers of the services that the route currently targets; a configuration change takes effect
+     * immediately.
+     */
     function listSamplers(batchJob: BatchJob): SamplerView[] {
         const route = routeOf(batchJob.host, batchJob.path);
         const services = route?.backends.filter(backend => backend.weight > 0).map(backend => backend.service)
@@ -175,5 +181,5 @@
     };
 }
 
-/** Stands for "any weights" towards the dispatcher, which always asks for a policy. */
+/** Represents "any weights" towards the dispatcher, which always requires a policy. */
 const anyPolicy = "any" as PolicyId;
--- a/packages/runner/src/items/createItemFinisher.ts
+++ b/packages/runner/src/items/createItemFinisher.ts
@@ -6,7 +6,7 @@
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import type { BatchJobRunDeps } from "../jobs/BatchJobRunDeps.js";
 
-/** Turns an item's text into its result: undefined if the job has ended meanwhile. */
+/** Turns an item's text into its result; undefined if the batch job has ended in the meantime. */
 type FinishItem = (
     batchJob: BatchJob,
     item: BatchJobItem,
@@ -14,13 +14,15 @@
     signal: AbortSignal,
 ) => Promise<ItemResult | undefined>;
 
-/** Versions of a text, each once, in order of appearance. */
+/** Weight versions of a text, each once, in order of appearance. */
 const versionsOf = (spans: TokenSpan[]): WeightVersion[] => [...new Set(spans.map(span => span.version))];
 
-/** Each event's data ends with a line feed here; between events it belongs, behind the last one it does not. */
+/** Each event's data ends with a line feed here. It belongs between events, but not after the last one. */
 const textOf = (spans: TokenSpan[]): string => spans.map(span => span.text).join("").slice(0, -1);
 
-/** Makes what finishes items: it asks for the reward, which only a whole text may be sent for. */
+/**
+ * Creates the function that finishes items. It requests the reward, which may only be requested for a complete text.
+ */
 export function createItemFinisher(
     deps: Pick<BatchJobRunDeps, "invariants" | "findRoute" | "scoreItem">,
 ): FinishItem {
--- a/packages/runner/src/items/createItemPolicy.ts
+++ b/packages/runner/src/items/createItemPolicy.ts
@@ -9,7 +9,7 @@
 import { countFreeSlots } from "./countFreeSlots.js";
 import { createHintedLengthModel } from "./createHintedLengthModel.js";
 
-/** A move costs the prompt read anew and a hand-over; a run near its end is done before the move shows. */
+/** A move costs reading the prompt again and a handover; a run near its end finishes before a move pays off. */
 const moveRule = createMoveRule({
     minGainRatio: 0.3,
     minGainMs: 300,
@@ -19,8 +19,9 @@
 });
 
 /**
- * How the items of batch jobs are placed: the oldest step's longest items first, since a step waits for its longest;
- * on the sampler where they are expected to end first; and on to a faster one if theirs turns slow.
+ * Dispatch policy for items of batch jobs: the longest items of the oldest step first, since a step waits for its
+ * longest item; each on the sampler where it is expected to finish first, and moved to a faster one if its sampler
+ * becomes slow.
  */
 export function createItemPolicy(hintOf: (item: string) => number | undefined): DispatchPolicy {
     return {
--- a/packages/runner/src/items/createItemSidecar.test.ts
+++ b/packages/runner/src/items/createItemSidecar.test.ts
@@ -93,12 +93,12 @@
         ? `ran ${outcome.answer.spans.map(each => `${each.version}:${each.text.trim()}`).join(" ")}`
         : `${outcome.kind} ${outcome.code.name}`;
 
-test("each event names the weights that made it, also where they change within the run", async () => {
+test("each event is attributed to the weights that generated it, also if they change within the run", async () => {
     const { outcome } = await run(answered(200, 4), [event(1), event(2, 5), event(3)]);
     expect(outcome).toBe("ran 4:e1 5:e2 5:e3");
 });
 
-test("a run goes on behind the events that are there, and asks the sampler for just that", async () => {
+test("a run resumes after the events that exist, and requests only the remaining ones from the sampler", async () => {
     const { outcome, sent, spans } = await run(answered(200, 6), [event(3)], [
         span(4, "e1\n"),
         span(5, "e2\n"),
@@ -106,29 +106,29 @@
     expect([outcome, sent[0]!.lastEventNumber, spans]).toEqual(["ran 4:e1 5:e2 6:e3", 2, ["6:e3"]]);
 });
 
-test("an event out of turn ends the run, and nothing of it counts", async () => {
-    // Guards against: a text with an event missing.
+test("an event out of order ends the run, and none of its events count", async () => {
+    // Guards against a text with an event missing.
     expect((await run(answered(200), [event(2)])).outcome).toBe("unknown answerMixed");
     expect((await run(answered(200), [event(1), event(1)])).outcome).toBe("unknown answerMixed");
 });
 
-test("a stream that breaks off is unknown, with what arrived handed on", async () => {
+test("an interrupted stream has an unknown outcome, and its events so far are passed on", async () => {
     const { outcome, spans } = await run(answered(200), [event(1), event(2)], [], true);
     expect([outcome, spans]).toEqual(["unknown connectionBroken", ["4:e1", "4:e2"]]);
 });
 
-test("an answer that does not name its weights is not used", async () => {
-    // Guards against: a sample that names weights which did not make it.
+test("an answer that does not state its weight version is not used", async () => {
+    // Guards against a sample attributed to weights that did not generate it.
     expect((await run(answered(200, 0), [event(1)])).outcome).toBe("unknown provenanceMissing");
 });
 
-test("a run that goes on behind its last event is whole, though the answer names no weights", async () => {
-    // Guards against: a step stood still for 12 s while one item was sent 250 times a second.
+test("a run resumed after its last event is complete, even if the answer states no weight version", async () => {
+    // Guards against a step standing still for 12 s while one item was sent 250 times a second.
     const { outcome } = await run(answered(200, 0), [], [span(4, "e1\n"), span(5, "e2\n")]);
     expect(outcome).toBe("ran 4:e1 5:e2");
 });
 
-test("500 counts against the item up to the route's attempts, 422 ends it at once, other failures do neither", async () => {
+test("status 500 counts towards the route's attempt limit, 422 terminates the item, other failures do neither", async () => {
     const shown = await Promise.all(
         [500, 422, 502].map(async status => (await run(answered(status), [])).terminated),
     );
--- a/packages/runner/src/items/createItemSidecar.ts
+++ b/packages/runner/src/items/createItemSidecar.ts
@@ -19,7 +19,7 @@
 
 interface ItemSidecarDeps {
     findRun: (item: SampleId) => ItemRun | undefined;
-    /** The route of an item's path in the configuration in force. */
+    /** The route of an item's path in the current configuration. */
     findRoute: (run: ItemRun) => Route | undefined;
     findSampler: (sampler: SamplerId) => KnownSampler | undefined;
     callSampler: CallSampler;
@@ -32,9 +32,11 @@
 type RunSample = SidecarPort["runSample"];
 type Ended = AttemptOutcome<SampleAnswer>;
 
-/** Time for one run; far above the longest item, since a slow run is moved and not cut off. */
+/** Time limit of one run; far above the longest item, since a slow run is moved rather than cut off. */
 const runBudgetMs = 30_000;
-/** Pause before a sampler that refused is asked again: longer than a full queue lasts, shorter than a load of weights. */
+/**
+ * Pause before a sampler that refused is tried again: longer than a full queue lasts, shorter than a load of weights.
+ */
 const refusedPauseMs = 150;
 const maxFailureBytes = 1_048_576;
 const itemFailedStatus = 500;
@@ -43,8 +45,8 @@
 const countEvents = (spans: TokenSpan[]): number => spans.reduce((sum, span) => sum + span.tokens, 0);
 
 /**
- * Runs a dispatcher's attempts on a sampler directly: one span an event, so that a run is resumed behind the number
- * of events that are there. Reads 500 as a failed run and 422 as an item that can never be made.
+ * Runs a dispatcher's attempts directly on a sampler, with one span per event, so that a run resumes after the number
+ * of events that exist. Status 500 is a failed run, status 422 an item that can never be generated.
  */
 export function createItemSidecar(
     deps: ItemSidecarDeps,
@@ -75,7 +77,8 @@
             next++;
             version = event.weightVersion ?? version;
             if (version === undefined) {
-                // The text could not name the weights that made it. Without an event nothing was made, and none is named.
+                // The text could not be attributed to weights. An answer without events has no text, so it needs no
+                // version.
                 return { kind: "unknown", code: resultCodes.provenanceMissing };
             }
             const span = { version, tokens: 1, text: `${event.data}\n` };
@@ -101,7 +104,8 @@
                 run.terminate("failedEveryTime");
             }
         }
-        // Not the code of a crash: after two of those the dispatcher pauses a sample for ten seconds.
+        // Deliberately not the result code of a crash: after two of those the dispatcher pauses a sample for ten
+        // seconds.
         return { kind: "unknown", code: resultCodes.engineUnreachable };
     }
 
--- a/packages/runner/src/items/createOpenItems.ts
+++ b/packages/runner/src/items/createOpenItems.ts
@@ -11,10 +11,10 @@
 import { stepDueMs } from "./stepDueMs.js";
 import { toSampleTask } from "./toSampleTask.js";
 
-/** What takes less than half a second to make again is not worth a place on the disk. */
+/** A text that takes less than half a second to generate again is not worth writing to disk. */
 const minPersistedEvents = 10;
 
-/** Makes the items of one job; `signal` is aborted once the job is not run here any more. */
+/** Creates the open items of one batch job; `signal` is aborted once the batch job no longer runs here. */
 export function createOpenItems(deps: BatchJobRunDeps, recorder: Recorder, signal: AbortSignal): OpenItems {
     const { batchJobId, textCache: shelf, clock, logger, metrics } = deps;
     const needAtMs = clock.monotonicMs() + stepDueMs;
@@ -51,7 +51,7 @@
         }
     }
 
-    /** Returns the task of an item that has to be run; one whose whole text is there is finished instead. */
+    /** Returns the task of an item that has to be run. An item with a complete cached text is finished instead. */
     function prepareTask(
         batchJob: BatchJob,
         item: BatchJobItem,
--- a/packages/runner/src/items/createSamplerHealth.ts
+++ b/packages/runner/src/items/createSamplerHealth.ts
@@ -9,21 +9,23 @@
     gapMs: number | undefined;
 }
 
-/** Weight of a new gap between events; a sampler that turns slow shows after three or four events of its runs. */
+/**
+ * Weight of a new gap between events; a sampler that becomes slow is detected after three or four events of its runs.
+ */
 const gapSmoothing = 0.15;
-/** A longer pause is a fault, and says nothing about the pace after it. */
+/** A longer pause is a fault and does not indicate the pace after it. */
 const maxGapMs = 400;
 
 /**
- * Longer than the gaps between events on slow samplers; a load of weights does not hold events up. A sampler whose runs
- * are all silent for longer is taken to be dead, seconds before its entry lapses.
+ * Longer than the gaps between events on slow samplers; a load of weights does not delay events. A sampler whose runs
+ * are all silent for longer is assumed to have crashed, seconds before its entry expires.
  */
 const maxSilenceMs = 700;
-/** A crashed sampler is back after some seconds, under another incarnation. */
+/** A crashed sampler returns after some seconds, under another incarnation. */
 const failureMemoryMs = 1_000;
 const maxSamplers = 4_096;
 
-/** Makes the evidence of one process. */
+/** Creates the health records of one process. */
 export function createSamplerHealth(clock: Clock): SamplerHealth {
     const samplers = new Map<IncarnationId, HealthRecord>();
 
--- a/packages/runner/src/items/createScoreItem.ts
+++ b/packages/runner/src/items/createScoreItem.ts
@@ -13,9 +13,9 @@
     logger: Logger;
 }
 
-/** Time of one reward call, retries at other samplers included. */
+/** Time limit of one reward call, including retries at other samplers. */
 const rewardBudgetMs = 1_500;
-/** A second try costs the service as much as the first, so only the slowest hundredth gets one. */
+/** A second attempt costs the service as much as the first, so only the slowest one percent of calls gets one. */
 const rewardHedgeMs = 400;
 const firstPauseMs = 50;
 const maxPauseMs = 800;
@@ -23,13 +23,13 @@
 
 async function drain(outcome: Extract<ForwardingOutcome, { kind: "answered"; }>): Promise<void> {
     for await (const _chunk of outcome.body) {
-        // Only the signature counts.
+        // Only the signature is used.
     }
 }
 
 /**
- * Makes the caller of the scoring services. A reward call may be repeated; only answers of 500 count towards giving
- * it up, since every other failure says nothing about the item.
+ * Creates the client of the scoring services. A reward call may be repeated; only responses with status 500 count
+ * towards abandoning it, since other failures are not caused by the item.
  */
 export function createScoreItem(deps: ScoreItemDeps): ScoreItem {
     return async (call, headers, attempts, signal) => {
--- a/packages/runner/src/items/createTextCache.test.ts
+++ b/packages/runner/src/items/createTextCache.test.ts
@@ -7,7 +7,7 @@
 const version = (value: number): TokenSpan["version"] => value as TokenSpan["version"];
 const span = (at: number, text: string): TokenSpan => ({ version: version(at), tokens: 1, text });
 
-test("a text is found only if all of it is fresh enough for the job that asks", () => {
+test("a text is found only if all of it is fresh enough for the batch job that requests it", () => {
     const textCache = createTextCache();
     textCache.put(item, { spans: [span(3, "a\n"), span(4, "b\n")], isComplete: true });
     expect(textCache.find(item, version(3))?.isComplete).toBe(true);
@@ -15,7 +15,7 @@
     expect(textCache.find("other" as SampleId, version(0))).toBeUndefined();
 });
 
-test("the oldest texts go when there are too many", () => {
+test("the oldest texts are evicted when the cache is full", () => {
     const shelf = createTextCache();
     const long = "x".repeat(4_000_000);
     ["a", "b", "c"].forEach(name =>
--- a/packages/runner/src/items/createTextCache.ts
+++ b/packages/runner/src/items/createTextCache.ts
@@ -4,19 +4,19 @@
 
 type CachedText = Parameters<TextCache["put"]>[1];
 
-/** In characters; some thousand items, a tenth of the smallest VM's memory. The oldest go first. */
+/** In characters: some thousand items, a tenth of the smallest VM's memory. The oldest texts are evicted first. */
 const maxCachedChars = 10_000_000;
 
 const countChars = ({ spans }: CachedText): number => spans.reduce((sum, span) => sum + span.text.length, 0);
 
 interface TextCacheOptions {
-    /** Texts that an earlier process was at work on. */
+    /** Unfinished texts of an earlier process. */
     restored?: ReadonlyMap<string, TokenSpan[]>;
-    /** Takes each text that is kept, so that a later process has it. */
+    /** Receives each text that is added, so that a later process can restore it. */
     persist?: (item: SampleId, spans: TokenSpan[]) => void;
 }
 
-/** Makes a shelf. */
+/** Creates a text cache. */
 export function createTextCache({ restored: earlier, persist: note }: TextCacheOptions = {}): TextCache {
     const texts = new Map<SampleId, CachedText>();
     let chars = 0;
--- a/packages/runner/src/items/describeSampler.ts
+++ b/packages/runner/src/items/describeSampler.ts
@@ -5,12 +5,12 @@
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { VmId } from "@auburnarch/types/VmId";
 
-/** Events a second of one run on an engine with nothing else to do, until a run has shown it. */
+/** Assumed events per second of a single run on an otherwise idle engine, until one was observed. */
 const assumedEventsPerSecond = 20;
 
 /**
- * A registered sampler in the terms of the dispatcher. Load is what this process has there itself: samplers report
- * theirs only when asked, and late. One event counts as one token, since that is what a run can go on behind.
+ * Describes a registered sampler to the dispatcher. Its load is what runners have sent there: samplers report their
+ * own only on request, and late. One event counts as one token, since runs resume at event boundaries.
  */
 export function describeSampler(sampler: KnownSampler, running: number): SamplerReport {
     return {
--- a/packages/runner/src/items/toSampleTask.ts
+++ b/packages/runner/src/items/toSampleTask.ts
@@ -6,17 +6,20 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 
 interface TaskDetails {
-    /** Unique over jobs: an item may come again in a later one. */
+    /** Unique across batch jobs: an item may be submitted again with a later one. */
     task: SampleId;
     index: number;
-    /** Position of the item's group in its job. */
+    /** Position of the item's group in its batch job. */
     group: number;
     needAtMs: number;
     maxEvents: number;
     resume: TokenSpan[];
 }
 
-/** An item in the terms of the dispatcher. Its own id stands for its prompt, since its length is its own. */
+/**
+ * Converts an item to a dispatcher task. The item's id takes the place of its prompt, since each item has its own
+ * length.
+ */
 export function toSampleTask(batchJob: BatchJob, item: BatchJobItem, details: TaskDetails): SampleTask {
     const { task, index, group, needAtMs, maxEvents, resume } = details;
     return {
--- a/packages/runner/src/jobs/BatchJobRegistry.ts
+++ b/packages/runner/src/jobs/BatchJobRegistry.ts
@@ -1,10 +1,10 @@
 import type { RunningBatchJob } from "./RunningBatchJob.js";
 
-/** The jobs that this runner runs. */
+/** The batch jobs that this runner runs. */
 export interface BatchJobRegistry {
     running(): RunningBatchJob[];
-    /** Looks again at which jobs are this runner's. */
+    /** Reevaluates which batch jobs this runner has to run. */
     refresh(): void;
-    /** Takes no job any more and hands over those it has. */
+    /** Takes no further batch jobs and hands over those that run here. */
     leave(): Promise<void>;
 }
--- a/packages/runner/src/jobs/BatchJobRun.ts
+++ b/packages/runner/src/jobs/BatchJobRun.ts
@@ -1,9 +1,9 @@
-/** One job while this runner runs it. */
+/** One batch job while this runner runs it. */
 export interface BatchJobRun {
     /** Every item is recorded. */
     isComplete(): boolean;
-    /** Keeps unfinished texts, where they outlive the process. */
+    /** Saves unfinished texts if the text cache outlives the process. */
     saveTexts(): void;
-    /** Ends its runs; what is made already is still recorded if `isHandedOver`. */
+    /** Stops all runs of items; results that are already complete are still recorded if `isHandedOver`. */
     stop(isHandedOver: boolean): Promise<void>;
 }
--- a/packages/runner/src/jobs/BatchJobRunDeps.ts
+++ b/packages/runner/src/jobs/BatchJobRunDeps.ts
@@ -17,19 +17,19 @@
 import type { ResultCache } from "../results/ResultCache.js";
 import type { createSeenGroups } from "./createSeenGroups.js";
 
-/** What the run of one job is built from. */
+/** Dependencies of the run of one batch job. */
 export interface BatchJobRunDeps {
     batchJobId: BatchJobId;
     entry: BatchJobEntry;
     batchJobStore: BatchJobStore;
     resultCache: Pick<ResultCache, "open" | "note" | "markLoaded" | "close">;
-    /** The dispatcher for a job's items; the same one for all jobs of a trainer. */
+    /** Returns the dispatcher for a batch job's items; batch jobs of one trainer share a dispatcher. */
     dispatcherFor: (batchJob: BatchJob) => Dispatcher;
     findRoute: (host: string, path: string) => Route | undefined;
-    /** Tokens in one event of the engines that a job runs on. */
+    /** Tokens per event of the engines that run a batch job. */
     tokensPerEvent: (batchJob: BatchJob) => number;
     scoreItem: ScoreItem;
-    /** Makes a task known to the sidecars, and who takes its text. */
+    /** Registers a task for the sidecars, with the callback that receives its finished text. */
     register: (task: SampleId, run: ItemRun, onMade: (made: MadeSample) => void) => void;
     forget: (task: SampleId) => void;
     seenGroups: ReturnType<typeof createSeenGroups>;
--- a/packages/runner/src/jobs/chooseOwner.test.ts
+++ b/packages/runner/src/jobs/chooseOwner.test.ts
@@ -13,7 +13,7 @@
 const common = { policies, failureDomain, holdsWeights: false, isolatedMs: 0 };
 const running = (...ids: string[]) => ids.map(name => ({ lot: toBatchJobId(name), runMs: 1_000 }));
 
-test("all runners agree on one owner, and jobs of a trainer have the same", () => {
+test("all runners choose the same owner, and batch jobs of one trainer have the same owner", () => {
     const owners = names.flatMap(self =>
         ["a", "b", "c"].map(name =>
             chooseOwner({
@@ -29,7 +29,7 @@
     expect(new Set(owners).size).toBe(1);
 });
 
-test("a runner that has a job keeps it when another joins", () => {
+test("a runner keeps a running batch job when another runner joins", () => {
     for (const holder of names.slice(1)) {
         const peers = names.slice(1).map(each =>
             peer(each, { running: running(...each === holder ? ["a"] : []) })
@@ -49,7 +49,7 @@
     }
 });
 
-test("dead and leaving runners lose their jobs", () => {
+test("runners that crashed or are leaving lose their batch jobs", () => {
     const peers = [
         peer("r2", { running: running("a") }, false),
         peer("r3", { running: running("a"), isLeaving: true }),
@@ -68,8 +68,9 @@
     );
 });
 
-test("a peer without the store keeps its jobs unless the store answers here", () => {
-    // Guards against: in an outage of the store one runner took all jobs over and ran them again beside the others.
+test("a peer that lost the store keeps its batch jobs unless the store is reachable here", () => {
+    // Guards against one runner taking over all batch jobs during a store outage and running them again beside their
+    // owners.
     const peers = [peer("r2", { running: running("a"), storeSilentMs: 3_000 })];
     expect(
         chooseOwner({
@@ -97,8 +98,8 @@
     );
 });
 
-test("trainers are spread over runners, and the runner that orders loads has none while others are left", () => {
-    // Guards against: one VM was cut off and two of three trainers and all loads stood still.
+test("trainers are spread over runners, and the runner that orders weight loads gets none while others are available", () => {
+    // Guards against one unreachable VM stalling two of three trainers and all weight loads.
     const owners = policies.map(each =>
         chooseOwner({
             batchJobId: toBatchJobId(`lot of ${each}`),
@@ -115,7 +116,7 @@
     expect(owners).toEqual(["r4", "r3", "r1"]);
 });
 
-test("a runner that hears none of several peers leaves them their jobs for a while", () => {
+test("a runner that reaches none of several peers waits before it takes over their batch jobs", () => {
     const dead = ["r2", "r3", "r4"].map(name =>
         peer(name, { running: name === "r3" ? running("a") : [] }, false)
     );
--- a/packages/runner/src/jobs/chooseOwner.ts
+++ b/packages/runner/src/jobs/chooseOwner.ts
@@ -8,20 +8,20 @@
 interface OwnerQuery {
     batchJobId: BatchJobId;
     policy: PolicyId | undefined;
-    /** All policies of the configuration, in its order. */
+    /** All policies, in the order of the configuration. */
     policies: PolicyId[];
-    /** Own name. */
+    /** Name of the runner that asks. */
     self: string;
     failureDomain: FailureDomain;
     holdsWeights: boolean;
     peers: PeerView[];
-    /** For how long no peer has answered; 0 if one has. */
+    /** Time for which no peer has answered; 0 if one has. */
     isolatedMs: number;
-    /** The store has answered this process just now. */
+    /** The store has answered this process recently. */
     isStoreReachable: boolean;
 }
 
-/** A peer that cannot use the store for this long gives its jobs to others, if these can. */
+/** A peer that has not reached the store for this long loses its batch jobs to runners that can reach it. */
 const maxStoreSilenceMs = 1_500;
 
 const hasLostStore = (peer: PeerView): boolean => (peer.status?.storeSilentMs ?? 0) > maxStoreSilenceMs;
@@ -30,18 +30,18 @@
     peer.isAlive && peer.status?.isLeaving !== true && !(isStoreReachable && hasLostStore(peer));
 
 /**
- * Alone against several peers, this runner is more likely to be cut off than they are to be dead. Their jobs go on
- * where they run; if they are gone indeed, this time is lost once.
+ * A runner that reaches none of several peers is more likely to be partitioned than they are to have crashed. Their
+ * batch jobs stay with them for this time; if they did crash, the delay occurs once.
  */
 const isolationGraceMs = 6_000;
 
 const byName = (a: { name: string; }, b: { name: string; }): number => (a.name < b.name ? -1 : 1);
 
 /**
- * The runner that should run a job: the one that does so already (of two, the first by name), else one by the job's
- * policy. All jobs of a policy go to one runner, which fills the samplers of that policy in one order; the policies go
- * round the runners. A wrong belief about a peer costs work done twice, never a wrong result: the store decides which result of an item
- * stands.
+ * Chooses the runner of a batch job: the one that already runs it (of two, the first by name), otherwise one
+ * according to its policy. All batch jobs of a policy go to one runner, which fills the samplers of that policy in
+ * one order; policies are assigned to runners in turn. A wrong view of a peer duplicates work but never yields a
+ * wrong result: the store decides which result of an item is valid.
  */
 export function chooseOwner(query: OwnerQuery): string {
     const { batchJobId: lot, policy, policies, self, holdsWeights, peers, isStoreReachable: isStoreHere } =
--- a/packages/runner/src/jobs/createBatchJobRegistry.ts
+++ b/packages/runner/src/jobs/createBatchJobRegistry.ts
@@ -16,14 +16,14 @@
     failureDomain: FailureDomain;
     entries: WatchedKind<BatchJobEntry>;
     peers: PeerRegistry;
-    /** False until configuration and samplers are known. */
+    /** False until the configuration and the samplers are known. */
     mayStart: () => boolean;
-    /** All policies of the configuration, in its order. */
+    /** All policies, in the order of the configuration. */
     listPolicies: () => PolicyId[];
     holdsWeights: () => boolean;
-    /** The store has answered this process just now. */
+    /** The store has answered this process recently. */
     isStoreReachable: () => boolean;
-    /** Asks the store for a sign of life, so that `isStoreHere` tells the present. */
+    /** Sends a request to the store so that `isStoreReachable` is up to date. */
     probeStore: () => void;
     startRun: (batchJobId: BatchJobId, entry: BatchJobEntry) => BatchJobRun;
     clock: Clock;
@@ -31,10 +31,10 @@
 }
 
 const tickMs = 200;
-/** A job this old is of no use to its trainer any more, even if nobody ended it. */
+/** A batch job of this age is of no use to its trainer, even if it was never ended. */
 const maxAgeMs = 180_000;
 
-/** Decides which jobs run here: at every change of a job or a peer, and a few times a second. */
+/** Decides which batch jobs run here: at each change of a batch job or peer, and several times a second. */
 export function createBatchJobRegistry(deps: BatchJobRegistryDeps): BatchJobRegistry {
     const { clock, logger } = deps;
     const runs = new Map<BatchJobId, BatchJobRun>();
@@ -72,7 +72,10 @@
     const runMsOf = (batchJobId: BatchJobId): number =>
         Math.round(clock.monotonicMs() - (startedAtMs.get(batchJobId) ?? 0));
 
-    /** Runners that know of a death at once and not yet of each other's latest jobs may all believe a job theirs. */
+    /**
+     * After a crash, several runners that detect it at once and have not yet exchanged their latest batch jobs may
+     * each start the same batch job.
+     */
     function stopDuplicateRuns(): void {
         for (const { name, isAlive, status } of deps.peers.peers()) {
             if (!isAlive || status === undefined || status.isLeaving || status.storeSilentMs > 0) {
--- a/packages/runner/src/jobs/createBatchJobRun.ts
+++ b/packages/runner/src/jobs/createBatchJobRun.ts
@@ -9,10 +9,13 @@
 import type { BatchJobRunDeps } from "./BatchJobRunDeps.js";
 
 const retryMs = 200;
-/** Clocks of VMs differ by seconds at most; an item is given up late rather than early. */
+/** Clocks of VMs differ by a few seconds at most; an item should expire late rather than early. */
 const clockSlackMs = 5_000;
 
-/** Starts to run a job: reads it, submits the items that have no result yet, records results as they come. */
+/**
+ * Starts the run of a batch job: reads it, submits the items that have no result yet, and records results as they
+ * complete.
+ */
 export function createBatchJobRun(deps: BatchJobRunDeps): BatchJobRun {
     const { batchJobId, entry, batchJobStore, resultCache, clock, logger } = deps;
     const stopped = createStopController();
--- a/packages/runner/src/jobs/createBatchJobSweeper.ts
+++ b/packages/runner/src/jobs/createBatchJobSweeper.ts
@@ -9,20 +9,20 @@
 interface BatchJobSweeperDeps {
     entries: WatchedKind<BatchJobEntry>;
     store: Pick<BatchJobStore, "remove">;
-    /** One runner sweeps: the one that orders loads. */
+    /** Only one runner sweeps: the one that orders weight loads. */
     maySweep: () => boolean;
-    /** Time for which clients may read a job after they submitted it. */
+    /** Time for which clients may read a batch job after its submission. */
     retentionMs: number;
     clock: Clock;
     logger: Logger;
 }
 
-/** One job each time: deleting is a dozen calls to the store, and nobody waits for it. */
+/** One batch job per interval: a deletion takes about a dozen store calls and is not urgent. */
 const intervalMs = 5_000;
-/** A job that is still open, and clocks that differ, get this much more. */
+/** Factor on the retention time that allows for batch jobs that are still open and for clock differences. */
 const slackFactor = 2;
 
-/** Deletes jobs that nobody may ask for any more. */
+/** Deletes batch jobs whose retention time has passed. */
 export function createBatchJobSweeper(deps: BatchJobSweeperDeps): { stop(): void; } {
     const { clock, logger } = deps;
     const stopped = new AbortController();
--- a/packages/runner/src/jobs/createSeenGroups.ts
+++ b/packages/runner/src/jobs/createSeenGroups.ts
@@ -1,17 +1,20 @@
 import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 
-/** Which job each group of prompts came with first. */
+/** Records with which batch job each group of prompts was first submitted. */
 interface SeenGroups {
     record(batchJob: BatchJob): void;
-    /** Whether the group came with an earlier job than this. */
+    /** Whether the group was first submitted with an earlier batch job. */
     isResubmitted(batchJobId: BatchJobId, group: string): boolean;
 }
 
-/** Far above the groups of the jobs of a minute; groups come again with one of the next jobs or never. */
+/**
+ * Far more than the groups of the batch jobs of one minute; a group is submitted again with one of the next batch
+ * jobs or never.
+ */
 const maxGroups = 8_192;
 
-/** Makes the record of one process. A runner that has just taken a trainer over takes all its groups for new. */
+/** Creates the record of one process. A runner that has just taken over a trainer regards all its groups as new. */
 export function createSeenGroups(): SeenGroups {
     const firstBatchJobs = new Map<string, BatchJobId>();
     return {
--- a/packages/runner/src/jobs/orderOwners.ts
+++ b/packages/runner/src/jobs/orderOwners.ts
@@ -1,9 +1,9 @@
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 
-/** A runner that may run jobs. */
+/** A runner that may run batch jobs. */
 interface OwnerCandidate {
     name: string;
-    /** Undefined until it has told. */
+    /** Undefined until it has reported it. */
     failureDomain: FailureDomain | undefined;
     holdsWeights: boolean;
 }
@@ -11,10 +11,10 @@
 const compareDescending = (a: string, b: string): number => a > b ? -1 : Number(a < b);
 
 /**
- * Orders runners for the policies that are placed on them, one after the other: one of each failure domain before a
- * second of any, so that the loss of a VM or of a failure domain stops as few trainers as can be. The one that orders
- * loads is last. Names go backwards, since the first by name feeds the others, and the next ones stand in for it: so
- * its death moves no trainer's jobs.
+ * Orders runners for the policies that are assigned to them in turn: one of each failure domain before a second of
+ * any, so that the loss of a VM or a failure domain stops as few trainers as possible. The runner that orders loads
+ * is last. Names are sorted in descending order, since the first by name feeds the others and the next ones replace
+ * it: its crash then moves no trainer's batch jobs.
  */
 export function orderOwners(candidates: OwnerCandidate[]): string[] {
     const countByDomain = new Map<FailureDomain | undefined, number>();
--- a/packages/runner/src/peers/PeerView.ts
+++ b/packages/runner/src/peers/PeerView.ts
@@ -5,7 +5,7 @@
     name: string;
     /** False once probes have failed for too long. */
     isAlive: boolean;
-    /** Milliseconds since its last answer, or since it was first seen registered. */
+    /** Milliseconds since its last answer, or since its registration was first seen. */
     heardMs: number;
     /** Its last answer; undefined until the first one. */
     status: RunnerStatus | undefined;
--- a/packages/runner/src/peers/RunnerStatus.ts
+++ b/packages/runner/src/peers/RunnerStatus.ts
@@ -3,25 +3,25 @@
 import type { StartReport } from "@auburnarch/usage/StartReport";
 import type { RunningBatchJob } from "../jobs/RunningBatchJob.js";
 
-/** What a runner tells its peers when they probe it. */
+/** A runner's answer to a probe of a peer. */
 export interface RunnerStatus {
     /** Unique to one start of the process. */
     incarnation: string;
     failureDomain: FailureDomain;
-    /** Jobs whose items it runs. */
+    /** Batch jobs whose items it runs. */
     running: RunningBatchJob[];
-    /** Jobs that it ran lately and whose results it still has. */
+    /** Batch jobs that it ran recently and whose results it still has. */
     keptLots: BatchJobId[];
-    /** Runs that it has out, by the incarnation of their sampler. */
+    /** Number of its runs in flight, by incarnation of the sampler. */
     sent: Record<string, number>;
-    /** It gives samplers their orders. */
+    /** It holds the duties and orders samplers to load weights. */
     holdsWeights: boolean;
-    /** It shuts down, or its VM is to be emptied: others take its jobs. */
+    /** It is shutting down or its VM is being retired: others take over its batch jobs. */
     isLeaving: boolean;
-    /** Milliseconds since it could last use the store; it records nothing meanwhile. */
+    /** Milliseconds since it could last use the store; it records nothing in the meantime. */
     storeSilentMs: number;
-    /** Its time of day; undefined from a process of an earlier version. */
+    /** Its wall-clock time; undefined from a process of an earlier version. */
     wallMs?: number;
-    /** What gateways told it, where it was asked for. */
+    /** Counts of started requests that gateways reported to it; present if they were requested. */
     starts?: StartReport[];
 }
--- a/packages/runner/src/peers/StatusQuery.ts
+++ b/packages/runner/src/peers/StatusQuery.ts
@@ -1,5 +1,5 @@
-/** What a runner asks a peer for beside its status. */
+/** What a runner requests from a peer in addition to its status. */
 export interface StatusQuery {
-    /** What gateways told the peer of requests that began to run. */
+    /** Counts of started requests that gateways reported to the peer. */
     wantsStarts: boolean;
 }
--- a/packages/runner/src/peers/chooseFeeder.test.ts
+++ b/packages/runner/src/peers/chooseFeeder.test.ts
@@ -2,7 +2,7 @@
 import { createPeerView as peer } from "../testing/createPeerView.js";
 import { chooseFeeder } from "./chooseFeeder.js";
 
-test("the first by name of those that live, stay and have the store feeds the others", () => {
+test("the first runner by name that is alive, not leaving and can reach the store feeds the others", () => {
     expect({
         self: chooseFeeder("r1", true, [peer("r2")]),
         peer: chooseFeeder("r2", true, [peer("r1"), peer("r3")]),
--- a/packages/runner/src/peers/chooseFeeder.ts
+++ b/packages/runner/src/peers/chooseFeeder.ts
@@ -4,9 +4,10 @@
     isAlive && status !== undefined && !status.isLeaving && status.storeSilentMs === 0;
 
 /**
- * The runner that follows the store for all: the first by name of those that can. Two that differ in what they know of
- * their peers may both do it, which costs calls and nothing else. Those that can't use it name it as avoided: all of
- * them then turn to the same next one. Undefined if none can.
+ * Chooses the runner that reads changes from the store on behalf of all: the first by name of the eligible ones. Two
+ * runners with different views of their peers may both do so, which only costs store calls. Processes that cannot use
+ * the chosen runner pass it in `avoided`, so that all of them turn to the same next one. Undefined if no runner is
+ * eligible.
  */
 export function chooseFeeder(
     self: string,
--- a/packages/runner/src/peers/countPeerRuns.ts
+++ b/packages/runner/src/peers/countPeerRuns.ts
@@ -1,7 +1,7 @@
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { PeerView } from "./PeerView.js";
 
-/** Runs that living peers have out at a sampler, by their latest answers. */
+/** Number of runs that live peers have in flight at a sampler, by their latest answers. */
 export function countPeerRuns(sampler: IncarnationId, peers: PeerView[]): number {
     return peers
         .filter(({ isAlive }) => isAlive)
--- a/packages/runner/src/peers/createPeerRegistry.test.ts
+++ b/packages/runner/src/peers/createPeerRegistry.test.ts
@@ -68,7 +68,7 @@
     };
 }
 
-test("a peer counts as dead after three probes without an answer, and lives again with the next one", async () => {
+test("a peer counts as dead after three unanswered probes and as alive again after the next answer", async () => {
     const { clock, answers, alive } = createFixture(["r1", "r2", "r3"]);
     await clock.advance(1_000);
     const seen = [alive()];
@@ -83,8 +83,8 @@
     expect(seen).toEqual(["r2 r3", "r2 r3", "r3", "r2 r3"]);
 });
 
-test("a registered VM that is gone holds nobody up for longer than two probes", async () => {
-    // Guards against: after a power loss of all VMs jobs lay still for 1.3 s.
+test("a registered VM that no longer exists delays others by no more than two probes", async () => {
+    // Guards against batch jobs standing still for 1.3 s after a power loss of all VMs.
     const { clock, book } = createFixture(["r1", "r2", "r3"], ["r3"]);
     await clock.advance(300);
     expect(book.isSettled()).toBe(false);
@@ -92,7 +92,7 @@
     expect(book.isSettled()).toBe(true);
 });
 
-test("what a peer runs, and that it leaves, is told at once; its other figures are not", async () => {
+test("a change of a peer's batch jobs or its leaving is reported at once, a change of other fields is not", async () => {
     const { clock, answers, changes } = createFixture(["r1", "r2"]);
     await clock.advance(1_000);
     const before = changes();
@@ -106,7 +106,7 @@
     expect(changes()).toBe(before + 2);
 });
 
-test("a peer at another address, and one that is no longer registered, is taken up", async () => {
+test("a peer that changes its address is followed, and one that is deregistered is removed", async () => {
     const { clock, objects, answers, book, changed } = createFixture(["r1", "r2"]);
     await clock.advance(500);
     objects.set("r2", { host: "r2b", port: 9 });
--- a/packages/runner/src/peers/createPeerRegistry.ts
+++ b/packages/runner/src/peers/createPeerRegistry.ts
@@ -7,12 +7,12 @@
 import type { RunnerStatus } from "./RunnerStatus.js";
 
 interface PeerRegistryDeps {
-    /** Own name, which is left out. */
+    /** Name of this runner, which is left out. */
     self: string;
     registered: WatchedKind<RunnerAddress>;
-    /** Asks a peer for its status; rejects if it does not answer in time. */
+    /** Requests a peer's status; rejects if it does not answer in time. */
     probe: (address: RunnerAddress, timeoutMs: number) => Promise<RunnerStatus>;
-    /** Called when a peer dies, comes back, or changes what it runs. */
+    /** Called when a peer is found dead, answers again, or changes what it runs. */
     onChange: () => void;
     clock: Clock;
     logger: Logger;
@@ -24,23 +24,29 @@
     isProbing: boolean;
 }
 
-/** A runner's jobs stand still until its death is noticed; each probe costs both ends about a millisecond. */
+/** A runner's batch jobs stand still until its crash is detected; each probe costs both sides about a millisecond. */
 const probeIntervalMs = 400;
 const probeTimeoutMs = 350;
-/** Three probes in a row may be lost before a peer counts as dead: a short stop of a process is no death. */
+/**
+ * Three consecutive probes may be lost before a peer counts as dead, so that a short pause of a process is not taken
+ * for a crash.
+ */
 const deadAfterMs = 1_300;
 /**
- * A registered peer that has not answered since this process started is taken to be gone after two probes: jobs wait
- * until each peer has answered or is given up, and a VM that was removed leaves its registration behind.
+ * A registered peer that has never answered this process counts as removed after two probes: batch jobs wait until
+ * each peer has answered or is considered dead, and a removed VM leaves its registration behind.
  */
 const firstAnswerTimeoutMs = 600;
-/** A stopped process hears nobody; after a gap like this between two of its own rounds it trusts no silence. */
+/**
+ * A paused process receives no answers; after a longer gap between two of its own rounds it does not count the time
+ * as silence of its peers.
+ */
 const maxRoundGapMs = 1_000;
 
 const runningIdsOf = (status: RunnerStatus | undefined): string =>
     (status?.running ?? []).map(each => each.lot).join(" ");
 
-/** Keeps a view of the other runners by probing each. */
+/** Maintains a view of the other runners by probing each of them. */
 export function createPeerRegistry(deps: PeerRegistryDeps): PeerRegistry {
     const { clock, logger } = deps;
     const registry = new Map<string, Peer>();
@@ -104,7 +110,7 @@
             recordAnswer(peer, await deps.probe(peer.address, probeTimeoutMs));
         }
         catch {
-            // Silence is judged by its length, not by a single failure.
+            // A peer is judged by the duration of its silence, not by a single failed probe.
             recordSilence(peer);
         }
         peer.isProbing = false;
--- a/packages/runner/src/peers/createStoreOutageMonitor.ts
+++ b/packages/runner/src/peers/createStoreOutageMonitor.ts
@@ -3,7 +3,7 @@
 import type { PeerView } from "./PeerView.js";
 
 interface StoreOutageMonitorDeps {
-    /** Milliseconds since the first of the calls that have all failed since; 0 while calls succeed. */
+    /** Milliseconds since the first of the consecutive failed calls; 0 while calls succeed. */
     storeSilentMs: () => number;
     peers: () => PeerView[];
     clock: Clock;
@@ -17,7 +17,7 @@
 
 const checkMs = 200;
 
-/** Tells outages of the store from the times at which only this runner had lost it. */
+/** Distinguishes outages of the store from times at which only this runner cannot reach it. */
 export function createStoreOutageMonitor(deps: StoreOutageMonitorDeps): StoreOutageMonitor {
     const { clock, peers, storeSilentMs } = deps;
     let outageAtMs: number | undefined;
--- a/packages/runner/src/peers/createStoreProbe.ts
+++ b/packages/runner/src/peers/createStoreProbe.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
 interface StoreProbeDeps {
-    /** A call that tells whether the store answers. */
+    /** A call that shows whether the store answers. */
     probe: () => Promise<unknown>;
     /** Milliseconds since the store last answered this process. */
     storeHeardMs: () => number;
@@ -9,12 +9,12 @@
 }
 
 const intervalMs = 400;
-/** Half the age from which an answer says nothing of the store any more. */
+/** Half the age above which an answer no longer shows that the store is reachable. */
 const maxAnswerAgeMs = 300;
 
 /**
- * Makes the check. Without it a runner that has not called lately would take over from peers that know of an outage
- * already.
+ * Creates the probe. Without it, a runner that has made no call recently would take over batch jobs from peers that
+ * have already detected a store outage.
  */
 export function createStoreProbe({ probe: ask, storeHeardMs, clock }: StoreProbeDeps): () => void {
     let probedAtMs = -Infinity;
@@ -23,7 +23,7 @@
         if (nowMs - probedAtMs > intervalMs && storeHeardMs() > maxAnswerAgeMs) {
             probedAtMs = nowMs;
             ask().catch(() => {
-                // Counted where calls are counted; silence is the answer.
+                // Failures are counted with all store calls; here a missing answer is all that matters.
             });
         }
     };
--- a/packages/runner/src/peers/createTimedProbe.ts
+++ b/packages/runner/src/peers/createTimedProbe.ts
@@ -7,14 +7,14 @@
 
 interface TimedProbeDeps {
     probe: (address: RunnerAddress, timeoutMs: number, query: StatusQuery) => Promise<RunnerStatus>;
-    /** Asked at each probe: only the holder of the duties needs the counts. */
+    /** Evaluated at each probe: only the holder of the duties needs the counts. */
     wantsStarts: () => boolean;
     starts: Pick<StartCountRegistry, "learn"> | undefined;
     trueTime: Pick<TrueTimeEstimate, "learn">;
     clock: Clock;
 }
 
-/** Makes the probe of peers that also learns from each answer what time it is there and what began to run. */
+/** Creates a probe that also learns the peer's clock and its counts of started requests from each answer. */
 export function createTimedProbe(deps: TimedProbeDeps) {
     const { clock, trueTime, starts } = deps;
     return async (address: RunnerAddress, timeoutMs: number): Promise<RunnerStatus> => {
--- a/packages/runner/src/peers/isStoreOutage.ts
+++ b/packages/runner/src/peers/isStoreOutage.ts
@@ -1,8 +1,9 @@
 import type { PeerView } from "./PeerView.js";
 
 /**
- * Whether the store is down, and not only this runner cut off from it: each peer that answers has lost it too. Peers
- * that are silent say nothing; a runner without registered peers has only its own calls to go by.
+ * Whether the store is down, rather than unreachable from this runner only: each peer that answers cannot reach it
+ * either. Peers that do not answer are no evidence; a runner without registered peers only has its own calls to judge
+ * by.
  */
 export function isStoreOutage(ownSilentMs: number, peers: PeerView[]): boolean {
     const responding = peers.filter(({ isAlive, status }) => isAlive && status !== undefined);
--- a/packages/runner/src/peers/statusQuerySchema.ts
+++ b/packages/runner/src/peers/statusQuerySchema.ts
@@ -1,4 +1,4 @@
 import { z } from "zod";
 
-/** How a `StatusQuery` goes between processes; one of an earlier version asks for nothing beside. */
+/** Wire format of `StatusQuery`; a process of an earlier version requests nothing in addition. */
 export const statusQuerySchema = z.object({ wantsStarts: z.boolean().default(false) });
--- a/packages/runner/src/results/GroupNeed.ts
+++ b/packages/runner/src/results/GroupNeed.ts
@@ -1,9 +1,9 @@
 import type { SampleId } from "@auburnarch/types/SampleId";
 
-/** What of a job its trainer waits for. */
+/** The groups of a batch job that its trainer waits for. */
 export interface GroupNeed {
-    /** The item has a result, recorded or not. */
+    /** Marks an item as having a result, recorded or not. */
     markFinished(item: SampleId): void;
-    /** All that the trainer waits for is there. */
+    /** Whether all groups that the trainer waits for are complete. */
     isMet(): boolean;
 }
--- a/packages/runner/src/results/Recorder.ts
+++ b/packages/runner/src/results/Recorder.ts
@@ -2,18 +2,18 @@
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { GroupNeed } from "./GroupNeed.js";
 
-/** Puts the results of one job into the store, each item once, at positions that never change. */
+/** Writes the results of one batch job to the store, each item once, at positions that never change. */
 export interface Recorder {
-    /** Reads what is recorded already. Rejects as the store does; may be called again. */
+    /** Reads the results recorded so far. Rejects with the errors of the store; may be called again. */
     load(): Promise<void>;
-    /** Tells what the trainer waits for, and when the step is due by the steady clock. */
+    /** Sets the groups that the trainer waits for, and the monotonic time at which the step is due. */
     setNeed(need: GroupNeed, dueAtMs: number): void;
     add(result: ItemResult): void;
     isRecorded(item: SampleId): boolean;
     recorded(): number;
-    /** Records what waits now, without gathering further results. */
+    /** Records the pending results now, without waiting for further ones. */
     flush(): void;
-    /** Resolves once nothing waits any more, or the recorder is stopped. */
+    /** Resolves once no result is pending, or the recorder is stopped. */
     drained(): Promise<void>;
     stop(): void;
 }
--- a/packages/runner/src/results/ResultCache.ts
+++ b/packages/runner/src/results/ResultCache.ts
@@ -3,22 +3,22 @@
 import type { ResultChunk } from "@auburnarch/batches/ResultChunk";
 import type { ResultsAnswer } from "@auburnarch/batches/ResultsAnswer";
 
-/** Results of the jobs that run or ran here, for gateways that ask. */
+/** Cached results of the batch jobs that run or ran here, for queries of gateways. */
 export interface ResultCache {
-    /** A run of the job starts here; what stands in the store is not known yet. */
+    /** Starts an entry for a batch job that starts to run here; what the store holds is not known yet. */
     open(batchJobId: BatchJobId, summary: BatchJobSummary): void;
     note(batchJobId: BatchJobId, number: number, chunk: ResultChunk): void;
-    /** All chunks that stood in the store when the run started have been noted. */
+    /** All chunks that were in the store when the run started have been added. */
     markLoaded(batchJobId: BatchJobId): void;
-    /** The job runs here no more. */
+    /** The batch job no longer runs here. */
     close(batchJobId: BatchJobId): void;
     /**
-     * Notes that other runners have, or may have had, jobs that run here too. What they recorded is not known here, also
-     * once they are done with them.
+     * Marks running batch jobs that other runners have, or may have had, too. What those recorded is not known here,
+     * even after they have left the batch job.
      */
     markContested(isContested: (batchJobId: BatchJobId) => boolean): void;
-    /** The newest of the jobs that run here no more but whose results are held. */
+    /** Lists the newest of the batch jobs that no longer run here but whose results are cached. */
     listCached(): BatchJobId[];
-    /** Chunks from `fromChunk` on, waiting up to `waitMs` for the first of them. */
+    /** Returns the chunks from `fromChunk` on, waiting up to `waitMs` for the first of them. */
     answer(batchJobId: BatchJobId, fromChunk: number, waitMs: number): Promise<ResultsAnswer>;
 }
--- a/packages/runner/src/results/chooseReader.ts
+++ b/packages/runner/src/results/chooseReader.ts
@@ -2,7 +2,10 @@
 import { rankByRendezvous } from "@auburnarch/membership/rankByRendezvous";
 import type { PeerView } from "../peers/PeerView.js";
 
-/** The runner that reads a job for all once nobody holds its results; undefined if that is this one. */
+/**
+ * Chooses the runner that reads a batch job on behalf of all when no runner has its results; undefined if that is
+ * this one.
+ */
 export function chooseReader(batchJobId: BatchJobId, self: string, peers: PeerView[]): string | undefined {
     const eligible = peers.filter(peer => peer.isAlive && peer.status?.isLeaving === false).map(peer =>
         peer.name
--- a/packages/runner/src/results/createBatchingWindow.ts
+++ b/packages/runner/src/results/createBatchingWindow.ts
@@ -1,19 +1,22 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
-/** The time in which results gather before they are recorded together. */
+/** The time in which results are batched before they are recorded together. */
 interface BatchingWindow {
-    /** Resolves once the pause since the call is over, as it stands then. */
+    /** Resolves once the pause that started with this call is over; its length may change meanwhile. */
     wait(): Promise<void>;
-    /** Looks at the pause again: a result has come that may leave nothing to wait for. */
+    /** Reevaluates the pause, since a new result may leave nothing to wait for. */
     recheck(): void;
-    /** Nothing gathers any more. */
+    /** Ends all pauses, current and later ones. */
     close(): void;
 }
 
-/** Timers are no finer; a rest below it would be waited for again and again. */
+/** Resolution of timers; a shorter remaining pause would cause repeated wake-ups. */
 const timerResolutionMs = 1;
 
-/** Makes the gathering; `pauseMs` is how long results wait for others in all, of which they have waited `waitedMs`. */
+/**
+ * Creates a batching window. `pauseMs` returns the total time that results wait for others, given the time `waitedMs`
+ * that they have waited so far.
+ */
 export function createBatchingWindow(clock: Clock, pauseMs: (waitedMs: number) => number): BatchingWindow {
     let isClosed = false;
     let change = new AbortController();
--- a/packages/runner/src/results/createContestedBatchJobs.ts
+++ b/packages/runner/src/results/createContestedBatchJobs.ts
@@ -2,8 +2,8 @@
 import type { PeerView } from "../peers/PeerView.js";
 
 /**
- * Makes the view of which jobs other runners have too, or may have had: a peer that has started anew since the last look
- * says nothing of what it ran before.
+ * Creates a view of which batch jobs other runners have, or may have had, too: a peer that has restarted since the
+ * last call no longer reports what it ran before.
  */
 export function createContestedBatchJobs(): (peers: PeerView[]) => (batchJobId: BatchJobId) => boolean {
     const incarnations = new Map<string, string>();
--- a/packages/runner/src/results/createGroupNeed.ts
+++ b/packages/runner/src/results/createGroupNeed.ts
@@ -3,8 +3,9 @@
 import type { GroupNeed } from "./GroupNeed.js";
 
 /**
- * Counts the whole groups of a job against those that its trainer waits for: a number of groups, whichever they are,
- * and each that came again from an earlier job. `comesAgain` tells these. A job that names no number is needed whole.
+ * Tracks the complete groups of a batch job against those that its trainer waits for: a number of groups in any
+ * selection, and each group that was already submitted with an earlier batch job, as `isResubmitted` tells. A batch
+ * job without such a number is needed in full.
  */
 export function createGroupNeed(batchJob: BatchJob, isResubmitted: (group: string) => boolean): GroupNeed {
     const open = new Map<string, Set<SampleId>>();
--- a/packages/runner/src/results/createRecorder.test.ts
+++ b/packages/runner/src/results/createRecorder.test.ts
@@ -60,8 +60,9 @@
     return { clock, control, start, readItems, records };
 }
 
-test("a result that comes while a record is on its way is recorded after it", async () => {
-    // Guards against: groups of a step never became whole, though the runner took all their items for recorded.
+test("a result added while a chunk is being recorded is recorded after it", async () => {
+    // Guards against groups of a step that never become complete because the runner took unrecorded items for
+    // recorded.
     const { clock, start, readItems } = createFixture(40);
     const recorder = start();
     recorder.add(result("a"));
@@ -72,8 +73,8 @@
     expect(await readItems()).toEqual(["a", "b"]);
 });
 
-test("two runners of one job list each item once, in the order of the store", async () => {
-    // Guards against: an item at two positions.
+test("two runners of one batch job record each item once, in the order of the store", async () => {
+    // Guards against an item at two positions.
     const { clock, start, readItems } = createFixture();
     const [first, second] = [start(), start()];
     ["a", "b", "c"].forEach(item => first.add(result(item)));
@@ -85,8 +86,8 @@
     expect(second.isRecorded("b" as SampleId)).toBe(true);
 });
 
-test("results wait out an outage of the store and are recorded once", async () => {
-    // Guards against: an item twice, or never, after an outage.
+test("results remain pending during a store outage and are recorded once afterwards", async () => {
+    // Guards against an item recorded twice, or never, after an outage.
     const { clock, control, start, readItems } = createFixture();
     const recorder = start();
     recorder.add(result("a"));
@@ -99,7 +100,10 @@
     expect(await readItems()).toEqual(["a", "b"]);
 });
 
-/** A step of nine groups of eight, of which eight are waited for; items end over five seconds, the long ones late. */
+/**
+ * A step of nine groups of eight items, of which eight groups are needed. Items finish over five seconds, the long
+ * ones late.
+ */
 function createStep() {
     const random = createRandom(11);
     const items = Array.from({ length: 72 }, (_, at) => ({
@@ -132,8 +136,9 @@
     };
 }
 
-test("a step is recorded in few records, and what completes the trainer's need at once", async () => {
-    // Before: 16 records of a step. Now: 6, of which the one that the trainer waits for leaves as its last item ends.
+test("a step is recorded in few chunks, and the result that completes the trainer's need is recorded at once", async () => {
+    // Without a known need a step takes 16 chunks; with it 6, and the one that the trainer waits for is recorded when
+    // its last item finishes.
     const [before, after] = [await simulateStep(false), await simulateStep(true)];
     expect({ before, after }).toMatchInlineSnapshot(`
       {
@@ -151,7 +156,7 @@
     `);
 });
 
-test("groups that came again are waited for beside the number, and a job without a number whole", () => {
+test("resubmitted groups are needed in addition to the number of groups, and a batch job without a number is needed in full", () => {
     const items = ["a", "b", "c"].map(name => ({ item: name as SampleId, group: name }));
     const needOf = (neededGroups: number | undefined, again: string) =>
         createGroupNeed({ neededGroups, items } as unknown as BatchJob, group => group === again);
@@ -168,8 +173,8 @@
     ]).toEqual([true, false, true, false, true]);
 });
 
-test("towards its due time a group is recorded soon, though more is to come", async () => {
-    // Guards against: a group that was made in time was read too late to count.
+test("shortly before its due time a result is recorded soon, even if further results are to come", async () => {
+    // Guards against a group that finished in time being read too late to count.
     const { source } = createStep();
     const { clock, start, records } = createFixture(4, 72);
     const recorder = start();
@@ -180,8 +185,9 @@
     expect(records.length).toBe(1);
 });
 
-test("the last items of a job are recorded as they come", async () => {
-    // A trainer waits for them, and nothing comes behind them that could share their record: 80 ms of a step before.
+test("the last items of a batch job are recorded as they finish", async () => {
+    // Guards against a pause before the last items, which a trainer waits for and no later result could share a chunk
+    // with: it cost 80 ms of a step.
     const { clock, start } = createFixture(5);
     const recorder = start();
     ["a", "b", "c", "d"].forEach(item => recorder.add(result(item)));
--- a/packages/runner/src/results/createRecorder.ts
+++ b/packages/runner/src/results/createRecorder.ts
@@ -17,11 +17,11 @@
 interface RecorderDeps {
     batchJobId: BatchJobId;
     batchJobStore: BatchJobStore;
-    /** Items of the job. */
+    /** Number of items in the batch job. */
     total: number;
-    /** Called for each item that stands in the store now, whoever made it. */
+    /** Called for each item whose result is now in the store, whichever runner generated it. */
     onRecorded: (item: SampleId) => void;
-    /** Called for each record that stands in the store, in order, whoever made it. */
+    /** Called for each chunk that is now in the store, in order, whichever runner recorded it. */
     onChunk: (number: number, chunk: ResultChunk) => void;
     clock: Clock;
     random: Random;
@@ -30,12 +30,16 @@
 }
 
 const retryMs = 200;
-/** Outputs in one record, in characters; a stored value may have a megabyte, and quoting may double a character. */
+/**
+ * Limit of the outputs in one chunk, in characters. A stored value may have one megabyte, and JSON escaping may
+ * double a character.
+ */
 const maxChunkChars = 400_000;
 
 /**
- * Makes the recorder of one job. Record k + 1 is created only after record k, and a record that another runner
- * created first is taken over as it is: so two runners of one job list no item twice and no position changes.
+ * Creates the recorder of one batch job. Chunk k + 1 is created only after chunk k, and a chunk that another runner
+ * created first is adopted as it is. Two runners of one batch job therefore record no item twice, and no position
+ * changes.
  */
 export function createRecorder(deps: RecorderDeps): Recorder {
     const { batchJobId: lot, batchJobStore: lots, clock, logger } = deps;
@@ -66,8 +70,9 @@
     }
 
     /**
-     * A copy: results that come while the record is on its way belong to the next one. Taken for recorded with this
-     * one, they would stand nowhere, and their groups would never be whole.
+     * Returns a copy: results that are added while the chunk is being written belong to the next one. If they were
+     * taken for recorded with this chunk, they would be missing in the store, and their groups would never become
+     * complete.
      */
     function selectNextResults(): ItemResult[] {
         let chars = 0;
@@ -115,7 +120,8 @@
                 }
             }
             catch (error) {
-                // The same record is tried again: if the lost answer was a success, it comes back as standing.
+                // The same chunk is attempted again: if the write with the lost answer succeeded, it is returned as
+                // the stored one.
                 const { number, name } = codeOf(error);
                 logger.warn("recordingFailed", {
                     lot,
--- a/packages/runner/src/results/createResultCache.test.ts
+++ b/packages/runner/src/results/createResultCache.test.ts
@@ -71,7 +71,7 @@
     return `${answer.hasMore ? "part " : ""}${items.join(",")}/${answer.total}`;
 }
 
-test("chunks are told from memory as they come, and the end of a job after its run", async () => {
+test("chunks are served from memory as they are added, as is the end of a batch job after its run", async () => {
     const { clock, state, book, append, ask } = createFixture();
     expect(await ask(0)).toBe('{"kind":"unsure"}');
     book.open(batchJobId, { total: 3, team: undefined });
@@ -87,8 +87,8 @@
     expect([await ask(0), await ask(2, 1_000), state.reads]).toEqual(["a,b+c/3", "/3", 0]);
 });
 
-test("a runner that another may have replaced asks the store before it says that there is nothing more", async () => {
-    // Guards against: a position that one gateway had shown was missing at another.
+test("a runner that may have been replaced asks the store before it reports that there is no further chunk", async () => {
+    // Guards against a position that was read at one gateway being missing at another.
     const { clock, state, book, append, ask } = createFixture();
     book.open(batchJobId, { total: 9, team: undefined });
     book.markLoaded(batchJobId);
@@ -104,8 +104,8 @@
     expect(await ask(2)).toBe('{"kind":"unsure"}');
 });
 
-test("a runner whose rival has had the job asks the store once before it is sure again", async () => {
-    // Guards against: three results that one gateway had shown for a second were missing at another.
+test("a runner whose batch job was also run by another asks the store once before it relies on its cache again", async () => {
+    // Guards against three results that one gateway had returned for a second being missing at another.
     const { state, book, append, ask } = createFixture();
     book.open(batchJobId, { total: 9, team: undefined });
     book.markLoaded(batchJobId);
@@ -119,7 +119,7 @@
     expect([await ask(2), await ask(2), state.reads]).toEqual(["/9", "/9", 2]);
 });
 
-test("a peer that runs a job, has run it, or was not heard lately may have recorded results of it", () => {
+test("a peer that runs or ran a batch job, or has not answered recently, may have recorded results of it", () => {
     const running = [{ lot: batchJobId }] as RunnerStatus["running"];
     const peers = [
         createPeerView("r2"),
@@ -130,7 +130,7 @@
     expect(peers.map(peer => isSoleWriter(batchJobId, [peer]))).toEqual([true, false, false, false]);
 });
 
-test("a peer that has started anew may have had any job before", () => {
+test("a peer that has restarted may have had any batch job before", () => {
     const rivals = createContestedBatchJobs();
     const peerOf = (incarnation: string, ...running: string[]): PeerView =>
         ({
@@ -149,8 +149,9 @@
     ]);
 });
 
-test("a job that is over and that no runner holds is read once for all, by one runner", async () => {
-    // Guards against: 743 of 3,320 calls of a day that ends with a loss of power of all were reads of results.
+test("an ended batch job that no runner has is read once for all, by one runner", async () => {
+    // Guards against each gateway reading results from the store: these were 743 of 3,320 store calls in a day that
+    // ends with a power loss of all VMs.
     const { clock, state, ask } = createFixture();
     state.stored = [chunkOf(0, "a"), chunkOf(1, "b", "c")];
     expect([await ask(0), state.reads]).toEqual(['{"kind":"unsure"}', 0]);
@@ -163,7 +164,7 @@
     expect([await ask(0), state.reads]).toEqual(["a,b+c/3", 2]);
 });
 
-test("a job that is over but not whole is looked behind again, and one that can't be read is not told", async () => {
+test("an ended but incomplete batch job is checked for further chunks again, and an unreadable one is not served", async () => {
     const { clock, state, ask } = createFixture();
     state.stored = [chunkOf(0, "a")];
     state.endedEntry = { total: 3, team: undefined };
@@ -177,7 +178,7 @@
     expect(await ask(1)).toBe("part b/3");
 });
 
-test("a job that another runner has is asked for there", async () => {
+test("queries for a batch job that another runner has are redirected to it", async () => {
     const { state, book, append, ask } = createFixture();
     book.open(batchJobId, { total: 2, team: undefined });
     book.markLoaded(batchJobId);
@@ -188,8 +189,8 @@
     expect(await ask(0)).toBe('{"kind":"elsewhere","runner":"r2"}');
 });
 
-test("several chunks that another runner recorded are all asked for", async () => {
-    // Guards against: the last position of a whole job was missing at one gateway.
+test("all chunks that another runner recorded are requested", async () => {
+    // Guards against the last position of a complete batch job being missing at one gateway.
     const { state, book, append, ask } = createFixture();
     book.open(batchJobId, { total: 4, team: undefined });
     book.markLoaded(batchJobId);
--- a/packages/runner/src/results/createResultCache.ts
+++ b/packages/runner/src/results/createResultCache.ts
@@ -11,24 +11,24 @@
 
 interface ResultCacheDeps {
     store: Pick<BatchJobStore, "readChunk">;
-    /** No other runner can have recorded anything for the job lately. */
+    /** No other runner can have recorded results of the batch job recently. */
     isSoleWriter: (batchJobId: BatchJobId) => boolean;
-    /** The other runner that runs a job. */
+    /** The other runner that has the batch job or its results. */
     findHolder: (batchJobId: BatchJobId) => string | undefined;
-    /** A job that is over; undefined for any other. */
+    /** The entry of an ended batch job; undefined for any other. */
     findEndedEntry: (batchJobId: BatchJobId) => BatchJobSummary | undefined;
-    /** The runner that reads a job for all that nobody holds any more; undefined if that is this one. */
+    /** The runner that reads a batch job that no runner has on behalf of all; undefined if that is this one. */
     chooseReader: (batchJobId: BatchJobId) => string | undefined;
     clock: Clock;
 }
 
 /**
- * How long it counts that the store had no further chunk. A position that one gateway has shown must be shown by all
- * within a second; the rest is left for the answer's way. Shorter, more calls to the store would
- * look behind the end of jobs that are over.
+ * Time for which a report of the store that there is no further chunk remains valid. A position that one gateway has
+ * returned must be returned by all within a second; the rest of it is left for delivering the answer. A shorter time
+ * would cause more store calls for batch jobs that are over.
  */
 const verifiedForMs = 700;
-/** Characters of one answer; a gateway asks again for what is left. */
+/** Limit of one answer in characters; a gateway requests the rest with another query. */
 const maxAnswerChars = 1_000_000;
 function takeUpToLimit(chunks: ResultChunk[]): ResultChunk[] {
     let chars = 0;
@@ -37,9 +37,9 @@
 }
 
 /**
- * Makes the book. What it holds stands in the store and never changes, so that a chunk from here is as good as one
- * from there. That there is no further chunk is said only where this runner is the sole writer or the store has just
- * said so: a second runner of the job may have recorded one that a client has seen already.
+ * Creates the cache. Cached chunks are stored and never change, so a chunk from here equals the one in the store. The
+ * end of the results is reported only if this runner is the sole writer or the store has just confirmed it: another
+ * runner of the batch job may have recorded a chunk that a client has read already.
  */
 export function createResultCache(deps: ResultCacheDeps): ResultCache {
     const { clock } = deps;
@@ -64,19 +64,19 @@
             return true;
         }
         catch {
-            // Counted where calls are counted; the gateway reads the store itself.
+            // Failures are counted with all store calls; the gateway then reads the store itself.
             return false;
         }
     }
 
-    /** Nothing stands behind the last chunk. */
+    /** Whether there is no chunk after the last cached one. */
     function isEnd(batchJobId: BatchJobId, entry: ResultCacheEntry): boolean {
         const isFresh = clock.monotonicMs() - entry.verifiedAtMs < verifiedForMs;
         return isFresh || isComplete(entry)
             || entry.isRunning && !entry.isContested && deps.isSoleWriter(batchJobId);
     }
 
-    /** Looks for one more chunk where there may be one; false if that cannot be told. */
+    /** Reads one more chunk if there may be one; false if that is unknown because the store failed. */
     async function verifyEnd(batchJobId: BatchJobId, entry: ResultCacheEntry): Promise<boolean> {
         if (isEnd(batchJobId, entry)) {
             return true;
@@ -107,8 +107,8 @@
     }
 
     /**
-     * Reads a job that is over and that no runner holds, as after a loss of power of all. Without it each gateway reads
-     * each job from the store.
+     * Reads a batch job that is over and that no runner has, as after a power loss of all VMs. Otherwise each gateway
+     * would read each batch job from the store.
      */
     async function loadEnded(batchJobId: BatchJobId): Promise<ResultCacheEntry | undefined> {
         const ended = deps.findEndedEntry(batchJobId);
--- a/packages/runner/src/results/createResultCacheEntries.ts
+++ b/packages/runner/src/results/createResultCacheEntries.ts
@@ -4,29 +4,32 @@
 import { countChars } from "./countChars.js";
 import type { ResultCacheEntry } from "./ResultCacheEntry.js";
 
-/** The pages of a result book, within its memory. */
+/** The entries of a result cache, within its memory limit. */
 interface ResultCacheEntries {
     get(batchJobId: BatchJobId): ResultCacheEntry | undefined;
-    /** Begins a page anew, for a job that runs here. */
+    /** Creates or replaces the entry of a batch job that runs here. */
     open(batchJobId: BatchJobId, summary: BatchJobSummary): ResultCacheEntry;
-    /** Adds a chunk where it is the next one. */
+    /** Adds a chunk if it is the next one. */
     add(entry: ResultCacheEntry, number: number, chunk: ResultChunk): void;
     delete(batchJobId: BatchJobId): void;
     running(): Iterable<[BatchJobId, ResultCacheEntry]>;
-    /** The newest of the jobs that do not run here but whose results are held. */
+    /** Lists the newest of the batch jobs that do not run here but whose results are cached. */
     listCached(): BatchJobId[];
 }
 
-/** Memory for all jobs, in characters: about a hundred jobs of today. The jobs opened longest ago go first. */
+/**
+ * Memory limit for all batch jobs in characters: about a hundred batch jobs of typical size. Those opened longest ago
+ * are evicted first.
+ */
 const maxCachedChars = 16_000_000;
 
 /**
- * Jobs that peers are told to be held here. Named in each probe's answer; without them a gateway that did not ask while
- * the job ran would read all its results from the store.
+ * Maximum number of cached batch jobs reported to peers. They are listed in each probe's answer; without them, a
+ * gateway that did not ask while the batch job ran would read all its results from the store.
  */
 const maxReportedBatchJobs = 24;
 
-/** Makes the pages of one process. */
+/** Creates the cache entries of one process. */
 export function createResultCacheEntries(): ResultCacheEntries {
     const entries = new Map<BatchJobId, ResultCacheEntry>();
 
--- a/packages/runner/src/results/findEndedEntry.ts
+++ b/packages/runner/src/results/findEndedEntry.ts
@@ -2,7 +2,7 @@
 import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
 
-/** A job that its client has ended; undefined for an open one and for one that is not known. */
+/** Returns the entry of a batch job that its client has ended; undefined for an open or unknown one. */
 export function findEndedEntry(
     entries: Pick<WatchedKind<BatchJobEntry>, "objects">,
     batchJobId: BatchJobId,
--- a/packages/runner/src/results/findHolder.ts
+++ b/packages/runner/src/results/findHolder.ts
@@ -1,7 +1,7 @@
 import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import type { PeerView } from "../peers/PeerView.js";
 
-/** The living peer that runs a job, or ran it lately and has its results. */
+/** Returns the live peer that runs a batch job, or that ran it recently and has its results. */
 export function findHolder(batchJobId: BatchJobId, peers: PeerView[]): string | undefined {
     const alive = peers.filter(peer => peer.isAlive);
     const runner = alive.find(peer => peer.status?.running.some(each => each.lot === batchJobId) === true);
--- a/packages/runner/src/results/recordPause.load.test.ts
+++ b/packages/runner/src/results/recordPause.load.test.ts
@@ -7,15 +7,15 @@
 const eventMs = 50;
 const longestEvents = 128;
 const recordMs = 20;
-/** A trainer reads twice a second at most, and acts on what it has read at its next turn. */
+/** A trainer reads at most twice a second, and acts on the results at its next poll. */
 const pollMs = 500;
 
 type Pause = typeof recordPauseMs;
 
-/** Results shortly before the due time were recorded every 200 ms. */
+/** An earlier rule for comparison: results shortly before the due time were recorded every 200 ms. */
 const pauseBefore: Pause = state => state.made >= items ? 0 : state.untilDueMs < 2_000 ? 200 : 1_000;
 
-/** When items of a step end: most soon, a tenth five times as late. */
+/** Finish times of the items of a step: most finish early, a tenth takes five times as long. */
 function endsOf(seed: number): number[] {
     const random = createRandom(seed);
     const draw = (): number => {
@@ -25,7 +25,7 @@
     return Array.from({ length: items }, draw).sort((a, b) => a - b);
 }
 
-/** When each record stands, with how many results. */
+/** Time at which each chunk is recorded, with the number of results recorded by then. */
 function recordsOf(ends: number[], pause: Pause): { atMs: number; results: number; }[] {
     const records: { atMs: number; results: number; }[] = [];
     let recorded = 0;
@@ -47,7 +47,10 @@
     return records;
 }
 
-/** When the trainer has read all and acts on it, and how many results it has read when the step is due. */
+/**
+ * Time at which the trainer has read all results and acts on them, and the number of results read when the step is
+ * due.
+ */
 function readAll(records: { atMs: number; results: number; }[]): { endedMs: number; readInTime: number; } {
     let nowMs = 0;
     let read = 0;
@@ -80,8 +83,8 @@
     };
 }
 
-test("a trainer that waits for its last items acts sooner, and what is made in time is read in time", () => {
-    // Guards against: a page told just before the last one keeps the trainer from acting for up to a second.
+test("a trainer that waits for its last items acts sooner, and results finished in time are read in time", () => {
+    // Guards against a page returned just before the last result, which delays the trainer by up to a second.
     expect({ before: simulateSteps(pauseBefore), now: simulateSteps(recordPauseMs) }).toMatchInlineSnapshot(`
       {
         "before": {
--- a/packages/runner/src/results/recordPauseMs.ts
+++ b/packages/runner/src/results/recordPauseMs.ts
@@ -1,36 +1,36 @@
 interface RecordingState {
-    /** Items of the job, and those that have a result. */
+    /** Number of items of the batch job, and of those that have a result. */
     total: number;
     made: number;
-    /** Whether what the trainer waits for is made; undefined where it is not known what that is. */
+    /** Whether the groups that the trainer waits for are complete; undefined if those are not known. */
     isNeedMet: boolean | undefined;
-    /** Whether it is recorded too. */
+    /** Whether these groups are also recorded. */
     isNeedRecorded: boolean;
     /** Time left until the step is due. */
     untilDueMs: number;
-    /** How long the first of the results has waited. */
+    /** Time for which the first of the pending results has waited. */
     waitedMs: number;
 }
 
 /**
- * Before a trainer has all that it waits for, what is made is of no use to it: the record only guards against the loss
- * of a VM with its disk, which costs what was made in this time once more.
+ * Pause while groups that the trainer waits for are incomplete. The results are of no use to it yet: recording them
+ * only protects against the loss of a VM with its disk, which costs generating the results of this time again.
  */
 const unmetPauseMs = 1_000;
-/** Nobody waits for what is made beyond that. */
+/** Pause for results beyond those that the trainer waits for. */
 const surplusPauseMs = 1_000;
 /**
- * A group earns only if it can be read when its step is due. Time for a record, for the answer to a waiting reader and
- * for the reader that asks twice a second.
+ * A group only counts if it can be read when its step is due. Time for recording, for answering a waiting reader, and
+ * for a reader that polls twice a second.
  */
 const dueMarginMs = 500;
 const minUnmetPauseMs = 200;
 
-/** Where it is not known what a trainer waits for: results gather for this long, and for less towards the end. */
+/** Pauses if it is not known what the trainer waits for; shorter towards the end of the batch job. */
 const defaultPauseMs = 350;
 const finalPauseMs = 80;
 const finalPhaseRatio = 0.75;
-/** Behind the last items nothing comes that could share their record. */
+/** After the last items no result follows that could share their chunk. */
 const unpausedItems = 3;
 
 function pauseForUnknownNeedMs(made: number, total: number): number {
@@ -41,10 +41,10 @@
 }
 
 /**
- * How long a result waits for others to share its record. Each record is a call to the store, and a reader that is told
- * of every few results spends its time between two questions: when the last one that it needs comes, it asks half a
- * second later. So what completes a trainer's need is recorded at once, and all else gathers, for as long as it can still
- * be read when the step is due.
+ * Time for which a result waits for others to share its chunk. Each chunk costs a store call, and a reader that is
+ * answered for every few results spends its time between two polls: when the last result that it needs is added, it
+ * polls half a second later. Results that complete a trainer's need are therefore recorded at once, and all others
+ * are batched for as long as they can still be read when the step is due.
  */
 export function recordPauseMs(state: RecordingState): number {
     const { total, made, isNeedMet, isNeedRecorded, untilDueMs, waitedMs } = state;
--- a/packages/runner/src/testing/ReportCall.ts
+++ b/packages/runner/src/testing/ReportCall.ts
@@ -1,6 +1,6 @@
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 
-/** A report as the platform got it. */
+/** A report as received by the platform. */
 export interface ReportCall {
     atMs: number;
     holder: string;
@@ -8,6 +8,6 @@
     window: number;
     counts: string;
     isAccepted: boolean;
-    /** Its sender had just been stopped, which excuses the order of its calls. */
+    /** The sender had just been paused, which excuses the order of its calls. */
     isAfterPause: boolean;
 }
--- a/packages/runner/src/testing/ReportingProcess.ts
+++ b/packages/runner/src/testing/ReportingProcess.ts
@@ -1,7 +1,7 @@
 import type { createPausableProcess } from "@auburnarch/fakes/createPausableProcess";
 import type { StartCountRegistry } from "@auburnarch/usage/StartCountRegistry";
 
-/** A runner of which only the duty of reports is played. */
+/** A simulated runner that only performs the duty of usage reports. */
 export interface ReportingProcess {
     name: string;
     paused: ReturnType<typeof createPausableProcess>;
--- a/packages/runner/src/testing/createPeerView.ts
+++ b/packages/runner/src/testing/createPeerView.ts
@@ -2,7 +2,7 @@
 import type { PeerView } from "../peers/PeerView.js";
 import type { RunnerStatus } from "../peers/RunnerStatus.js";
 
-/** A peer that was heard just now and does nothing, but for what `over` says. */
+/** Creates the view of an idle peer that has just answered, with the given overrides of its status. */
 export function createPeerView(
     name: string,
     overrides: Partial<RunnerStatus> = {},
--- a/packages/runner/src/testing/createReportingProcess.ts
+++ b/packages/runner/src/testing/createReportingProcess.ts
@@ -24,23 +24,23 @@
     store: ObjectStore;
     random: Random;
     times: UsageTimes;
-    /** How the platform behaves now. */
+    /** Current behaviour of the platform. */
     platform: { isDown: boolean; losesAnswers: boolean; };
-    /** It acts as if the lease were its own all the time. */
+    /** The process always acts as if it held the lease. */
     alwaysActs: boolean;
-    /** Takes the calls that arrive there. */
+    /** Receives the calls that reach the platform. */
     calls: ReportCall[];
 }
 
 const leaseTtlMs = 2_500;
 const handOverMs = 3_000;
-/** Calls of a sender that was stopped are excused for this long after it. */
+/** Calls of a sender are excused for this long after it was resumed. */
 const resumeGraceMs = 300;
 const networkDelayMs = 4;
 const tickMs = 150;
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 const failOnBrokenInvariant = (): never => {
-    throw new Error("promise broken");
+    throw new Error("invariant violated");
 };
 
 function runAlways(clock: Clock, duty: Duty): void {
@@ -48,7 +48,7 @@
     clock.startTimer(tickMs, () => runAlways(clock, duty));
 }
 
-/** Starts the real duty, with its lease, in a process that can be stopped and whose time of day can jump. */
+/** Starts the production duty with its lease in a process that can be paused and whose wall clock can jump. */
 export function createReportingProcess(options: ReportingProcessOptions): ReportingProcess {
     const { name, clock, store, random, times, platform, alwaysActs: believesAlways, calls } = options;
     const paused = createPausableProcess(clock, store);
@@ -70,7 +70,7 @@
     };
     const send: SendUsageReport = async (...args) => {
         const outcome = await receive(...args);
-        // An answer reaches a stopped process only once it goes on.
+        // An answer reaches a paused process only after it is resumed.
         await ownClock.sleep(1);
         return outcome;
     };
--- a/packages/runner/src/testing/simulateUsageReports.ts
+++ b/packages/runner/src/testing/simulateUsageReports.ts
@@ -9,10 +9,10 @@
 
 interface SimulationOptions {
     seed: number;
-    /** Faults of the run, spread over its length. */
+    /** Number of faults, spread over the length of the run. */
     faults: number;
     lengthMs: number;
-    /** Each runner acts as if it held the duty. */
+    /** Each runner acts as if it had the duty. */
     alwaysActs: boolean;
 }
 
@@ -28,8 +28,8 @@
 const team = "hule" as TeamId;
 
 /**
- * Plays three runners that report use by the real lease and duty, on a fake clock: they stop and go on, end and start
- * again, clocks jump, the store and the platform lose answers or are away.
+ * Simulates three runners that report usage with the production lease and duty on a fake clock: they are paused and
+ * resumed, stopped and restarted, clocks jump, and the store and the platform lose answers or are unreachable.
  */
 export async function simulateUsageReports(
     { seed, faults, lengthMs, alwaysActs }: SimulationOptions,
@@ -58,7 +58,7 @@
 
     let processes = names.map(start);
 
-    /** Each runner hears different counts, and hears them at different times, as after lost answers. */
+    /** Runners receive different counts at different times, as after lost answers. */
     function reportCounts(): void {
         counted += 1 + upTo(3);
         const window = Math.floor(clock.wallMs() / windowMs);
--- a/packages/runner/src/usage/RecordedReport.ts
+++ b/packages/runner/src/usage/RecordedReport.ts
@@ -1,7 +1,7 @@
 import type { UsageReport } from "./UsageReport.js";
 
-/** A report that stands in the store: whoever sends it sends these counts and no others. */
+/** A report recorded in the store: every process that sends it sends these counts and no others. */
 export interface RecordedReport extends UsageReport {
-    /** It was accepted or given up, as far as its recorder knew when it wrote last. */
+    /** It was accepted or abandoned, as far as the recording process knew at its last write. */
     isSettled: boolean;
 }
--- a/packages/runner/src/usage/ReportLedger.ts
+++ b/packages/runner/src/usage/ReportLedger.ts
@@ -1,14 +1,14 @@
 import type { RecordedReport } from "./RecordedReport.js";
 import type { UsageReport } from "./UsageReport.js";
 
-/** The recorded reports of the last windows. Calls reject as the store does. */
+/** The recorded reports of the most recent windows. Calls reject with the errors of the store. */
 export interface ReportLedger {
-    /** Those known here, in the order of their windows. Undefined until they were read. */
+    /** The reports known to this process, in the order of their windows. Undefined until they were read. */
     reports(): readonly RecordedReport[] | undefined;
-    /** Reads what stands in the store. */
+    /** Reads the ledger from the store. */
     load(): Promise<void>;
-    /** Adds a report; if the window stands there already, with whatever counts, nothing changes. */
+    /** Adds a report; changes nothing if the window is already recorded, with whatever counts. */
     record(report: UsageReport): Promise<void>;
-    /** Notes that a report was accepted or given up; it is written with the next one that is recorded. */
+    /** Marks a report as accepted or abandoned; written with the next report that is recorded. */
     markSettled(window: number): void;
 }
--- a/packages/runner/src/usage/UsageReport.ts
+++ b/packages/runner/src/usage/UsageReport.ts
@@ -1,6 +1,6 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 
-/** How many requests of each team began to run in a window. */
+/** Number of requests of each team that started to run within a window. */
 export interface UsageReport {
     window: number;
     counts: Record<TeamId, number>;
--- a/packages/runner/src/usage/UsageReportOutcome.ts
+++ b/packages/runner/src/usage/UsageReportOutcome.ts
@@ -1,5 +1,5 @@
 /**
- * What became of a report: `unknown` may have arrived; `busy` has not and may be sent again; `refused` never will be
- * taken.
+ * Outcome of sending a report: with `unknown` it may have arrived; with `busy` it has not and may be sent again; with
+ * `refused` it will never be accepted.
  */
 export type UsageReportOutcome = "accepted" | "busy" | "unknown" | "refused";
--- a/packages/runner/src/usage/createReportLedger.ts
+++ b/packages/runner/src/usage/createReportLedger.ts
@@ -8,7 +8,7 @@
 
 const key = "usage-reports/ledger";
 const absent = 0 as ObjectVersion;
-/** Far more windows than may still be sent. */
+/** Far more than the windows that may still be sent. */
 const maxReports = 12;
 
 const ledgerSchema = z.object({
@@ -20,8 +20,9 @@
 });
 
 /**
- * Makes the ledger of one holder of the duty. It is one object, replaced under its version: what another holder has
- * recorded meanwhile is read before anything is added, so that the counts of a window never change.
+ * Creates the ledger of one holder of the duty. It is a single object that is replaced under its version: what
+ * another holder has recorded in the meantime is read before anything is added, so that the counts of a window never
+ * change.
  */
 export function createReportLedger(store: Pick<ObjectStore, "read" | "write">): ReportLedger {
     const settled = new Set<number>();
@@ -53,7 +54,7 @@
                 .sort((a, b) => a.window - b.window)
                 .slice(-maxReports);
             const before = version;
-            // Until the answer it is not known what stands there.
+            // Until the answer arrives the stored state is unknown.
             known = undefined;
             const outcome = await store.write(key, { reports: next }, before);
             if (outcome.kind === "written") {
--- a/packages/runner/src/usage/createUsageDuty.ts
+++ b/packages/runner/src/usage/createUsageDuty.ts
@@ -27,24 +27,24 @@
     metrics: Metrics;
 }
 
-/** Pause after a failure, doubled with each further one. */
+/** Pause after a failure, doubled with each further failure. */
 const firstPauseMs = 250;
 const maxPauseMs = 1_000;
 
 const sumOf = (counts: Iterable<number>): number => [...counts].reduce((sum, count) => sum + count, 0);
 
 /**
- * Reports the use of each window, for the holder of the duty. A report is recorded in the store before it is sent, so
- * that whoever sends it again, after a crash or a lost answer, sends the same.
+ * Reports the usage of each window on behalf of the duty's holder. A report is recorded in the store before it is
+ * sent, so that any process that sends it again after a crash or a lost answer sends the same counts.
  */
 export function createUsageDuty(deps: UsageDutyDeps, held: HeldDuties): Duty {
     const { times, clock, logger, metrics, trueTime } = deps;
     const ledger = createReportLedger(deps.store);
     const firstWindow = Math.floor(trueTime.nowMs() / times.windowMs);
     const abandoned = new Set<number>();
-    /** Windows whose reports were sent here, with whatever outcome. */
+    /** Windows whose reports this process has sent, with any outcome. */
     const attempted = new Set<number>();
-    /** What each window was recorded with here, to notice counts that come later. */
+    /** Total of each window as recorded by this process, to detect counts that arrive later. */
     const recordedTotals = new Map<number, number>();
     let isStopped = false;
     let isBusy = false;
@@ -58,7 +58,10 @@
         failures++;
     }
 
-    /** An earlier holder that recorded a report and never said so may well have sent it. */
+    /**
+     * Abandons a window. An earlier holder that recorded a report without marking it as settled may well have sent
+     * it.
+     */
     function abandon(window: number): void {
         const isOfEarlierHolder = !recordedTotals.has(window)
             && ledger.reports()?.some(report => report.window === window) === true;
@@ -96,7 +99,9 @@
         }
     }
 
-    /** Counts that come after a window was recorded are never sent: they are told to the operator instead. */
+    /**
+     * Counts that arrive after their window was recorded are never sent; they are reported to the operator instead.
+     */
     function reportLateCounts(): void {
         for (const [window, before] of recordedTotals) {
             const total = sumOf(deps.starts.countsOf(window).values());
--- a/packages/runner/src/usage/planReport.ts
+++ b/packages/runner/src/usage/planReport.ts
@@ -4,37 +4,40 @@
 
 interface ReportQuery {
     times: UsageTimes;
-    /** True time. */
+    /** Current true time. */
     nowMs: number;
     /** Recorded reports, in the order of their windows. */
     reports: readonly RecordedReport[];
-    /** The first window that this holder answers for where nothing is recorded. */
+    /** The first window that this holder is responsible for if nothing is recorded. */
     firstWindow: number;
-    /** Windows that were given up. */
+    /** Whether a window was abandoned. */
     isAbandoned: (window: number) => boolean;
-    /** All processes have counted what began before this moment. */
+    /** Whether all processes have counted the requests that started before this time. */
     isCountedUntil: (trueMs: number) => boolean;
 }
 
-/** What is to be done next about the reports. */
+/** The next action on the reports. */
 type ReportStep =
     | { kind: "wait"; }
     | { kind: "record"; window: number; }
     | { kind: "send"; report: RecordedReport; }
     | { kind: "giveUp"; window: number; };
 
-/** Counts may still come for this long after the end of a window, though all that is known of is counted. */
+/**
+ * Counts may still arrive within this time after the end of a window, even if all known processes have reported
+ * theirs.
+ */
 const settleMs = 400;
-/** Processes that do not tell are waited for until this long before a report is due. */
+/** Processes that do not report their counts are waited for until this long before a report is due. */
 const sendReserveMs = 4_000;
-/** Windows that ended this many times `dueMs` ago are neither sent nor told as given up. */
+/** Windows that ended more than this multiple of `dueMs` ago are neither sent nor reported as abandoned. */
 const maxAgeInDueTimes = 3;
-/** A report sent later would not arrive in time. */
+/** A report sent later than this before its due time would arrive too late. */
 const sendSlackMs = 200;
 
 /**
- * Chooses the next step, the most urgent window first. A window is recorded once it is counted everywhere, or while
- * there is still time to send it through some failures; what is recorded is sent until it is due.
+ * Chooses the next action, the most urgent window first. A window is recorded once it is counted by all processes, or
+ * while enough time is left to send it despite some failures. A recorded report is sent until it is due.
  */
 export function planReport(query: ReportQuery): ReportStep {
     const { times: { windowMs, dueMs }, nowMs, reports } = query;
--- a/packages/runner/src/usage/usageProtocol.test.ts
+++ b/packages/runner/src/usage/usageProtocol.test.ts
@@ -4,12 +4,12 @@
 const leaseMs = 3_000;
 const lengthMs = 20_000;
 const faults = 8;
-/** Runs of each test; more by hand. */
+/** Runs of each test; `USAGE_RUNS` sets another number. */
 const runs = Number(process.env["USAGE_RUNS"] ?? 250);
 
 type Calls = Awaited<ReturnType<typeof simulateUsageReports>>["calls"];
 
-/** Windows that were accepted with different counts. */
+/** Windows whose accepted reports have different counts. */
 function differing(calls: Calls): string[] {
     const counts = new Map<number, string>();
     return calls.filter(call => call.isAccepted).flatMap(call => {
@@ -19,7 +19,7 @@
     });
 }
 
-/** Calls with a lower number than one before, or with a number of another holder. */
+/** Calls with a lower fencing number than an earlier call, or with the number of another holder. */
 function outOfOrder(calls: Calls): string[] {
     const holders = new Map<number, string>();
     let highest = 0;
@@ -34,7 +34,7 @@
     });
 }
 
-/** Holders that took turns within the time that belongs to one. */
+/** Holders that alternate within the duration of one lease. */
 function alternations(calls: Calls): string[] {
     const judged = calls.filter(call => !call.isAfterPause);
     return judged.flatMap((call, index) => {
@@ -62,7 +62,7 @@
 const seedsFrom = (first: number, count: number): number[] =>
     Array.from({ length: count }, (_, index) => first + index);
 
-test("each window is reported in time while nothing fails", async () => {
+test("each window is reported in time if nothing fails", async () => {
     const { calls, dueWindows } = await simulateUsageReports({
         seed: 1,
         faults: 0,
@@ -74,8 +74,8 @@
     expect(new Set(calls.map(call => call.holder)).size).toBe(1);
 });
 
-test("whatever fails, no window gets two different reports, and holders never take turns", async () => {
-    // Guards against: a team is charged twice, or by a process that has been replaced.
+test("no window gets two different reports and holders never alternate, whatever fails", async () => {
+    // Guards against a team being charged twice, or by a process that has been replaced.
     const judge = (calls: Calls): string[] => [
         ...differing(calls),
         ...outOfOrder(calls),
@@ -84,7 +84,7 @@
     expect(await simulateAll(seedsFrom(1_000, runs), false, judge)).toEqual([]);
 });
 
-test("runners that all believe to hold the duty send no two different reports of a window", async () => {
-    // Guards against: a lease that is believed for too long changes what teams are charged.
+test("runners that all assume to hold the duty send identical reports of each window", async () => {
+    // Guards against a lease that is assumed valid for too long changing what teams are charged.
     expect(await simulateAll(seedsFrom(9_000, runs), true, differing)).toEqual([]);
 });
--- a/packages/runner/src/weights/DueLoad.ts
+++ b/packages/runner/src/weights/DueLoad.ts
@@ -7,6 +7,6 @@
     sampler: KnownSampler;
     policy: PolicyId;
     version: WeightVersion;
-    /** One of `loadUrgency`. */
+    /** A value of `loadUrgency`. */
     urgency: number;
 }
--- a/packages/runner/src/weights/EngineOrders.ts
+++ b/packages/runner/src/weights/EngineOrders.ts
@@ -9,15 +9,15 @@
 interface LoadOrder {
     policy: PolicyId;
     version: WeightVersion;
-    /** Runs go on under the new weights, or end first. */
+    /** Whether runs continue with the new weights or finish first. */
     runs: "preserved" | "finishedFirst";
     holder: string;
     fencing: FencingNumber;
-    /** The order is void if the sampler has accepted another one meanwhile, even if it is carried out late. */
+    /** The order is void if the sampler has accepted another one in the meantime, even if this one arrives late. */
     expectedOrders: number;
 }
 
-/** The orders that samplers take, and what they say of themselves. */
+/** The orders that samplers accept, and their reports of their engines. */
 export interface EngineOrders {
     /** Undefined if the sampler does not answer. */
     readStatus(sampler: KnownSampler): Promise<EngineStatus | undefined>;
--- a/packages/runner/src/weights/EngineStatus.ts
+++ b/packages/runner/src/weights/EngineStatus.ts
@@ -1,13 +1,15 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** What a sampler says of its engine, as of some hundred milliseconds ago. */
+/** A sampler's report of its engine, some hundred milliseconds old. */
 export interface EngineStatus {
     served: { policy: PolicyId; version: WeightVersion; }[];
-    /** An order is being carried out. */
+    /** Whether an order is in progress. */
     isBusy: boolean;
-    /** Orders accepted since its start; an order may name the count it expects. */
+    /** Number of orders accepted since its start; an order may state the number it expects. */
     orders: number;
-    /** Wall time of the start that this is about; undefined where the sampler does not say. */
+    /**
+     * Wall-clock time of the sampler start that this report refers to; undefined if the sampler does not report it.
+     */
     bornAtMs: number | undefined;
 }
--- a/packages/runner/src/weights/LoadSchedulerDeps.ts
+++ b/packages/runner/src/weights/LoadSchedulerDeps.ts
@@ -9,21 +9,21 @@
 import type { EngineOrders } from "./EngineOrders.js";
 import type { NamedVersion } from "./NamedVersion.js";
 
-/** What a load roller is built from. */
+/** Dependencies of the load scheduler. */
 export interface LoadSchedulerDeps {
-    /** Name under which orders are given. */
+    /** Name of this runner as the sender of orders. */
     self: string;
     fencing: FencingNumber;
     /** Checked before each order. */
     mayOrder: () => boolean;
-    /** Watches the named versions; only the holder of the duty does. */
+    /** Watches the named versions; only the holder of the duty does so. */
     watchVersions: () => WatchedKind<NamedVersion>;
-    /** Jobs, ended ones included. */
+    /** All batch jobs, including ended ones. */
     entries: WatchedKind<BatchJobEntry>;
     routing: RoutingView;
     directory: SamplerDirectory;
     orders: EngineOrders;
-    /** Samplers that load at once; by default `loadsAtOnce`. */
+    /** Maximum number of samplers that load at the same time; `maxConcurrentLoads` by default. */
     maxLoading?: number;
     clock: Clock;
     logger: Logger;
--- a/packages/runner/src/weights/OrderOutcome.ts
+++ b/packages/runner/src/weights/OrderOutcome.ts
@@ -1,2 +1,2 @@
-/** A sampler's answer to an order. `unknown` may have been accepted, or may be carried out later. */
+/** A sampler's answer to an order. After `unknown` the order may have been accepted, or may be carried out later. */
 export type OrderOutcome = "accepted" | "alreadyHolds" | "busyOrMoved" | "fenced" | "refused" | "unknown";
--- a/packages/runner/src/weights/PolicyNeed.ts
+++ b/packages/runner/src/weights/PolicyNeed.ts
@@ -1,17 +1,17 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** What is known of a policy when loads are planned. */
+/** State of a policy as input to the planning of loads. */
 export interface PolicyNeed {
     policy: PolicyId;
-    /** Newest version named; undefined before the first one. */
+    /** Newest named version; undefined before the first one. */
     target: WeightVersion | undefined;
     /** Time since that version was named. */
     namedMs: number;
-    /** No job of the policy is open. */
+    /** No batch job of the policy is open. */
     isQuiet: boolean;
-    /** Output tokens of one of its jobs; undefined until one that says is known. */
+    /** Expected output tokens of one of its batch jobs; undefined until a batch job that states them is known. */
     jobTokens: number | undefined;
-    /** Items of one of its jobs; undefined until one is known. */
+    /** Number of items of one of its batch jobs; undefined until one is known. */
     jobItems: number | undefined;
 }
--- a/packages/runner/src/weights/averageOfLatest.ts
+++ b/packages/runner/src/weights/averageOfLatest.ts
@@ -1,10 +1,10 @@
 import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 
-/** Jobs that a policy is judged by; one alone differs from the next by a quarter. */
+/** Number of batch jobs to average over; a single one differs from the next by about a quarter. */
 const averagedJobs = 4;
 
-/** Average of a value over a policy's latest jobs that tell it; undefined while none does. */
+/** Average of a value over a policy's latest batch jobs that state it; undefined if there are none. */
 export function averageOfLatest(
     entries: readonly BatchJobEntry[],
     policy: PolicyId,
--- a/packages/runner/src/weights/createLoadScheduler.test.ts
+++ b/packages/runner/src/weights/createLoadScheduler.test.ts
@@ -29,7 +29,7 @@
     };
 }
 
-/** Samplers that carry an order out after 900 ms, unless a script says otherwise. */
+/** Creates samplers that complete an order after 900 ms, unless a script states another outcome. */
 function createFixture(names: string[], script: Record<string, OrderOutcome[]> = {}) {
     const clock = createFakeClock();
     const versions = new Map(names.map(nameVersion => [nameVersion, 1]));
@@ -98,8 +98,8 @@
     return { state, sent, versions, name, tick, stop: scheduler.stop };
 }
 
-test("an order counts by what the start of the sampler says that it is meant for", async () => {
-    // Guards against: a load was never made, or never ordered.
+test("no order is sent while the reported order count belongs to another start of the sampler", async () => {
+    // Guards against a load that is never performed or never ordered.
     const { name, sent, state, tick, stop } = createFixture(["a"]);
     state.reportedBornAtMs = 2_000;
     name(2);
@@ -111,8 +111,9 @@
     stop();
 });
 
-test("half of a policy's samplers get each version named, so that each serves two steps, two at a time", async () => {
-    // A step takes the version before the newest named one too. All four for each version were eight orders.
+test("half of a policy's samplers load each named version, so that each serves two steps, two loads at a time", async () => {
+    // A step also accepts the version before the newest named one. Loading all four samplers for each version would
+    // take 16 orders instead of 8.
     const { state, sent, versions, name, tick, stop } = createFixture(["a", "b", "c", "d"]);
     const seen: string[] = [];
     for (const version of [2, 3, 4, 5]) {
@@ -129,8 +130,8 @@
     stop();
 });
 
-test("an order of which nothing shows is given again with the same count, so that the first one is void", async () => {
-    // Guards against: a sampler went back to older weights.
+test("an order without visible effect is repeated with the same expected count, which makes the first one void", async () => {
+    // Guards against a sampler reverting to older weights.
     const { sent, versions, name, tick, stop } = createFixture(["a"], { a: ["unknown"] });
     name(2);
     await tick(6_000);
@@ -139,7 +140,7 @@
     stop();
 });
 
-test("nothing is ordered while the lease does not allow it", async () => {
+test("no order is sent while the lease does not allow it", async () => {
     const { state, sent, name, tick, stop } = createFixture(["a"]);
     state.mayOrder = false;
     name(2);
@@ -151,7 +152,7 @@
     stop();
 });
 
-test("a sampler that is busy or has moved on is asked for its count again", async () => {
+test("a sampler that is busy or has accepted another order is queried for its order count again", async () => {
     const { sent, versions, name, tick, stop } = createFixture(["a"], { a: ["busyOrMoved"] });
     name(2);
     await tick(4_000);
--- a/packages/runner/src/weights/createLoadScheduler.ts
+++ b/packages/runner/src/weights/createLoadScheduler.ts
@@ -14,20 +14,21 @@
 import { versionOf } from "./versionOf.js";
 
 interface LoadScheduler {
-    /** Plans and orders what is due now. */
+    /** Plans the due loads and orders them. */
     round(): void;
     stop(): void;
 }
 
-/** A load shows in the sampler's entry once it is done; how often that is looked for. */
+/** Polling interval for a completed load, which becomes visible in the sampler's entry. */
 const pollIntervalMs = 50;
-/** An order of which nothing shows after this time is given again; the first one is void by its expected count. */
+/** An order without visible effect after this time is repeated; its expected count makes the first one void. */
 const loadTimeoutMs = 2_500;
 const failurePauseMs = 300;
 
 /**
- * A sampler that started again under its name counts its orders anew. With the count of its other start an order would
- * be refused as long as the two differ, or, where they are equal, be void for a load that was never made.
+ * A sampler that restarted under its name counts its orders from zero. With the count of its other start an order
+ * would be refused as long as the two counts differ, or, where they are equal, be void for a load that was never
+ * made.
  */
 const isOfDifferentStart = (status: EngineStatus, sampler: KnownSampler): boolean =>
     status.bornAtMs !== undefined && sampler.bornAtMs !== undefined && status.bornAtMs !== sampler.bornAtMs;
@@ -40,7 +41,7 @@
     jobItems: jobItemsOf(jobs, policy),
 });
 
-/** Orders samplers to load the versions that trainers name, for the holder of the duty. */
+/** Orders samplers to load the versions that trainers name, on behalf of the duty's holder. */
 export function createLoadScheduler(deps: LoadSchedulerDeps): LoadScheduler {
     const { clock, logger, metrics, directory, orders } = deps;
     const versions = deps.watchVersions();
@@ -48,7 +49,7 @@
     const blocked = new Map<IncarnationId, PolicyId>();
     const assigned = new Map<PolicyId, Set<IncarnationId>>();
     const namedAt = new Map<PolicyId, { version: WeightVersion; atMs: number; }>();
-    /** Orders that each sampler has accepted, as far as is known. */
+    /** Number of orders that each sampler has accepted, as far as known. */
     const accepted = new Map<IncarnationId, number>();
     let loading = 0;
 
@@ -83,7 +84,7 @@
         return status.orders;
     }
 
-    /** Without a clear answer the count is asked for again before the next order. */
+    /** After an unclear answer the count is queried again before the next order. */
     function recordOutcome(sampler: KnownSampler, expectedOrders: number, outcome: OrderOutcome): void {
         if (outcome === "accepted") {
             accepted.set(sampler.incarnation, expectedOrders + 1);
--- a/packages/runner/src/weights/listDueLoads.ts
+++ b/packages/runner/src/weights/listDueLoads.ts
@@ -6,25 +6,29 @@
 import type { PolicyNeed } from "./PolicyNeed.js";
 import { versionOf } from "./versionOf.js";
 
-/** What is due for one policy. */
+/** Loads that are due for one policy. */
 interface PolicyDue {
-    /** The most urgent first. */
+    /** Most urgent first. */
     loads: DueLoad[];
-    /** Samplers that serve the policy's next step, or will within a second. */
+    /** Number of samplers that can serve the policy's next step, now or within a second. */
     usable: number;
-    /** Loads that are to be made beside those of useless samplers, so that half have the newest version. */
+    /**
+     * Number of loads needed in addition to those of unusable samplers, so that half of the samplers have the newest
+     * version.
+     */
     missing: number;
 }
 
-/** A step may be made of the version before the newest named one, and of no older. */
+/** A step may use the version before the newest named one, but no older one. */
 const maxUsableLag = 1;
 /**
- * A version that nobody waits for is loaded between two jobs, or once most items of the open one have begun. Later
- * would leave the next step without samplers whenever the holder of the duty dies in between.
+ * A version that no step is waiting for is loaded between two batch jobs, or after this time, when most items of the
+ * open one have started. A later load would leave the next step without samplers if the holder of the duty crashes in
+ * between.
  */
 const maxLoadDelayMs = 1_200;
 
-/** Of a load that only keeps half of the samplers at the newest version. */
+/** Urgency of a load that only keeps half of the samplers at the newest version. */
 function urgencyOfEarlyLoad(need: PolicyNeed): number {
     if (need.isQuiet) {
         return loadUrgency.quiet;
@@ -33,10 +37,10 @@
 }
 
 /**
- * Lists the loads of one policy over its own samplers. A step takes the version before the newest named one too, so a
- * sampler serves two steps by one load: those that the newest naming has made useless are loaded at once, about half,
- * while the other half serves. All for each version would be more loads than can be made, and steps would begin with the
- * few samplers that are done.
+ * Lists the loads of one policy over its own samplers. A step also accepts the version before the newest named one,
+ * so a sampler serves two steps with one load: the samplers made unusable by the newest version, about half, are
+ * loaded at once while the other half serves. Loading all of them for each version would be more loads than can be
+ * performed, and steps would start with only the few samplers that are done.
  */
 export function listDueLoads(
     need: PolicyNeed,
--- a/packages/runner/src/weights/loadUrgency.ts
+++ b/packages/runner/src/weights/loadUrgency.ts
@@ -1,10 +1,10 @@
-/** How urgent a load is, the highest first. */
+/** Urgency of a load; higher values come first. */
 export const loadUrgency = {
-    /** The sampler is of no use to the policy until it is loaded. */
+    /** The policy cannot use the sampler until it is loaded. */
     unusable: 3,
-    /** Nobody is held up by it: no job of the policy is open. */
+    /** The load delays nobody: no batch job of the policy is open. */
     quiet: 2,
-    /** A job is open, and the version was named long ago: a part of the samplers at a time. */
+    /** A batch job is open, but the version was named long ago: loaded on some of the samplers at a time. */
     overdue: 1,
     notNow: 0,
 };
--- a/packages/runner/src/weights/maxConcurrentLoads.test.ts
+++ b/packages/runner/src/weights/maxConcurrentLoads.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { maxConcurrentLoads } from "./maxConcurrentLoads.js";
 
-test("the loads at once keep within what the samplers' weight source takes, at each known size", () => {
-    // Guards against: on a fleet of 33 samplers steps stood still for samplers of their version.
+test("concurrent loads stay within the capacity of the weight source at each known fleet size", () => {
+    // Guards against steps waiting for samplers with their version, as on a fleet of 33 samplers.
     expect([1, 6, 27, 33].map(maxConcurrentLoads)).toEqual([2, 2, 7, 8]);
 });
--- a/packages/runner/src/weights/planLoads.test.ts
+++ b/packages/runner/src/weights/planLoads.test.ts
@@ -43,7 +43,7 @@
         });
 }
 
-test("policies that were all given the first sampler to register are spread once the others are there", () => {
+test("policies that were all assigned to the first registered sampler are spread once others register", () => {
     const assigned = new Map<PolicyId, Set<IncarnationId>>();
     const plan = createPlan(assigned);
     plan({ samplers: six.slice(0, 1) });
@@ -57,19 +57,19 @@
     expect([...assigned.values()].map(own => own.size)).toEqual([3, 3, 3]);
 });
 
-test("a version that nobody waits for is loaded between two jobs, not while one is open", () => {
-    // Guards against: each step began with a second in which its samplers took nothing new.
+test("a version that no step waits for is loaded between two batch jobs, not while one is open", () => {
+    // Guards against each step starting with a second in which its samplers accept no runs.
     const plan = createPlan();
     expect(plan({ needs: needs(2, false) })).toEqual([]);
     expect(plan({ needs: needs(2, true) })).toHaveLength(6);
 });
 
-test("a job that stays open holds up a load only for so long, and then one sampler of its policy at a time", () => {
+test("a batch job that stays open delays a load for a limited time, after which samplers are loaded one per policy at a time", () => {
     const plan = createPlan();
     expect(plan({ needs: needs(2, false, 3_000) })).toHaveLength(3);
 });
 
-test("a sampler too old for the next step is loaded at once, and first", () => {
+test("a sampler too old for the next step is loaded immediately and first", () => {
     const plan = createPlan();
     const old = six.map(each => sampler(each.incarnation, [1, 3, 3]));
     const mixed = [
@@ -102,7 +102,7 @@
     expect(loads.map(load => load.policy)).toEqual(["plume", "plume", "plume", "ridge"]);
 });
 
-test("samplers that load count towards the bound, and none gets a second order", () => {
+test("samplers that are loading count towards the limit, and none gets a second order", () => {
     const plan = createPlan();
     const first = plan({ maxLoading: 2 });
     const blocked = new Map(first.map(load => [load.sampler.incarnation, load.policy]));
@@ -112,15 +112,15 @@
     expect(shown(first)).not.toContain(shown(next)[0]);
 });
 
-test("of policies that are equally behind the one with the fewest usable samplers is loaded first", () => {
-    // Guards against: a step waited 4.5 s for its first sampler.
+test("among policies that are equally behind, the one with the fewest usable samplers is loaded first", () => {
+    // Guards against a step waiting 4.5 s for its first sampler.
     const plan = createPlan();
     const old = six.map(each => sampler(each.incarnation, [1, 1, 3]));
     const loads = plan({ samplers: old, needs: needs(4, false), maxLoading: 4 });
     expect(loads.map(load => load.policy)).toEqual(["plume", "ridge", "plume", "ridge"]);
 });
 
-test("a sampler that serves the next step too is left alone once half of them have the newest version", () => {
+test("a sampler that can serve the next step is left alone once half of them have the newest version", () => {
     const plan = createPlan();
     const half = six.map((each, index) => sampler(each.incarnation, index < 3 ? [4, 4, 4] : [3, 3, 3]));
     const alone = half.map(each => ({ ...each, served: each.served.slice(0, 1) }));
@@ -129,7 +129,7 @@
     expect(next.map(load => load.sampler.incarnation as string).sort()).toEqual(["d", "e", "f"]);
 });
 
-test("a new holder of the duty goes on with the samplers that serve the newest versions", () => {
+test("a new holder of the duty continues with the samplers that serve the newest versions", () => {
     const serving = [
         sampler("a", [1, 4, 1]),
         sampler("b", [5, 1, 1]),
@@ -147,7 +147,7 @@
     expect(ownOf(2)).toEqual(expect.arrayContaining(["c", "f"]));
 });
 
-test("an open job's samplers are loaded in three rounds, so that the next step finds them", () => {
+test("the samplers of an open batch job are loaded in three rounds, so that the next step can use them", () => {
     const many = Array.from({ length: 33 }, (_, index) => sampler(`s${index}`));
     const plan = createPlan();
     const perPolicy = (over: Parameters<typeof plan>[0]): number[] => {
--- a/packages/runner/src/weights/planLoads.ts
+++ b/packages/runner/src/weights/planLoads.ts
@@ -13,26 +13,26 @@
 interface PlanLoadsInput {
     samplers: KnownSampler[];
     needs: PolicyNeed[];
-    /** Samplers with an order under way, by policy, or in a pause after a failure. */
+    /** Samplers with an order in progress, or paused after a failure, with the policy of the order. */
     blocked: ReadonlyMap<IncarnationId, PolicyId>;
     loading: number;
     maxLoading: number;
-    /** Samplers that were given to each policy before; kept where possible, since each change costs a load. */
+    /** Samplers assigned to each policy so far; retained where possible, since each change costs a load. */
     assigned: Map<PolicyId, Set<IncarnationId>>;
 }
 
 /**
- * All samplers of a policy are loaded in this many rounds while its job is open, which ends before the trainer asks for
- * its next step. One sampler at a time would leave most of them too old for it.
+ * All samplers of a policy are loaded in this many rounds while its batch job is open, which completes before the
+ * trainer requests its next step. Loading one sampler at a time would leave most of them too old for that step.
  */
 const loadRounds = 3;
 
-/** Every sampler starts with it, so it says nothing about who serves the policy. */
+/** Every sampler starts with this version, so it does not show which samplers were assigned to a policy. */
 const firstVersion = 1;
 
 /**
- * Where an earlier holder of the duty had loaded the policy, newest version first. A new holder that chose anew would
- * leave the samplers that serve the next step and load others.
+ * Lists the samplers on which an earlier holder of the duty loaded the policy, newest version first. A new holder
+ * that chose samplers independently would abandon those that can serve the next step and load others.
  */
 function listServing(samplers: KnownSampler[], policy: PolicyId): IncarnationId[] {
     return samplers
@@ -41,7 +41,7 @@
         .map(sampler => sampler.incarnation);
 }
 
-/** Samplers of each policy. */
+/** Number of samplers of each policy. */
 function sharesOf({ samplers, needs }: PlanLoadsInput): Map<PolicyId, number> {
     const shares = widenShares(shareSamplers(samplers.length, needs.map(need => need.jobTokens)), {
         samplers: samplers.length,
@@ -51,7 +51,7 @@
     return new Map(needs.map(({ policy }, at) => [policy, shares[at]!]));
 }
 
-/** Gives each policy its number of samplers, and each sampler about as many policies as any other. */
+/** Assigns each policy its number of samplers, with about the same number of policies per sampler. */
 function assign(input: PlanLoadsInput, shares: ReadonlyMap<PolicyId, number>): void {
     const { samplers, needs, assigned } = input;
     const totalShares = [...shares.values()].reduce((sum, share) => sum + share, 0);
@@ -83,10 +83,10 @@
     samplers.filter(({ incarnation }) => assigned.get(policy)!.has(incarnation));
 
 /**
- * Loads to order now. Each policy keeps to its share of the samplers: a load throws the sampler's cache away and keeps
- * it from starting runs for a second, so loading every policy everywhere costs more than it serves. Of loads that are
- * equally urgent the policy with the fewest usable samplers comes first: else one
- * policy would get all of its samplers before the other, whose step waits, has its first.
+ * Chooses the loads to order now. Each policy keeps to its share of the samplers: a load discards the sampler's cache
+ * and prevents it from starting runs for a second, so loading every policy on every sampler costs more than it gains.
+ * Among equally urgent loads, the policy with the fewest usable samplers comes first: otherwise one policy would get
+ * all of its samplers before another, whose step is waiting, gets its first.
  */
 export function planLoads(input: PlanLoadsInput): DueLoad[] {
     const shares = sharesOf(input);
--- a/packages/runner/src/weights/shareSamplers.load.test.ts
+++ b/packages/runner/src/weights/shareSamplers.load.test.ts
@@ -10,7 +10,7 @@
 const trainMs = 1_000;
 const neededRatio = 0.9;
 const steps = 12;
-/** All samplers stand still once, as in a loss of power. */
+/** All samplers stop once, as in a power loss. */
 const stopAtMs = 14_000;
 const stopMs = 3_000;
 
@@ -22,7 +22,7 @@
 const heavy: Trainer = { items: 144, meanEvents: 22 };
 const light: Trainer = { items: 80, meanEvents: 12 };
 
-/** Milliseconds from the asking to the end of each step, and how late the last one was asked. */
+/** Simulates a trainer; returns how late its last step was requested and how many steps ended in time. */
 function simulateTrainer({ items, meanEvents }: Trainer, slots: number) {
     const random = createRandom(items);
     const freeAtMs = Array.from({ length: slots }, () => 0);
@@ -49,7 +49,7 @@
     return { lateMs: Math.round(lateMs), inTime: tookMs.filter(ms => ms <= dueMs).length };
 }
 
-/** Policies that share a sampler share its places. */
+/** Policies that share a sampler share its slots. */
 function simulateShares(shares: number[]) {
     const totalShares = shares.reduce((sum, share) => sum + share, 0);
     const slotsOf = (share: number): number => Math.floor(samplers * slotsPerSampler * share / totalShares);
@@ -59,7 +59,7 @@
     };
 }
 
-test("a trainer with three times the work gets its steps in time, and the other loses none", () => {
+test("a trainer with three times the work gets its steps in time, and the other trainer loses none", () => {
     const work = [heavy, light].map(({ items, meanEvents }) => items * meanEvents);
     expect({
         before: simulateShares(shareSamplers(samplers, [undefined, undefined])),
--- a/packages/runner/src/weights/shareSamplers.test.ts
+++ b/packages/runner/src/weights/shareSamplers.test.ts
@@ -14,7 +14,7 @@
     isEnded: false,
 });
 
-test("a trainer with larger steps gets more samplers, and each gets half of an equal share and two at least", () => {
+test("a trainer with larger steps gets more samplers, and each gets at least half an equal share and two samplers", () => {
     expect({
         alike: shareSamplers(6, [500, 500, 500]),
         threeTimes: shareSamplers(8, [2_112, 768]),
@@ -64,7 +64,7 @@
     `);
 });
 
-test("a policy's work is that of its latest jobs", () => {
+test("a policy's work is the average of its latest batch jobs", () => {
     const entries = [entry(1, 9_000), entry(5, 100), entry(3, 300), entry(4, 200), entry(2, 400)];
     const others = [entry(6, 7_000, "ridge" as PolicyId), entry(7, undefined)];
     expect(jobTokensOf([...entries, ...others], plume)).toBe(250);
--- a/packages/runner/src/weights/shareSamplers.ts
+++ b/packages/runner/src/weights/shareSamplers.ts
@@ -1,16 +1,16 @@
 /**
- * Samplers of a policy beyond its part. Runs of several policies share a sampler's places, and a step's items start at
- * once more often; each further sampler costs a load for every second version.
+ * Samplers of a policy beyond its share of the work. Runs of several policies share a sampler's slots, and with one
+ * more sampler more items of a step start immediately; each further sampler costs a load for every second version.
  */
 const extraSamplers = 1;
-/** No policy gets less than this part of an equal share, since its steps have long items too. */
+/** No policy gets less than this ratio of an equal share, since each one's steps have long items too. */
 const minEqualShareRatio = 0.5;
-/** Nor fewer: one may be lost or load weights while the other serves. */
+/** Minimum number of samplers of a policy: one may fail or load weights while the other serves. */
 const minSamplers = 2;
 
 /**
- * How many samplers each policy gets, in proportion to the work of its jobs. A trainer whose steps are larger falls
- * behind on an equal share, and never catches up, while the other's samplers are idle.
+ * Number of samplers of each policy, in proportion to the work of its batch jobs. With an equal share, a trainer with
+ * larger steps falls behind and never catches up, while the samplers of others are idle.
  */
 export function shareSamplers(samplers: number, jobTokens: readonly (number | undefined)[]): number[] {
     const equalShare = samplers / Math.max(1, jobTokens.length);
--- a/packages/runner/src/weights/widenShares.test.ts
+++ b/packages/runner/src/weights/widenShares.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from "vitest";
 import { widenShares } from "./widenShares.js";
 
-test("a policy whose step has more items than its samplers have places gets more, within what can be loaded", () => {
+test("a policy whose step has more items than its samplers have slots gets more, within the limit of loads", () => {
     const capacity = { samplers: 29, slotsPerSampler: 8 };
     expect({
         fits: widenShares([12, 12, 8], { ...capacity, jobItems: [90, 60, 40] }),
@@ -40,7 +40,7 @@
     `);
 });
 
-test("no share shrinks, none is more than there are samplers, and all together stay within what can be loaded", () => {
+test("no share shrinks or exceeds the number of samplers, and all shares together stay within the limit of loads", () => {
     const shares = fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 1, maxLength: 5 });
     fc.assert(
         fc.property(
--- a/packages/runner/src/weights/widenShares.ts
+++ b/packages/runner/src/weights/widenShares.ts
@@ -1,21 +1,21 @@
 /**
- * Shares of all policies together, in samplers: half of them serve a second policy. Each further one is a load for
- * every second version, and only some samplers may load at once.
+ * Maximum sum of all shares per sampler: half of the samplers serve a second policy. Each further share costs a load
+ * for every second version, and only some samplers may load at the same time.
  */
 const maxSharesPerSampler = 1.5;
 
 interface WidenQuery {
     samplers: number;
-    /** Requests that one sampler processes at once. */
+    /** Number of requests that one sampler processes concurrently. */
     slotsPerSampler: number;
-    /** Items of one job of each policy; undefined where no job is known. */
+    /** Number of items of one batch job of each policy; undefined if no batch job is known. */
     jobItems: readonly (number | undefined)[];
 }
 
 /**
- * Widens shares for steps whose items come all at once. A share in proportion to the work keeps up over time, but the
- * items of a step beyond its places wait while the places of other policies' samplers are free; and a step ends with its
- * longest items, which are slower beside more others.
+ * Widens shares for steps whose items arrive all at once. A share in proportion to the work keeps up over time, but
+ * the items of a step beyond its slots wait while slots of other policies' samplers are free. A step also ends with
+ * its longest items, which run slower beside more others.
  */
 export function widenShares(
     shares: readonly number[],
