--- a/packages/sidecar/src/AdaptiveLimit.ts
+++ b/packages/sidecar/src/AdaptiveLimit.ts
@@ -1,8 +1,8 @@
-/** Concurrency limit that follows how fast the backend server answers. */
+/** Concurrency limit that adapts to the speed of the backend server. */
 export interface AdaptiveLimit {
     current(): number;
-    /** Tells of one finished piece of work and how many ran beside it, itself included. */
+    /** Records the time per unit of one finished request, and how many requests ran at once, itself included. */
     observe(unitMs: number, running: number): void;
-    /** Takes over a newly described engine. */
+    /** Starts over for a newly described engine. */
     reset(limit: number, baselineMs: number): void;
 }
--- a/packages/sidecar/src/AttemptStanding.ts
+++ b/packages/sidecar/src/AttemptStanding.ts
@@ -1,2 +1,2 @@
-/** What an attempt table knows of an attempt id; undefined where it knows nothing. */
+/** State of an attempt id in an attempt table; undefined if the table does not know the id. */
 export type AttemptStanding = "running" | "finished" | "refused" | "tombstone" | undefined;
--- a/packages/sidecar/src/GenerationEnd.ts
+++ b/packages/sidecar/src/GenerationEnd.ts
@@ -2,8 +2,8 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 
 /**
- * How a generation at the engine ended. `lost` means that its result must not be used: the engine died, or the
- * version that made it cannot be named.
+ * How a generation at the engine ended. `lost` means that its result must not be used: the engine crashed, or the
+ * version that produced it is unknown.
  */
 export type GenerationEnd =
     | {
--- a/packages/sidecar/src/OrderOutcome.ts
+++ b/packages/sidecar/src/OrderOutcome.ts
@@ -1,6 +1,6 @@
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
-/** How an order ended, before the sidecar's report is added to it. */
+/** Outcome of an order, before the sidecar's report is added to it. */
 export type OrderOutcome =
     | { kind: "done"; }
     | { kind: "refused"; code: ResultCode; }
--- a/packages/sidecar/src/PlainHealth.ts
+++ b/packages/sidecar/src/PlainHealth.ts
@@ -1,12 +1,12 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 
-/** Health of a plain service, seen from what its calls come to. */
+/** Health of a plain service, derived from the outcomes of its calls. */
 export interface PlainHealth {
-    /** A connection broke before the answer. */
+    /** Records a connection that broke before the response. */
     recordBrokenConnection(digest: ContentDigest): void;
-    /** It takes no connections: what broke shortly before was in flight at its death. */
+    /** Records a refused connection: requests whose connections broke shortly before were in flight at the crash. */
     recordRefusedConnection(): void;
     recordAnswer(digest: ContentDigest): void;
-    /** True for a short time after it took no connection. */
+    /** True for a short time after a refused connection. */
     isDown(): boolean;
 }
--- a/packages/sidecar/src/QuarantineList.ts
+++ b/packages/sidecar/src/QuarantineList.ts
@@ -1,11 +1,11 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 
-/** The quarantine list as one process holds it. */
+/** The quarantine list as last received by one process. */
 export interface QuarantineList {
-    /** Takes the list if its version is higher; true if taken. */
+    /** Accepts a list if its version is higher; true if accepted. */
     offer(version: number, records: QuarantineRecord[]): boolean;
-    /** Different VMs whose death counts against the digest now. */
+    /** Number of different VMs whose crashes currently count against the digest. */
     crashedVmCount(digest: ContentDigest): number;
     version(): number;
 }
--- a/packages/sidecar/src/RunningGeneration.ts
+++ b/packages/sidecar/src/RunningGeneration.ts
@@ -1,16 +1,16 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 
-/** A generation at the engine, as events of the engine end it. */
+/** A generation running at the engine, with the events that can end it. */
 export interface RunningGeneration {
-    /** Engine incarnation it began on. */
+    /** Boot id of the engine incarnation on which it began. */
     bootId: string;
     policy: PolicyId;
     /** True while every chunk has named its version. */
     stamped: boolean;
-    /** The engine is gone: the result is lost. */
+    /** The engine incarnation has ended: the result must not be used. */
     onEngineCrash(): void;
-    /** Its version can no longer be named: the result must not be used. */
+    /** Its version is no longer known: the result must not be used. */
     onWeightsUnknown(): void;
-    /** Ends it and keeps what was made. */
+    /** Ends it and keeps the tokens generated so far. */
     cancel(): void;
 }
--- a/packages/sidecar/src/ServeSidecarOptions.ts
+++ b/packages/sidecar/src/ServeSidecarOptions.ts
@@ -2,26 +2,26 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { IncomingMessage, Server, ServerOptions } from "node:http";
 
-/** How a gate is served over HTTP; bounds have defaults. */
+/** Options for serving a sidecar over HTTP; limits have defaults. */
 export interface ServeSidecarOptions {
-    /** 0 lets the system choose. */
+    /** 0 lets the operating system choose. */
     port: number;
     host: string;
     clock: Clock;
     logger: Logger;
-    /** Text of `GET /metrics`; empty by default. */
+    /** Response to `GET /metrics`; empty by default. */
     renderMetrics?: () => Promise<string>;
-    /** SHA-256 in hex of the token that callers have to send; undefined lets everyone in. */
+    /** SHA-256 in hex of the token that callers must send; undefined accepts all callers. */
     clusterTokenDigest?: string;
-    /** Accepted beside it while a new token is rolled out. */
+    /** Digest of a token that is also accepted while a new one is rolled out. */
     previousClusterTokenDigest?: string;
-    /** Makes the server in place of Node's plain one, for TLS. */
+    /** Creates the server in place of Node's plain one, for TLS. */
     createServer?: (options: ServerOptions) => Server;
-    /** Whether the other end is a process of the system by its certificate; undefined where there are none. */
+    /** Whether the client is a process of the system according to its certificate; undefined without certificates. */
     isPeer?: (request: IncomingMessage) => boolean;
     maxBodyBytes?: number;
     maxConnections?: number;
-    /** A request has to arrive whole within this time. */
+    /** Time within which a request must arrive completely. */
     requestTimeoutMs?: number;
     headersTimeoutMs?: number;
 }
--- a/packages/sidecar/src/Sidecar.ts
+++ b/packages/sidecar/src/Sidecar.ts
@@ -3,18 +3,18 @@
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { VersionedManifest } from "@auburnarch/types/VersionedManifest";
 
-/** The sole way in to one sampler. */
+/** The sidecar of one sampler: the only access path to it. */
 export interface Sidecar extends SidecarPort {
-    /** The report that `readReport` would give now, synchronously. */
+    /** The report that `readReport` would return now, synchronously. */
     report(): SamplerReport;
-    /** Takes a manifest if its version is higher; true if taken. */
+    /** Accepts a manifest if its version is higher; true if accepted. */
     offerManifest(manifest: VersionedManifest): boolean;
-    /** Takes the quarantine list (version is that of the shared document). */
+    /** Accepts a quarantine list if its version, that of the shared document, is higher; true if accepted. */
     offerQuarantine(version: number, records: QuarantineRecord[]): boolean;
-    /** From now on new work is refused with code `leaving`; running work goes on. */
+    /** From now on refuses new work with code `leaving`; running work continues. */
     beginLeaving(): void;
-    /** Leaves, then resolves when all in flight is finished or `deadlineMs` has passed and the rest is cancelled. */
+    /** Begins leaving; resolves once all work in flight has finished, or has been cancelled after `deadlineMs`. */
     shutdown(deadlineMs: number): Promise<void>;
-    /** Stops at once, as a killed process would; for tests. */
+    /** Stops immediately, like a killed process; for tests. */
     kill(): void;
 }
--- a/packages/sidecar/src/SidecarContext.ts
+++ b/packages/sidecar/src/SidecarContext.ts
@@ -16,13 +16,13 @@
 import type { TrialReservation } from "./TrialReservation.js";
 import type { WorkAbort } from "./WorkAbort.js";
 
-/** What the parts of one gate share. */
+/** State and dependencies shared by the parts of one sidecar. */
 export interface SidecarContext {
     deps: SidecarDependencies;
     guards: SidecarGuards;
     incarnation: IncarnationId;
     flags: SidecarFlags;
-    /** Whether an entry has told this incarnation what is in force, or it has waited for that long enough. */
+    /** Whether this incarnation has received its configuration from an entry, or has waited for it long enough. */
     isInformed: () => boolean;
     limits: () => Pick<LimitsManifest, "maxQueuedPerTeam" | "interactiveWaitMs">;
     attempts: AttemptTable;
@@ -33,10 +33,10 @@
     slots: Slots;
     trialReservation: TrialReservation;
     usage: UsageCounters;
-    /** Undefined for a plain sampler. */
+    /** Undefined for the sampler of a plain service. */
     weights: ServedWeights | undefined;
     plainHealth: PlainHealth;
-    /** All work taken and not yet ended. */
+    /** All accepted work that has not ended. */
     inFlight: Set<WorkAbort>;
     /** Generations running at the engine. */
     generations: Set<RunningGeneration>;
--- a/packages/sidecar/src/SidecarDependencies.ts
+++ b/packages/sidecar/src/SidecarDependencies.ts
@@ -10,7 +10,7 @@
 import type { SamplerIdentity } from "@auburnarch/types/SamplerIdentity";
 import type { WeightStore } from "@auburnarch/types/WeightStore";
 
-/** What a gate is built from; a model sampler has an engine, a plain one a backend. */
+/** Dependencies of a sidecar; that of a model sampler has an engine, that of a plain service a backend. */
 export interface SidecarDependencies {
     identity: SamplerIdentity;
     clock: Clock;
@@ -21,8 +21,8 @@
     engine: EnginePort | undefined;
     backend: PlainBackend | undefined;
     weightStore: WeightStore;
-    /** Reads a job lease's present number from the object API; rejects while that is down. */
+    /** Reads the current fencing number of a job's lease from the object API; rejects while the API is down. */
     readFencing: (job: JobId) => Promise<FencingNumber>;
-    /** Takes no work until it has been told what is in force, for so long at most; at once by default. */
+    /** Longest time for which work is refused while no configuration has been received; 0 by default. */
     initialConfigWaitMs?: number;
 }
--- a/packages/sidecar/src/SidecarFlags.ts
+++ b/packages/sidecar/src/SidecarFlags.ts
@@ -1,6 +1,6 @@
-/** What a gate has been told; each only ever becomes true. */
+/** Flags of a sidecar; each only changes from false to true. */
 export interface SidecarFlags {
-    /** What is in force, by an entry. */
+    /** An entry has sent the active configuration. */
     informed: boolean;
     leaving: boolean;
     shuttingDown: boolean;
--- a/packages/sidecar/src/Slot.ts
+++ b/packages/sidecar/src/Slot.ts
@@ -1,8 +1,8 @@
-/** A place at the backend server. */
+/** One of the backend server's concurrent places, as granted to a request. */
 export interface Slot {
     waitedMs: number;
-    /** Others at work when it was granted. */
+    /** Number of other running requests when the slot was granted. */
     othersRunning: number;
-    /** Gives the place back; `engineMs` is charged to the team. Only the first call counts. */
+    /** Releases the slot; `engineMs` is charged to the team. Only the first call counts. */
     release(engineMs: number): void;
 }
--- a/packages/sidecar/src/SlotGrant.ts
+++ b/packages/sidecar/src/SlotGrant.ts
@@ -1,7 +1,7 @@
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 import type { Slot } from "./Slot.js";
 
-/** Answer to a slot request. */
+/** Result of a slot request. */
 export type SlotGrant =
     | { kind: "granted"; slot: Slot; }
     | { kind: "refused"; code: ResultCode; };
--- a/packages/sidecar/src/SlotRequest.ts
+++ b/packages/sidecar/src/SlotRequest.ts
@@ -1,19 +1,19 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { TeamId } from "@auburnarch/types/TeamId";
 
-/** What is asked of the slots. */
+/** A request for a slot. */
 export interface SlotRequest {
     team: TeamId;
     /** 0 to 100; 100 is interactive. */
     priority: number;
-    /** Engine time it is expected to take. */
+    /** Engine time that the work is expected to take. */
     costMs: number;
-    /** It may wait this long. */
+    /** Longest time that the request may wait. */
     budgetMs: number;
     /** Undefined for a plain service. */
     policy: PolicyId | undefined;
-    /** Cancels the running work to make room; undefined where that is not allowed. */
+    /** Cancels the running work to free its slot; undefined if it must not be cancelled. */
     preempt: (() => void) | undefined;
-    /** Withdraws it while it waits. */
+    /** Withdraws the request while it waits. */
     signal: AbortSignal;
 }
--- a/packages/sidecar/src/Slots.ts
+++ b/packages/sidecar/src/Slots.ts
@@ -3,24 +3,24 @@
 import type { SlotGrant } from "./SlotGrant.js";
 import type { SlotRequest } from "./SlotRequest.js";
 
-/** Places at the backend server, given out fairly under the concurrency limit. */
+/** Slots at the backend server, shared fairly between teams within the concurrency limit. */
 export interface Slots {
     acquire(request: SlotRequest): Promise<SlotGrant> | SlotGrant;
     running(): number;
     runningOf(policy: PolicyId): number;
     waiting(): number;
     waitingOf(team: string): number;
-    /** Starts nothing of the policy until `resume`. */
+    /** Starts no request of the policy until `resumePolicy`. */
     pausePolicy(policy: PolicyId): void;
     resumePolicy(policy: PolicyId): void;
-    /** Starts what may start now, after the limit was raised. */
+    /** Starts waiting requests that may start now, after the limit was raised. */
     startWaiting(): void;
-    /** Refuses what waits and `matches`, with `code`. */
+    /** Refuses the waiting requests for which `matches` returns true, with `code`. */
     refuseWaiting(matches: (request: SlotRequest) => boolean, code: ResultCode): void;
-    /** Calls `run` once nothing of the policy runs; the returned function withdraws that. */
+    /** Calls `run` once no request of the policy runs; the returned function cancels the call. */
     onDrained(policy: PolicyId, run: () => void): () => void;
-    /** Calls `run` once nothing runs at all; the returned function withdraws that. */
+    /** Calls `run` once no request runs at all; the returned function cancels the call. */
     onIdle(run: () => void): () => void;
-    /** Cancels all running work that may be cancelled; it keeps what it made. */
+    /** Cancels all running work that may be cancelled; it keeps the tokens generated so far. */
     preemptAll(): void;
 }
--- a/packages/sidecar/src/Suspects.ts
+++ b/packages/sidecar/src/Suspects.ts
@@ -1,17 +1,17 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 
-/** Digests that were in flight when an engine of this sampler died. */
+/** Content digests that were in flight when an engine of this sampler crashed. */
 export interface Suspects {
-    /** Notes the digest as in flight; the returned function ends that. */
+    /** Records the digest as in flight; the returned function ends that. */
     addInFlight(digest: ContentDigest): () => void;
-    /** Everything in flight becomes suspect of the death of this engine incarnation. */
+    /** All digests in flight become suspect of the crash of this engine incarnation. */
     recordCrash(bootId: string): void;
-    /** One digest becomes suspect of a death. */
+    /** One digest becomes suspect of a crash. */
     addSuspect(digest: ContentDigest, bootId: string): void;
     /** A clean finish clears the digest. */
     clear(digest: ContentDigest): void;
-    /** Whether a death of this sampler counts against the digest. */
+    /** Whether a crash of this sampler counts against the digest. */
     isSuspect(digest: ContentDigest): boolean;
     /** Other digests in flight here. */
     othersInFlight(digest: ContentDigest): ContentDigest[];
--- a/packages/sidecar/src/TrialReservation.ts
+++ b/packages/sidecar/src/TrialReservation.ts
@@ -1,8 +1,9 @@
-/** Keeps a sampler free of other work while a refused content has its one run there. */
+/** Reserves a sampler for the one trial run of a quarantined content. */
 export interface TrialReservation {
     /**
-     * Lets nothing else start and waits until all that runs has ended. The result ends the hold; undefined if another
-     * trial holds the sampler or it is not idle within half of the trial's budget, which leaves it the other half.
+     * Starts no other work and waits until all running work has ended. The returned function releases the reservation.
+     * Undefined if another trial has reserved the sampler, or if it does not become idle within half of the trial's
+     * budget, which leaves the other half for an attempt at another sampler.
      */
     reserve(budgetMs: number, signal: AbortSignal): Promise<(() => void) | undefined>;
     isReserved(): boolean;
--- a/packages/sidecar/src/WorkAbort.ts
+++ b/packages/sidecar/src/WorkAbort.ts
@@ -1,9 +1,9 @@
-/** Everything that may end one piece of work, behind one signal. */
+/** Combines everything that may end one piece of work into one signal. */
 export interface WorkAbort {
     signal: AbortSignal;
     abort(): void;
-    /** Aborts after `leftMs`; `onExpired` is told first. */
+    /** Aborts after `leftMs`; `onExpired` is called first. */
     expireAfter(leftMs: number, onExpired: () => void): void;
-    /** Takes timer and listeners away. */
+    /** Removes the timer and the listeners. */
     dispose(): void;
 }
--- a/packages/sidecar/src/admitOrder.ts
+++ b/packages/sidecar/src/admitOrder.ts
@@ -5,7 +5,10 @@
 import { findFencingRefusal } from "./findFencingRefusal.js";
 import type { SidecarContext } from "./SidecarContext.js";
 
-/** The checks before an order is begun: shutdown, fencing number learned, not lower. Undefined lets it pass. */
+/**
+ * Checks an order before it begins: the sidecar is not shutting down, the job's fencing number has been read, and the
+ * order's is not lower. Undefined lets it pass.
+ */
 export async function admitOrder(
     context: SidecarContext,
     order: SamplerOrder,
@@ -14,9 +17,9 @@
     if (flags.killed || !guards.shuttingDown(flags.shuttingDown)) {
         return resultCodes.shuttingDown;
     }
-    // A number exists only because its holder was given the lease, so that an order tells it whether or not it is
-    // carried out. Without this, an order of the present owner that came too early was forgotten, the number then read
-    // from a replica that lagged, and an older owner's order carried out.
+    // A fencing number exists only because its holder was granted the lease, so it is recorded even if the order is
+    // refused. Otherwise, once an early order of the current owner was refused and a lagging replica then returned an
+    // older number, an order of the older owner would be executed.
     fencing.raise(order.scope, order.order.fencing);
     try {
         await fencing.learn(order.scope);
--- a/packages/sidecar/src/admitPlain.ts
+++ b/packages/sidecar/src/admitPlain.ts
@@ -19,7 +19,7 @@
 
 const interactivePriority = 100;
 
-/** Checks an interactive or plain request and waits for its place. `costMs` is the time it is expected to take. */
+/** Checks an interactive or plain request and waits for its slot. `costMs` is the time it is expected to take. */
 export async function admitPlain(
     context: SidecarContext,
     request: PlainRequest,
@@ -64,7 +64,7 @@
     if (grant.kind === "refused") {
         return refuseStarted(grant.code);
     }
-    // While it waited, another suspect content may have begun here.
+    // Another suspect content may have started here while the request waited.
     const lateRefusal = findQuarantineRefusal(context, request);
     if (lateRefusal !== undefined) {
         grant.slot.release(0);
--- a/packages/sidecar/src/assertMayStart.ts
+++ b/packages/sidecar/src/assertMayStart.ts
@@ -2,7 +2,7 @@
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { SidecarContext } from "./SidecarContext.js";
 
-/** Asserts, where work is taken, that the attempt is new here and the sampler not leaving. */
+/** Asserts, when work is accepted, that the attempt is new here and that the sampler is not leaving. */
 export function assertMayStart(context: SidecarContext, attempt: AttemptId): void {
     const { invariants } = context.deps;
     const standing = context.attempts.standing(attempt);
--- a/packages/sidecar/src/beginOrder.ts
+++ b/packages/sidecar/src/beginOrder.ts
@@ -4,7 +4,10 @@
 import { findFencingRefusal } from "./findFencingRefusal.js";
 import type { SidecarContext } from "./SidecarContext.js";
 
-/** The last check, directly before the effect: number and process may have changed since the order was admitted. */
+/**
+ * Repeats the last checks directly before an order takes effect, as the fencing number and the process may have changed
+ * since it was admitted. Records the order's fencing number if it passes.
+ */
 export function beginOrder(context: SidecarContext, order: SamplerOrder): ResultCode | undefined {
     if (context.flags.killed) {
         return resultCodes.shuttingDown;
--- a/packages/sidecar/src/choosePreemptionVictim.ts
+++ b/packages/sidecar/src/choosePreemptionVictim.ts
@@ -5,7 +5,10 @@
     preempted: boolean;
 }
 
-/** The running work that an interactive request displaces: lowest priority, newest of these; undefined if none. */
+/**
+ * Chooses the running work that an interactive request preempts: the newest of the lowest priority; undefined if there
+ * is none.
+ */
 export function choosePreemptionVictim<Entry extends RunningEntry>(
     running: Iterable<Entry>,
     interactivePriority: number,
--- a/packages/sidecar/src/completionJson.ts
+++ b/packages/sidecar/src/completionJson.ts
@@ -5,14 +5,16 @@
     kind: "text" | "chat";
     model: string;
     spans: TokenSpan[];
-    /** Undefined while the stream goes on. */
+    /** Undefined while the stream continues. */
     finishReason: "stop" | "length" | undefined;
     stream: boolean;
-    /** Stated with the finish reason. */
+    /** Sent with the finish reason. */
     completionTokens: number;
 }
 
-/** An OpenAI-style completions object; `system_fingerprint` names every weight version that made the text. */
+/**
+ * Builds an OpenAI-style completions object; `system_fingerprint` names every weight version that produced the text.
+ */
 export function completionJson(part: CompletionPart): string {
     const text = part.spans.map(span => span.text).join("");
     const versions = [...new Set(part.spans.map(span => span.version))];
--- a/packages/sidecar/src/concludeSample.ts
+++ b/packages/sidecar/src/concludeSample.ts
@@ -8,7 +8,7 @@
 
 type Ran = Exclude<GenerationEnd, { kind: "rejected"; }>;
 
-/** Counts and logs a sample that ran, and makes its outcome. */
+/** Records the usage of a sample that ran, logs it and builds its outcome. */
 export function concludeSample(
     context: SidecarContext,
     attempt: SampleAttempt,
--- a/packages/sidecar/src/createAdaptiveLimit.test.ts
+++ b/packages/sidecar/src/createAdaptiveLimit.test.ts
@@ -1,8 +1,8 @@
 import { expect, test } from "vitest";
 import { createAdaptiveLimit } from "./createAdaptiveLimit.js";
 
-test("the limit falls while the backend server is slow, rises again after, and never goes below its floor", () => {
-    // Guards against: everything times out and nothing finishes.
+test("the limit falls while the backend server is slow, rises again afterwards, and never falls below its minimum", () => {
+    // Guards against overload in which every request times out and none finishes.
     let nowMs = 0;
     const limit = createAdaptiveLimit({
         nowMs: () => nowMs,
@@ -28,11 +28,11 @@
     expect(Math.max(...slow.slice(100))).toBeLessThan(16);
     expect(slow.at(-1)).toBe(1);
     expect(run(10, full, 500).at(-1)).toBe(16);
-    // A limit that is hardly used says nothing about the backend server.
+    // Below half of the limit in use, speed says nothing about the backend server.
     expect(run(400, () => 1, 200).at(-1)).toBe(16);
 });
 
-test("a plain service that is slow by nature keeps its limit; one that becomes slow loses it", () => {
+test("a plain service that is always slow keeps its limit; that of one that becomes slow falls", () => {
     let nowMs = 0;
     const limit = createAdaptiveLimit({
         nowMs: () => nowMs,
--- a/packages/sidecar/src/createAdaptiveLimit.ts
+++ b/packages/sidecar/src/createAdaptiveLimit.ts
@@ -5,27 +5,27 @@
     startLimit: number;
     maxLimit: number;
     minLimit: number;
-    /** Time of one unit (a token, or a plain request) on an idle backend server; at least this if it is learned. */
+    /** Time per unit (a token or a plain request) on an idle backend server; the lower bound if it is learned. */
     baselineMs: number;
-    /** True where nobody says how long a unit takes: a plain service's own pace is then its baseline. */
+    /** True if the time per unit is not known in advance: a plain service's own speed is then its baseline. */
     learnsBaseline: boolean;
-    /** Lowered once a unit takes more than this many baselines. */
+    /** The limit is decreased once a unit takes longer than this many baselines. */
     maxSlowdownRatio: number;
 }
 
 const smoothingFactor = 0.1;
 const decreaseFactor = 0.9;
-/** One lowering at most in this time, so that one burst of slow answers counts once. */
+/** At most one decrease within this time, so that one burst of slow responses counts once. */
 const minDecreaseIntervalMs = 1_000;
-/** A limit that was hardly used says nothing about whether it is too high. */
+/** Below this share of the limit in use, speed does not show whether the limit is too high. */
 const minUtilization = 0.5;
-/** A baseline follows what is seen on a server with room; hardly what is seen on a full one. */
+/** The baseline follows what is observed on a server with spare capacity, and hardly what is observed on a full one. */
 const baselineLearningRate = 0.02;
 const baselineLearningRateUnderLoad = 0.000_5;
 
 /**
- * Makes a limit with additive increase and multiplicative decrease. Without it an overloaded backend server takes
- * everything, answers nothing in time, and every caller's retry makes it worse.
+ * Creates a limit with additive increase and multiplicative decrease. Without it, an overloaded backend server accepts
+ * everything and answers nothing in time, and the retries of its callers add to the overload.
  */
 export function createAdaptiveLimit(deps: AdaptiveLimitDeps): AdaptiveLimit {
     let limit = deps.startLimit;
--- a/packages/sidecar/src/createAgingMap.ts
+++ b/packages/sidecar/src/createAgingMap.ts
@@ -2,7 +2,7 @@
     nowMs: () => number;
     /** An entry is kept for at least this long, and at most twice as long. */
     memoryMs: number;
-    /** Entries kept at most, whatever their age. */
+    /** Maximum number of entries, whatever their age. */
     capacity: number;
 }
 
@@ -10,13 +10,13 @@
     get(key: Key): Value | undefined;
     set(key: Key, value: Value): void;
     size(): number;
-    /** True while an entry may have been forgotten before its time, for lack of room. */
+    /** True while an entry may have been evicted before its time because the map was full. */
     mayHaveEvictedEarly(): boolean;
 }
 
 /**
- * Makes a map that forgets by dropping its older half as a whole. Taking the oldest entry out of one large map
- * instead makes each insertion step over the holes that earlier ones left.
+ * Creates a map that expires entries by dropping its older half as a whole. Deleting the oldest entry of one large map
+ * instead makes each insertion step over the holes that earlier deletions left.
  */
 export function createAgingMap<Key, Value>(options: AgingMapOptions): AgingMap<Key, Value> {
     const { nowMs, memoryMs } = options;
@@ -27,7 +27,7 @@
     let earlyEvictionUntilMs = Number.NEGATIVE_INFINITY;
 
     function rotate(): void {
-        // The youngest of the old half is as old as the young half.
+        // The newest entry of the old half is as old as the whole young half.
         if (old.size > 0 && nowMs() - youngSinceMs < memoryMs) {
             earlyEvictionUntilMs = nowMs() + memoryMs;
         }
--- a/packages/sidecar/src/createAttemptTable.test.ts
+++ b/packages/sidecar/src/createAttemptTable.test.ts
@@ -4,8 +4,8 @@
 import { expect, test } from "vitest";
 import { createAttemptTable } from "./createAttemptTable.js";
 
-test("within the memory time nothing that ran is ever called never seen, however small the table", () => {
-    // Guards against: "not run" is said of something that ran.
+test("within the memory time no attempt that ran is reported as never seen, however small the table", () => {
+    // Guards against a sender that is answered "not run" for an attempt that ran, and sends it again.
     const step = fc.record({ waitMs: fc.nat(attemptMemoryMs / 3), attempt: fc.nat(30), ask: fc.boolean() });
     fc.assert(
         fc.property(fc.array(step, { maxLength: 80 }), fc.integer({ min: 1, max: 12 }), (steps, capacity) => {
@@ -32,7 +32,7 @@
     );
 });
 
-test("a tombstone outlives every budget and is never dropped for lack of room", () => {
+test("a tombstone outlives every budget and is never evicted when the table is full", () => {
     let nowMs = 0;
     const table = createAttemptTable({ nowMs: () => nowMs, capacity: 2 });
     const ids = ["a", "b", "c"] as AttemptId[];
--- a/packages/sidecar/src/createAttemptTable.ts
+++ b/packages/sidecar/src/createAttemptTable.ts
@@ -7,22 +7,22 @@
 
 interface AttemptTableDeps {
     nowMs: () => number;
-    /** Entries of each kind kept at most. */
+    /** Maximum number of entries of each kind. */
     capacity?: number;
 }
 
 const defaultCapacity = 100_000;
-/** Longer than any budget, so that no message sent before the tombstone can still arrive after it. */
+/** Longer than any budget, so that no message sent before the tombstone can arrive after it has expired. */
 const tombstoneMemoryMs = 3_600_000;
 
 /**
- * Makes the table. A sender whose connection broke and who is told "never seen" sends its request elsewhere; the
- * tombstone then refuses the first message, which may still come.
+ * Creates the table. A sender whose connection broke and whose query is answered with "never seen" sends its request to
+ * another sampler; the tombstone then refuses the first message, which may still arrive.
  *
- * Memory is bounded. Where more attempts end within the memory time than the table holds, the oldest are
- * forgotten, and until that time has passed an unknown id is answered `finished`, which a sender takes as unknown:
- * forgetting must never turn into "never seen". Tombstones are not forgotten early: without room for another one
- * the answer is `finished` as well.
+ * Memory is bounded. If more attempts end within the memory time than the table holds, the oldest are evicted. Until
+ * that time has passed, an unknown id is answered with `finished`, which a sender treats as unknown: eviction must
+ * never turn into "never seen". Tombstones are not evicted early: if there is no room for another one, the answer is
+ * `finished` as well.
  */
 export function createAttemptTable(deps: AttemptTableDeps): AttemptTable {
     const { nowMs, capacity = defaultCapacity } = deps;
--- a/packages/sidecar/src/createCompletionRunner.ts
+++ b/packages/sidecar/src/createCompletionRunner.ts
@@ -34,7 +34,7 @@
 const interactivePriority = 100;
 const endOfStream = Buffer.from("data: [DONE]\n\n");
 
-/** Makes `callPlain` of a gate before a model engine: OpenAI-style completions at interactive priority. */
+/** Creates `callPlain` of a model sampler's sidecar: OpenAI-style completions at interactive priority. */
 export function createCompletionRunner(
     context: SidecarContext,
     engine: EnginePort,
@@ -133,9 +133,14 @@
             void generate(call, onSpan).then(end => {
                 const failure = failureOf(call, end);
                 if (failure !== undefined || end.kind !== "ended") {
-                    // Before the first span this is the outcome; after it the stream breaks off.
+                    // Before the first span this is the outcome; after it the stream is broken off.
                     resolve(failure!);
-                    stream.fail(new ResultError(resultCodes.connectionBroken, "generation ended early"));
+                    stream.fail(
+                        new ResultError(
+                            resultCodes.connectionBroken,
+                            "the generation ended before its last token",
+                        ),
+                    );
                     return;
                 }
                 stream.push(event([], end.tokens));
--- a/packages/sidecar/src/createContext.ts
+++ b/packages/sidecar/src/createContext.ts
@@ -17,7 +17,7 @@
 import type { SidecarGuards } from "./SidecarGuards.js";
 
 const defaultLimits = { maxQueuedPerTeam: 1_000, interactiveWaitMs: 250 };
-/** An engine takes one generation at a time until it has been described. */
+/** An engine runs one generation at a time until it has been described. */
 const limitBeforeDescription = 1;
 const plainLimits = { startLimit: 64, maxLimit: 1_024, minLimit: 4, baselineMs: 5, learnsBaseline: true };
 const engineLimits = {
@@ -29,7 +29,7 @@
 };
 const maxSlowdownRatio = 4;
 
-/** Builds the parts of a gate and joins them. */
+/** Creates the parts of a sidecar and connects them. */
 export function createContext(
     deps: SidecarDependencies,
     guards: SidecarGuards,
@@ -56,7 +56,7 @@
     const informedFromMs = nowMs() + (deps.initialConfigWaitMs ?? 0);
     let describedBootId: string | undefined;
 
-    /** Called at each heartbeat: a limit that has adapted is kept until the engine is another. */
+    /** Called at each heartbeat: an adapted limit is kept until the engine restarts. */
     function onDescribed(description: EngineDescription): void {
         if (describedBootId !== description.bootId) {
             describedBootId = description.bootId;
--- a/packages/sidecar/src/createDrainWatch.ts
+++ b/packages/sidecar/src/createDrainWatch.ts
@@ -1,11 +1,14 @@
 interface DrainWatch {
-    /** Calls `run` once `isDrained` holds, at once if it does now; the result withdraws it. */
+    /**
+     * Calls `run` once `isDrained` returns true, immediately if it already does; the returned function cancels the
+     * call.
+     */
     add(isDrained: () => boolean, run: () => void): () => void;
-    /** Looks again after something ended. */
+    /** Evaluates the conditions again after some work has ended. */
     check(): void;
 }
 
-/** Makes a watch for work that must have ended before something else begins. */
+/** Creates a watch for running work that must end before something else begins. */
 export function createDrainWatch(): DrainWatch {
     const watchers = new Set<{ isDrained: () => boolean; run: () => void; }>();
 
--- a/packages/sidecar/src/createFencingTable.ts
+++ b/packages/sidecar/src/createFencingTable.ts
@@ -3,9 +3,10 @@
 import type { FencingTable } from "./FencingTable.js";
 
 /**
- * Makes the table. A sidecar just started knows no number: an order of an owner long replaced would look like a
- * first one, and the sampler would go back to old weights. Reading the present number before the first order of a
- * job closes this; until it is read, orders are refused. Samples need it less: they carry their least version.
+ * Creates the table. A sidecar that has just started knows no number: an order of an owner replaced long ago would look
+ * like the first one, and the sampler would return to old weights. To prevent this, the current number is read before
+ * the first order of a job, and orders are refused until it has been read. Samples depend on it less, since they carry
+ * their minimum version.
  */
 export function createFencingTable(readFencing: (job: JobId) => Promise<FencingNumber>): FencingTable {
     const highest = new Map<JobId, FencingNumber>();
--- a/packages/sidecar/src/createOrderRunner.test.ts
+++ b/packages/sidecar/src/createOrderRunner.test.ts
@@ -56,8 +56,8 @@
     expect(setup.sidecar.report().served).toEqual([{ policy: "plume", version: 2 }]);
 });
 
-test("an engine that stamps nothing is drained before its swap", async () => {
-    // Guards against: tokens of two versions under one name.
+test("an engine that does not stamp its chunks is drained before a swap", async () => {
+    // Guards against tokens of two versions that are attributed to one.
     const setup = await createReadySidecar({ engine: { statesFingerprint: false } });
     const sample = run(setup, setup.attempt("a"));
     await setup.clock.advance(200);
@@ -69,8 +69,8 @@
     expect(versions(await finished(setup, waiting))).toBe("2");
 });
 
-test("a swap that fails half way stops new samples until the engine has said what it serves", async () => {
-    // Guards against: samples of weights that nobody ordered.
+test("after a swap that fails half way, no sample starts until the engine has reported what it serves", async () => {
+    // Guards against samples from weights that were not ordered.
     const setup = await createReadySidecar();
     setup.control.failNextLoad(7 as WeightVersion);
     expect(await order(setup, setup.load(2, 5))).toBe("unknown engineUnreachable");
@@ -80,8 +80,8 @@
     expect(versions(await finished(setup, run(setup, setup.attempt("a"))))).toBe("7");
 });
 
-test("a sampler that restarts with old weights is fenced off within one heartbeat", async () => {
-    // Guards against: a trainer learns from stale policy versions for weeks.
+test("samples with a newer minimum version are refused within one heartbeat of a restart with old weights", async () => {
+    // Guards against a trainer that learns from stale policy versions for weeks.
     const setup = await createReadySidecar();
     expect(await order(setup, setup.load(3, 5))).toBe("done");
     setup.control.crash();
@@ -94,7 +94,7 @@
 });
 
 test.each([true, false])(
-    "weights swapped by hand never pass under another name (stamped %s)",
+    "weights swapped without an order are never attributed to another version (stamped %s)",
     async stamped => {
         const setup = await createReadySidecar({ engine: { statesFingerprint: stamped } });
         const sample = run(setup, setup.attempt("a"));
@@ -106,8 +106,8 @@
     },
 );
 
-test("an owner that was replaced cannot order", async () => {
-    // Guards against: a sampler goes back to old weights.
+test("orders of a replaced owner are refused", async () => {
+    // Guards against a sampler that returns to old weights.
     const setup = await createReadySidecar({ engine: { honoursFencing: false } });
     expect(await order(setup, setup.load(2, 6))).toBe("done");
     expect(await order(setup, setup.load(3, 5))).toBe("refused fenced");
@@ -115,8 +115,8 @@
     expect(setup.control.loads().map(load => load.version)).toEqual([2]);
 });
 
-test("a sidecar just started refuses orders until it has read the job's number", async () => {
-    // Guards against: an old owner's order is carried out by a new sidecar.
+test("a sidecar that has just started refuses orders until it has read the job's fencing number", async () => {
+    // Guards against a new sidecar that executes an order of a replaced owner.
     let storeUp = false;
     const setup = await createReadySidecar({
         readFencing: async () => {
@@ -130,13 +130,14 @@
     storeUp = true;
     expect(await order(setup, setup.load(2, 5))).toBe("refused fenced");
     expect(await order(setup, setup.load(2, 6))).toBe("done");
-    // The gate learns the number once; the outage that follows stops nothing.
+    // The sidecar reads the number once; a later outage of the object API has no effect.
     storeUp = false;
     expect(await order(setup, setup.load(3, 6))).toBe("done");
 });
 
-test("an order that came too early still tells its number", async () => {
-    // Guards against: a replaced owner's order was carried out by a sidecar that had just started.
+test("the fencing number of an order refused as too early is recorded", async () => {
+    // Guards against a sidecar that has just started and executes an order of a replaced owner, because the order of
+    // the current owner came too early and the object API then returned an older number.
     let storeUp = false;
     const setup = await createReadySidecar({
         readFencing: async () => {
--- a/packages/sidecar/src/createOrderRunner.ts
+++ b/packages/sidecar/src/createOrderRunner.ts
@@ -20,7 +20,7 @@
 
 const refused = (code: ResultCode): OrderOutcome => ({ kind: "refused", code });
 
-/** Makes `order` of a gate. Orders are carried out one after the other. */
+/** Creates `order` of a sidecar. Orders are executed one after the other. */
 export function createOrderRunner(
     context: SidecarContext,
     engine: EnginePort,
@@ -58,7 +58,7 @@
         }
         const result = await sendEngineOrder(context.deps, engine, order.order);
         if (result.kind !== "refused") {
-            // What it serves has changed, or may have.
+            // What the engine serves has changed, or may have.
             weights.markUnknown(order.order.kind);
             await weights.describe();
         }
@@ -80,7 +80,7 @@
         catch (error) {
             return refused(codeOf(error));
         }
-        // The download may have taken long; owner and engine may be others by now.
+        // The download may have taken long; the owner and the engine may have changed meanwhile.
         const lateRefusal = findFencingRefusal(context, order) ?? await findEngineRefusal();
         return lateRefusal === undefined ? swap(order, load) : refused(lateRefusal);
     }
@@ -101,7 +101,7 @@
     }
 
     async function settle(result: OrderOutcome): Promise<void> {
-        // The engine may have died or contradicted itself meanwhile; that verdict stands.
+        // The engine may have crashed or contradicted its described version meanwhile; that state is kept.
         if (weights.state() === "swapping") {
             if (result.kind === "unknown") {
                 weights.markUnknown("swapUncertain");
--- a/packages/sidecar/src/createPlainHandler.ts
+++ b/packages/sidecar/src/createPlainHandler.ts
@@ -26,13 +26,13 @@
     maxBodyBytes: number;
 }
 
-/** Tokens after the first are joined for this long: an entry then handles a fraction of the frames. */
+/** Tokens after the first are batched for this long, so that an entry handles a fraction of the frames. */
 const eventBatchMs = 100;
 const prefix = "/plain";
 const maxBudgetMs = 3_600_000;
 const maxNameChars = 512;
 
-/** Makes the handler of interactive and plain requests: headers in, headers out, bodies as they are. */
+/** Creates the handler of interactive and plain requests: metadata in headers, bodies passed unchanged. */
 export function createPlainHandler(
     deps: PlainHandlerDeps,
 ): (request: IncomingMessage, response: ServerResponse) => void {
@@ -53,7 +53,7 @@
         }
         const abort = new AbortController();
         response.once("close", () => {
-            // An abort costs an exception with its stack; most connections close after a whole answer.
+            // An abort costs an exception with its stack; most connections close after a complete response.
             if (!response.writableFinished) {
                 abort.abort();
             }
@@ -81,7 +81,7 @@
             await pipeBody(clock, answer.body, sink, streamed ? eventBatchMs : undefined);
         }
         catch {
-            // The sender must see a broken connection, never a whole answer.
+            // The sender must see a broken connection, never a complete response.
             response.destroy();
         }
     }
@@ -108,7 +108,7 @@
     };
 }
 
-/** A plain request without its body, or a sentence naming the fault. */
+/** Reads a plain request without its body, or returns a sentence that names the fault. */
 function parseRequestHead(request: IncomingMessage): PlainRequest | string {
     const { headers } = request;
     const attempt = boundedHeaderValue(headers[sidecarHeaders.attempt]);
--- a/packages/sidecar/src/createPlainHealth.test.ts
+++ b/packages/sidecar/src/createPlainHealth.test.ts
@@ -7,8 +7,8 @@
 const crashInducing = "poison" as ContentDigest;
 const unrelated = "other" as ContentDigest;
 
-test("a break makes nobody suspect; a break followed by a refused connection does, until a clean answer", () => {
-    // Guards against: one request takes plain services down one after the other.
+test("a broken connection makes a request suspect only if a refused one follows, until a clean response", () => {
+    // Guards against one request that crashes plain services one after the other.
     let nowMs = 10_000;
     const suspects = createSuspects({ vm: "vm-1" as VmId, nowMs: () => nowMs });
     const health = createPlainHealth({ nowMs: () => nowMs, suspects, incarnation: "inc" });
@@ -21,7 +21,7 @@
     expect(health.isDown()).toBe(true);
     nowMs += 1_000;
     expect(health.isDown()).toBe(false);
-    // The refused connection of the same death names nobody again.
+    // Another refused connection of the same crash adds no suspect.
     health.recordRefusedConnection();
     expect(suspects.list()[0]!.deaths).toHaveLength(1);
     health.recordAnswer(crashInducing);
--- a/packages/sidecar/src/createPlainHealth.ts
+++ b/packages/sidecar/src/createPlainHealth.ts
@@ -5,19 +5,20 @@
 interface PlainHealthDeps {
     nowMs: () => number;
     suspects: Suspects;
-    /** Names this run of the sidecar, for the names of the deaths it sees. */
+    /** Id of this run of the sidecar, from which the ids of observed crashes are formed. */
     incarnation: string;
 }
 
-/** A break this long before the refused connection belongs to the same death. */
+/** A connection that broke this long before the refused one belongs to the same crash. */
 const crashWindowMs = 5_000;
-/** After this a request may find out whether the service is back. */
+/** After this time a request may test whether the service is back. */
 const downPeriodMs = 1_000;
 const maxBrokenRequests = 256;
 
 /**
- * Makes the watch over a plain service, which has no port to ask. A request that kills such a service shows as a
- * broken connection followed by refused ones; a break alone proves no death and makes nobody suspect.
+ * Creates the health tracking of a plain service, which has no port to query. A request that crashes such a service
+ * shows as a broken connection followed by refused ones; a broken connection alone proves no crash and makes no request
+ * suspect.
  */
 export function createPlainHealth(deps: PlainHealthDeps): PlainHealth {
     const brokenAtMsByDigest = new Map<ContentDigest, number>();
--- a/packages/sidecar/src/createPlainRunner.ts
+++ b/packages/sidecar/src/createPlainRunner.ts
@@ -11,7 +11,7 @@
 
 type Outcome = AttemptOutcome<PlainAnswer>;
 
-/** Makes `callPlain` of a gate before a plain service. */
+/** Creates `callPlain` of a plain service's sidecar. */
 export function createPlainRunner(context: SidecarContext, backend: PlainBackend): SidecarPort["callPlain"] {
     const { clock, metrics } = context.deps;
 
--- a/packages/sidecar/src/createProbeHandler.ts
+++ b/packages/sidecar/src/createProbeHandler.ts
@@ -11,8 +11,8 @@
 }
 
 /**
- * Makes the handler of `GET /healthz` (the process runs), `GET /readyz` (it takes work) and `GET /metrics`. They
- * need no token and change nothing. Returns false for anything else.
+ * Creates the handler of `GET /healthz` (the process runs), `GET /readyz` (it accepts work) and `GET /metrics`. They
+ * need no token and change nothing. The handler returns false for any other request.
  */
 export function createProbeHandler(
     sidecar: Sidecar,
--- a/packages/sidecar/src/createQuarantineList.ts
+++ b/packages/sidecar/src/createQuarantineList.ts
@@ -4,13 +4,13 @@
 import type { QuarantineList } from "./QuarantineList.js";
 
 interface QuarantineListDeps {
-    /** Wall time: records expire and are lifted by it. */
+    /** Wall time, by which records expire and are lifted. */
     wallMs: () => number;
-    /** Whether a list of the offered version may replace the present one. */
+    /** Whether a list of the offered version may replace the current one. */
     isForward: (present: number, offered: number) => boolean;
 }
 
-/** Makes an empty list of version 0. */
+/** Creates an empty list of version 0. */
 export function createQuarantineList(deps: QuarantineListDeps): QuarantineList {
     let version = 0;
     let records = new Map<ContentDigest, QuarantineRecord>();
--- a/packages/sidecar/src/createRpcHandler.ts
+++ b/packages/sidecar/src/createRpcHandler.ts
@@ -23,7 +23,10 @@
 const maxBatchedCalls = 1;
 const attemptParams = z.strictObject({ attempt: z.string().min(1).max(512) });
 
-/** Makes the handler of JSON-RPC calls: `queryAttempt`, `cancelSample`, `order`, `beginLeaving`, `readReport`, `readUsage`. */
+/**
+ * Creates the handler of JSON-RPC calls: `queryAttempt`, `cancelSample`, `order`, `beginLeaving`, `readReport`,
+ * `readUsage`.
+ */
 export function createRpcHandler(
     deps: RpcHandlerDeps,
 ): (request: IncomingMessage, response: ServerResponse) => void {
--- a/packages/sidecar/src/createSampleHandler.ts
+++ b/packages/sidecar/src/createSampleHandler.ts
@@ -24,14 +24,17 @@
 
 interface SampleHandler {
     handle(request: IncomingMessage, response: ServerResponse): void;
-    /** Ends a running attempt; its stream goes on to the outcome with what was made. */
+    /** Cancels a running attempt; its stream continues to the outcome, with the tokens generated so far. */
     cancel(attempt: AttemptId): boolean;
 }
 
-/** Spans of this long are written together; nobody reads a rollout token by token. */
+/** Spans are batched for this long; no consumer reads a rollout token by token. */
 const flushIntervalMs = 20;
 
-/** Makes the handler of samples: a line of JSON for each span, neighbours of one version joined, and the outcome. */
+/**
+ * Creates the handler of samples. It writes a line of JSON for each span, with neighbours of one version joined, and a
+ * last line for the outcome.
+ */
 export function createSampleHandler(deps: SampleHandlerDeps): SampleHandler {
     const { sidecar: gate, incarnation } = deps;
     const aborts = new Map<AttemptId, AbortController>();
@@ -48,7 +51,7 @@
                 abort.abort();
             }
         });
-        // A repeated id is refused by the gate and must not take the first one's place here.
+        // A repeated id is refused by the sidecar and must not replace the first attempt here.
         const isFirst = !aborts.has(attempt.attempt);
         if (isFirst) {
             aborts.set(attempt.attempt, abort);
--- a/packages/sidecar/src/createSampleRunner.ts
+++ b/packages/sidecar/src/createSampleRunner.ts
@@ -26,7 +26,7 @@
 
 type Outcome = AttemptOutcome<SampleAnswer>;
 
-/** Makes `runSample` of a gate: checks, queue, engine, stamped answer. */
+/** Creates `runSample` of a sidecar: checks, queue, generation and outcome. */
 export function createSampleRunner(
     context: SidecarContext,
     engine: EnginePort | undefined,
@@ -46,7 +46,7 @@
         return refusalOutcome(code);
     }
 
-    /** Ends an attempt that was taken but did not start. */
+    /** Ends an attempt that was accepted but did not start. */
     function refuseStarted(attempt: SampleAttempt, code: ResultCode): Outcome {
         context.attempts.refuse(attempt.attempt);
         return refuse(attempt, code);
@@ -101,7 +101,7 @@
         if (grant.kind === "refused") {
             return refuseStarted(attempt, grant.code);
         }
-        // While it waited the weights, the owner or the quarantine list may have changed.
+        // The weights, the owner or the quarantine list may have changed while the sample waited.
         const lateRefusal = findSampleRefusal(context, attempt) ?? findQuarantineRefusal(context, attempt);
         if (lateRefusal !== undefined) {
             grant.slot.release(0);
--- a/packages/sidecar/src/createServedWeights.ts
+++ b/packages/sidecar/src/createServedWeights.ts
@@ -11,9 +11,9 @@
     clock: Clock;
     logger: Logger;
     engine: EnginePort;
-    /** The engine is another incarnation than before: whatever ran on `bootId` is dead. */
+    /** Called when the engine is another incarnation than before: whatever ran on `bootId` has crashed. */
     onRestart: (bootId: string) => void;
-    /** Weights changed without an order: what runs unstamped cannot be named any more. */
+    /** Called when weights changed without an order: the version of what runs unstamped is no longer known. */
     onServedChanged: () => void;
     onDescribed: (description: EngineDescription) => void;
 }
@@ -27,8 +27,8 @@
 const describeTimeoutMs = 5_000;
 
 /**
- * Makes the watch over an engine's weights, which is described at each heartbeat. After another boot id or version than
- * expected, as when an engine restarts with an old image, no sample starts until the served version is known again.
+ * Creates the tracking of an engine's weights; the engine is described at each heartbeat. After an unexpected boot id
+ * or version, as when an engine restarts with an old image, no sample starts until the served version is known again.
  */
 export function createServedWeights(deps: ServedWeightsDeps): ServedWeights {
     const { clock, logger, engine } = deps;
@@ -38,7 +38,7 @@
     let swap: Swap | undefined;
     let stampsAllChunks: boolean | undefined;
     let stopped = false;
-    /** Grows whenever an answer to an earlier question would no longer be true. */
+    /** Incremented whenever the answer to an earlier request is out of date. */
     let epoch = 0;
     let cancelTimer = (): void => {};
 
@@ -97,7 +97,7 @@
         const askedEpoch = epoch;
         try {
             const reported = await withTimeout(clock, describeTimeoutMs, engine.describe());
-            // A swap or doubt since the question makes the answer a thing of the past.
+            // A state change since the request makes its answer out of date.
             if (askedEpoch === epoch && state !== "swapping" && !stopped) {
                 applyDescription(reported);
             }
--- a/packages/sidecar/src/createSidecar.test.ts
+++ b/packages/sidecar/src/createSidecar.test.ts
@@ -45,7 +45,7 @@
     return setup;
 }
 
-test("a sample is run, stamped and accounted, and its spans stream in order", async () => {
+test("a sample is run, stamped and counted as usage, and its spans stream in order", async () => {
     const setup = await createReadySidecar();
     const texts: string[] = [];
     let outcome: Outcome | undefined;
@@ -60,7 +60,7 @@
     expect(counter!.engineMs).toBeCloseTo(setup.control.busyMs(), 3);
 });
 
-test("each check refuses with its own code, and what is refused does not run", async () => {
+test("each check refuses with its own code, and refused work does not run", async () => {
     const setup = await createReadySidecar();
     const { sidecar, attempt } = setup;
     const record: QuarantineRecord = {
@@ -100,8 +100,8 @@
     expect(setup.invariants.violations()).toBe(0);
 });
 
-test("a tombstone stops a late arrival", async () => {
-    // Guards against: a fetch goes out twice.
+test("a tombstone refuses a message that arrives late", async () => {
+    // Guards against a request that runs twice: when it is sent again, and when its first message arrives late.
     const setup = await createReadySidecar();
     const asked = await setup.sidecar.queryAttempt("a" as AttemptId);
     expect(asked.state).toBe("neverSeen");
@@ -110,15 +110,15 @@
     expect(setup.control.starts().size).toBe(0);
 });
 
-test("a sidecar that restarted does not vouch for its predecessor", async () => {
-    // Guards against: "not run" is said of something that ran.
+test("a restarted sidecar answers only for its own incarnation", async () => {
+    // Guards against an answer of "not run" for an attempt that ran at the previous incarnation.
     const setup = await createReadySidecar();
-    const held = start(setup, setup.attempt("a"));
+    const pending = start(setup, setup.attempt("a"));
     await setup.clock.advance(100);
     const { incarnation } = await setup.sidecar.queryAttempt("a" as AttemptId);
     setup.sidecar.kill();
     await setup.clock.advance(100);
-    expect(describeOutcome(held.outcome!)).toBe("unknown connectionBroken");
+    expect(describeOutcome(pending.outcome!)).toBe("unknown connectionBroken");
     await expect(setup.sidecar.queryAttempt("a" as AttemptId)).rejects.toThrow("sidecarUnreachable");
     expect(await run(setup, setup.attempt("b"))).toBe("notRun connectFailed");
     const next = await createReadySidecar({ sampler: "s1b" });
@@ -126,14 +126,14 @@
     expect(incarnation).toHaveLength(32);
 });
 
-test("an engine crash leaves its attempts unknown and their contents suspect", async () => {
-    // Guards against: one content kills engine after engine.
+test("an engine crash makes its attempts unknown and their contents suspect", async () => {
+    // Guards against one crash-inducing content that crashes engine after engine.
     const setup = await createReadySidecar();
     setup.control.killOn(request => request.attempt === "poison");
     const crashing = start(setup, setup.attempt("poison"));
     const neighbour = start(setup, setup.attempt("neighbour"));
     await setup.clock.advance(200);
-    expect([crashing, neighbour].map(held => describeOutcome(held.outcome!))).toEqual([
+    expect([crashing, neighbour].map(each => describeOutcome(each.outcome!))).toEqual([
         "unknown engineCrashed",
         "unknown engineCrashed",
     ]);
@@ -144,14 +144,14 @@
         ["digest-neighbour", 1],
     ]);
     expect(await run(setup, setup.attempt("c"))).toBe("notRun engineDown");
-    // The neighbour is cleared by its next clean finish and is not punished.
+    // A content that only ran beside the crash-inducing one is cleared by its next clean finish.
     setup.control.restart();
     await setup.clock.advance(2_000);
     expect(await run(setup, setup.attempt("again", { digest: "digest-neighbour" }))).toBe("ran whole 64@1");
     expect(setup.sidecar.report().suspects.map(suspect => suspect.digest)).toEqual(["digest-poison"]);
 });
 
-test("a leaving sampler finishes what it has; a shutdown ends the rest truthfully at its deadline", async () => {
+test("a leaving sampler finishes its running work; a shutdown ends the rest at its deadline with correct outcomes", async () => {
     const setup = await createReadySidecar({ engine: { maxBatch: 1, lengthOf: () => 400 } });
     const short = start(setup, setup.attempt("short", { maxTokens: 32 }));
     const waiting = start(setup, setup.attempt("waiting"));
@@ -185,22 +185,22 @@
     expect(setup.sidecar.offerQuarantine(1, [])).toBe(false);
 });
 
-test("a cancelled sample gives what was made, and resumes behind it elsewhere", async () => {
+test("a cancelled sample returns the tokens generated so far and resumes after them at another sampler", async () => {
     const setup = await createReadySidecar();
     const abort = new AbortController();
-    const held = start(setup, setup.attempt("a"), abort.signal);
+    const pending = start(setup, setup.attempt("a"), abort.signal);
     await setup.clock.advance(300);
     abort.abort();
     await setup.clock.advance(10);
-    const outcome = held.outcome!;
+    const outcome = pending.outcome!;
     expect(describeOutcome(outcome)).toMatch(/^ran part \d+@1$/);
     const resume = outcome.kind === "ran" ? outcome.answer.spans : [];
     const other = await createReadySidecar();
     expect(await run(other, other.attempt("b", { resume }))).toBe("ran whole 64@1");
 });
 
-test("a completion waits no longer than the interactive wait, and the rollout it displaces keeps its tokens", async () => {
-    // Guards against: a quote hangs while the homeowner is on the phone.
+test("a completion waits no longer than the interactive wait, and the rollout it preempts keeps its tokens", async () => {
+    // Guards against an interactive request that waits for a rollout to end.
     const setup = await createReadySidecar({
         engine: { maxBatch: 2, lengthOf: request => request.priority === 100 ? 8 : 4_000 },
     });
@@ -223,22 +223,22 @@
         answeredAtMs = setup.clock.monotonicMs();
     });
     await setup.clock.runUntil(() => answeredAtMs > 0, 10_000);
-    // 250 ms of waiting, 8 tokens at 100 a second in a batch of two.
+    // 250 ms of waiting, then 8 tokens at 100 tokens a second in a batch of two.
     expect(answeredAtMs - askedAtMs).toBeLessThan(250 + 150);
     expect(describeOutcome(displaced.outcome!)).toMatch(/^ran part \d{2,}@1$/);
     expect(important.outcome).toBeUndefined();
 });
 
-test("overload is refused at once beyond the team's bound, and what outlived its budget never runs", async () => {
+test("work beyond the team's queue limit is refused at once, and work whose budget has passed never runs", async () => {
     const setup = await createReadySidecar({ engine: { maxBatch: 1, lengthOf: () => 1_000 } });
     const limits = { maxQueuedPerTeam: 2, interactiveWaitMs: 250 };
     const manifest = { name: "m", teams: [], services: [], samplers: [], jobs: [], limits } as never;
     setup.sidecar.offerManifest({ version: 1 as never, manifest });
-    const held = ["running", "soon", "late", "refused"].map(id =>
+    const started = ["running", "soon", "late", "refused"].map(id =>
         start(setup, setup.attempt(id, { maxTokens: 1_000, budgetMs: id === "late" ? 500 : 60_000 }))
     );
     await setup.clock.advance(1_000);
-    expect(held.map(({ outcome }) => outcome && describeOutcome(outcome))).toEqual([
+    expect(started.map(({ outcome }) => outcome && describeOutcome(outcome))).toEqual([
         undefined,
         undefined,
         "notRun deadlinePassed",
--- a/packages/sidecar/src/createSidecar.ts
+++ b/packages/sidecar/src/createSidecar.ts
@@ -20,7 +20,7 @@
 const noVersion = 0 as ConfigVersion;
 const limitDuringTrial = 1;
 
-/** Makes the gate before one sampler. It does no I/O of its own and runs under any clock. */
+/** Creates the sidecar of one sampler. It does no I/O of its own and runs under any clock. */
 export function createSidecar(
     deps: SidecarDependencies,
     guards: SidecarGuards = defaultSidecarGuards,
@@ -55,7 +55,7 @@
             stampsVersions: weights?.stampsChunks() === true,
             running: slots.running(),
             waiting: slots.waiting(),
-            // Senders that choose by load pass a sampler by that takes nothing else now.
+            // During a trial, senders that choose by load skip this sampler, which accepts no other work.
             limit: context.trialReservation.isReserved() ? limitDuringTrial : context.limit.current(),
             tokensPerSecond: weights?.description()?.tokensPerSecond ?? 0,
             maxBatch: weights?.description()?.maxBatch ?? context.limit.current(),
@@ -70,7 +70,7 @@
         }
     }
 
-    /** What a caller of a killed process sees: no connection, or one that broke. */
+    /** Returns what a caller of a killed process sees: no connection, or one that broke. */
     async function unlessKilled<Answer>(
         run: () => Promise<AttemptOutcome<Answer>>,
     ): Promise<AttemptOutcome<Answer>> {
@@ -171,5 +171,5 @@
     if (backend !== undefined) {
         return createPlainRunner(context, backend);
     }
-    throw new ResultError(resultCodes.settingsInvalid, "a gate needs an engine or a backend");
+    throw new ResultError(resultCodes.settingsInvalid, "a sidecar needs an engine or a backend");
 }
--- a/packages/sidecar/src/createSlots.test.ts
+++ b/packages/sidecar/src/createSlots.test.ts
@@ -39,20 +39,20 @@
 }
 
 test("a rollout delays an interactive request by no more than the interactive wait", async () => {
-    // Guards against: a quote is late.
+    // Guards against interactive requests that are late because of rollouts.
     const { clock, acquire } = createFixture(2);
     const preempted: string[] = [];
     const acquireSlot = (name: string, priority: number) => {
-        const held = acquire({
+        const pending = acquire({
             priority,
             preempt: () => {
                 preempted.push(name);
-                if (held.grant?.kind === "granted") {
-                    held.grant.slot.release(100);
+                if (pending.grant?.kind === "granted") {
+                    pending.grant.slot.release(100);
                 }
             },
         });
-        return held;
+        return pending;
     };
     acquireSlot("important", 90);
     await clock.advance(5);
@@ -77,7 +77,7 @@
     expect(slots.waiting()).toBe(0);
 });
 
-test("two teams that always want more get engine time by their shares within 5%", async () => {
+test("two teams with constant demand get engine time by their shares within 5%", async () => {
     const { clock, acquire } = createFixture(4, { a: 0.75, b: 0.25 });
     const usedMs: Record<string, number> = { a: 0, b: 0 };
     const keepBusy = (team: string, lengthMs: number): void => {
--- a/packages/sidecar/src/createSlots.ts
+++ b/packages/sidecar/src/createSlots.ts
@@ -25,16 +25,17 @@
     queuedAtMs: number;
     startedAtMs: number;
     preempted: boolean;
-    /** Ends the waiting: cancels its timers and answers. */
+    /** Ends the wait: cancels its timers and returns the grant. */
     resolveGrant: ((grant: SlotGrant) => void) | undefined;
 }
 
 const interactivePriority = 100;
 
 /**
- * Makes the slots. Interactive work goes first; if no place frees within the interactive wait, the newest running
- * work of the lowest priority is cancelled, which keeps what it made, so that a rollout never delays a quote by
- * more than that wait. Work whose budget ends while it waits is refused and has not run.
+ * Creates the slots. Interactive work goes first. If no slot is released within the interactive wait, the newest
+ * running work of the lowest priority is cancelled and keeps the tokens generated so far, so that a rollout never
+ * delays an interactive request by more than that wait. Work whose budget ends while it waits is refused and has not
+ * run.
  */
 export function createSlots(deps: SlotsDeps): Slots {
     const { clock } = deps;
@@ -87,14 +88,14 @@
         return true;
     }
 
-    /** Not reentrant: a release while it pumps is seen by its own loop. */
+    /** Not reentrant: a release during the loop is handled by the loop itself. */
     function startWaiting(): void {
         if (isStarting || queue.size() === 0) {
             return;
         }
         isStarting = true;
         while (startNext()) {
-            // Until the limit is reached or nothing may run.
+            // Continues until the limit is reached or nothing may run.
         }
         isStarting = false;
     }
--- a/packages/sidecar/src/createStamper.ts
+++ b/packages/sidecar/src/createStamper.ts
@@ -6,9 +6,10 @@
 import type { SidecarGuards } from "./SidecarGuards.js";
 
 /**
- * Makes a function that turns an engine's chunks into spans naming the version that made them, or undefined where
- * that cannot be said. A chunk's own fingerprint wins over what the gate believes; a contradiction puts the
- * sampler in doubt, so that nothing more starts on weights nobody ordered.
+ * Creates a function that turns an engine's chunk into a span with the version that produced it, or returns undefined
+ * if that version is unknown. A chunk's own fingerprint takes precedence over the version that the sidecar expects.
+ * After a contradiction the served version counts as unknown, so that nothing more starts on weights that were not
+ * ordered.
  */
 export function createStamper(
     weights: ServedWeights,
--- a/packages/sidecar/src/createSuspects.ts
+++ b/packages/sidecar/src/createSuspects.ts
@@ -8,18 +8,18 @@
 }
 
 interface Suspicion {
-    /** What was in flight at each death, by the incarnation that died; undefined where that is not known. */
+    /** Number of contents in flight at each crash, by the engine incarnation that crashed; undefined if unknown. */
     deaths: Map<string, number | undefined>;
     lastMs: number;
 }
 
-/** Long enough for every entry to hear of it in reports; then the quarantine list remembers. */
+/** Long enough for every entry to receive the suspicion in reports; from then on the quarantine list keeps it. */
 const suspicionRetentionMs = 3_600_000;
 const maxSuspects = 1_000;
 
 /**
- * Makes the list. A death is keyed by VM and engine incarnation, so that several broken attempts of one death
- * count as one; conviction needs deaths on two VMs and is not decided here.
+ * Creates the list. A crash is identified by VM and engine incarnation, so that several attempts broken by one crash
+ * count once. Quarantine needs crashes on two VMs and is not decided here.
  */
 export function createSuspects(deps: SuspectsDeps): Suspects {
     const inFlight = new Map<ContentDigest, number>();
@@ -45,7 +45,8 @@
 
     function recordSuspicion(digest: ContentDigest, bootId: string, contents?: number): void {
         const suspicion = suspicions.get(digest) ?? { deaths: new Map(), lastMs: 0 };
-        // One death is noted by each attempt that it broke off, and fewer are left in flight each time.
+        // Each attempt broken by a crash records it, with fewer contents left in flight each time, so the first count
+        // is kept.
         suspicion.deaths.set(bootId, suspicion.deaths.get(bootId) ?? contents);
         suspicion.lastMs = deps.nowMs();
         suspicions.delete(digest);
--- a/packages/sidecar/src/createTokenCheck.ts
+++ b/packages/sidecar/src/createTokenCheck.ts
@@ -1,7 +1,7 @@
 import { createHash, timingSafeEqual } from "node:crypto";
 
 /**
- * Makes a check of a token against its SHA-256 digest in hex, in constant time. A token that has passed is compared
+ * Creates a constant-time check of a token against its SHA-256 digest in hex. A token that has passed is compared
  * directly from then on, which saves a hash for each request.
  */
 export function createTokenCheck(digest: string): (token: string | string[] | undefined) => boolean {
--- a/packages/sidecar/src/createTrialReservation.test.ts
+++ b/packages/sidecar/src/createTrialReservation.test.ts
@@ -27,9 +27,10 @@
     return { ...setup, run, trial, ends };
 }
 
-test("a trial waits for what runs, and nothing else starts until it has ended", async () => {
-    // Guards against: a killing content takes the work of others with it, and its death again names them all.
-    const { clock, control, sidecar: gate, run, trial, ends } = await createReadySidecar(64);
+test("a trial waits for running work, and nothing else starts until it has ended", async () => {
+    // Guards against a crash-inducing content that takes other work down with it, so that its crash makes all of them
+    // suspect again.
+    const { clock, control, sidecar, run, trial, ends } = await createReadySidecar(64);
     run("before");
     await clock.advance(50);
     trial("trial");
@@ -39,7 +40,7 @@
     await clock.advance(100);
     expect([...control.starts().keys()]).toEqual(["before"]);
     expect(ends).toEqual({ after: "overloaded", refused: "overloaded" });
-    expect(gate.report().limit).toBe(1);
+    expect(sidecar.report().limit).toBe(1);
     await clock.advance(1_500);
     expect([...control.starts().keys()]).toEqual(["before", "trial"]);
     run("during");
@@ -50,7 +51,7 @@
     expect(ends).toMatchObject({ then: "ran true" });
 });
 
-test("long work is cancelled for a trial after a while, and a second trial goes elsewhere", async () => {
+test("long work is cancelled for a trial after a delay, and a second trial is refused", async () => {
     const { clock, control, run, trial, ends } = await createReadySidecar(2);
     run("long");
     await clock.advance(50);
@@ -63,20 +64,21 @@
     expect(control.starts().has("first" as never)).toBe(true);
 });
 
-test("a trial with little time gives the sampler up while half of it is left", async () => {
-    // Guards against: a sampler stands idle for a caller that has gone, and an innocent content waits an hour.
-    const { clock, sidecar: gate, attempt, run, ends } = await createReadySidecar(2);
+test("a trial with a small budget is refused while half of the budget is left", async () => {
+    // Guards against a sampler that stays idle for a caller that has gone, and an innocent content that is refused for
+    // an hour longer.
+    const { clock, sidecar, attempt, run, ends } = await createReadySidecar(2);
     const body = JSON.stringify({ model: "plume", prompt: "long", max_tokens: 64 });
     const request = { service: "model", team: "team", method: "POST", path: "/v1/completions", headers: {} };
     const uncancellable = { ...request, attempt: "quote", digest: "q", idempotent: true, budgetMs: 60_000 };
-    void gate.callPlain({ ...uncancellable, body: Buffer.from(body) } as never, never);
+    void sidecar.callPlain({ ...uncancellable, body: Buffer.from(body) } as never, never);
     await clock.advance(50);
     run("trial", { digest: "digest-x", isTrial: true, budgetMs: 2_000 });
     await clock.advance(900);
     expect(ends).toEqual({});
     await clock.advance(200);
     expect(ends).toEqual({ trial: "overloaded" });
-    void gate.runSample(attempt("after"), () => undefined, never);
+    void sidecar.runSample(attempt("after"), () => undefined, never);
     await clock.advance(50);
-    expect(gate.report().running).toBe(2);
+    expect(sidecar.report().running).toBe(2);
 });
--- a/packages/sidecar/src/createTrialReservation.ts
+++ b/packages/sidecar/src/createTrialReservation.ts
@@ -12,16 +12,19 @@
     slots: Slots;
 }
 
-/** What runs may end by itself for this long; then rollouts are cancelled, which resume elsewhere with what they made. */
+/**
+ * Running work may end by itself for this long; then rollouts are cancelled, and resume elsewhere with the tokens
+ * generated so far.
+ */
 const preemptAfterMs = 5_000;
 const preemptAfterBudgetShare = 0.25;
-/** Work that may not be cancelled keeps its sampler; the trial is given back and tried at another. */
+/** After this, work that may not be cancelled keeps the sampler; the trial is refused and attempted at another. */
 const abandonAfterMs = 30_000;
 const abandonAfterBudgetShare = 0.5;
 
 /**
- * Makes the hold of one sampler. A trial that ran beside other work would tell as little as the deaths before it, and
- * a killer would take that work with it.
+ * Creates the trial reservation of one sampler. A trial that ran beside other work would prove as little as the crashes
+ * before it, and a crash-inducing request would take that work down with it.
  */
 export function createTrialReservation(
     { clock, logger, guards, slots }: TrialReservationDeps,
--- a/packages/sidecar/src/createWorkAbort.ts
+++ b/packages/sidecar/src/createWorkAbort.ts
@@ -3,13 +3,12 @@
 
 interface WorkAbortDeps {
     clock: Clock;
-    /** The caller's signal. */
     callerSignal: AbortSignal;
-    /** All work in flight at the gate, ended together by a kill or at a shutdown's deadline. */
+    /** All work in flight at the sidecar, aborted together by a kill or at the deadline of a shutdown. */
     inFlight: Set<WorkAbort>;
 }
 
-/** Makes the signal of one piece of work and enters it as in flight until it is disposed of. */
+/** Creates the signal of one piece of work and registers the work as in flight until it is disposed of. */
 export function createWorkAbort(deps: WorkAbortDeps): WorkAbort {
     const controller = new AbortController();
     const abort = (): void => controller.abort();
--- a/packages/sidecar/src/defaultSidecarGuards.ts
+++ b/packages/sidecar/src/defaultSidecarGuards.ts
@@ -1,9 +1,9 @@
 import type { SidecarGuards } from "./SidecarGuards.js";
 
-/** Deaths on this many different VMs put a content under quarantine. */
+/** Crashes on this many different VMs quarantine a content. */
 const quarantineVmThreshold = 2;
 
-/** The guards in force outside the fault bench. */
+/** The guards used outside the fault bench. */
 export const defaultSidecarGuards: SidecarGuards = {
     tombstone: standing => standing !== "tombstone" && standing !== "refused",
     duplicate: standing => standing !== "running" && standing !== "finished",
--- a/packages/sidecar/src/describeRequestError.ts
+++ b/packages/sidecar/src/describeRequestError.ts
@@ -1,7 +1,7 @@
 import { ResultError } from "@auburnarch/errors/ResultError";
 import { z } from "zod";
 
-/** What is wrong with a message, without repeating its content. */
+/** Describes what is wrong with a message, without repeating its content. */
 export function describeRequestError(error: unknown): string {
     if (error instanceof z.ZodError) {
         const issue = error.issues[0]!;
--- a/packages/sidecar/src/drainPolicy.ts
+++ b/packages/sidecar/src/drainPolicy.ts
@@ -1,12 +1,14 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { SidecarContext } from "./SidecarContext.js";
 
-/** Running unstamped samples get this long to finish before a swap cancels them; what they made is kept. */
+/**
+ * Running unstamped samples get this long to finish before a swap cancels them; the tokens generated so far are kept.
+ */
 const drainTimeoutMs = 20_000;
 
 /**
- * Resolves once nothing of the policy runs; the caller holds back new work. An engine that does not stamp its
- * chunks would otherwise swap in the middle of a sample, and nobody could say later which tokens came before.
+ * Resolves once no sample of the policy runs; the caller must have paused new work. An engine that does not stamp its
+ * chunks would otherwise swap in the middle of a sample, and the version of its tokens could not be determined later.
  */
 export async function drainPolicy(context: SidecarContext, policy: PolicyId): Promise<void> {
     if (context.guards.swapDrained(context.slots.runningOf(policy))) {
--- a/packages/sidecar/src/expectedEngineMs.ts
+++ b/packages/sidecar/src/expectedEngineMs.ts
@@ -2,10 +2,13 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { SidecarContext } from "./SidecarContext.js";
 
-/** Most requests end long before their token limit; the true cost replaces this guess afterwards. */
+/** Most requests end long before their token limit; the actual cost replaces this estimate afterwards. */
 const maxExpectedTokens = 512;
 
-/** Engine time that a generation is charged in advance: its tokens at the engine's speed, shared by the batch. */
+/**
+ * Estimates the engine time that a generation is charged in advance: its tokens at the engine's speed, shared by the
+ * batch.
+ */
 export function expectedEngineMs(
     context: SidecarContext,
     work: { maxTokens: number; resume: TokenSpan[]; },
--- a/packages/sidecar/src/findCommonRefusal.test.ts
+++ b/packages/sidecar/src/findCommonRefusal.test.ts
@@ -25,15 +25,15 @@
         await clock.advance(1);
         return ended;
     }
-    return { gate: sidecar, clock, send };
+    return { sidecar, clock, send };
 }
 
-// Guards against: a content that has killed on two VMs kills the engine of a sidecar that has just started.
-test("a sidecar that has just started takes work once it has been told what is refused", async () => {
-    const { gate, send } = createStartedSidecar();
+// Guards against a content with crashes on two VMs that crashes the engine of a sidecar that has just started.
+test("a sidecar that has just started accepts work once it has received its configuration", async () => {
+    const { sidecar, send } = createStartedSidecar();
     const before = await send("early killer", "digest-killer");
-    gate.offerManifest(manifest);
-    gate.offerQuarantine(1, [quarantineRecord]);
+    sidecar.offerManifest(manifest);
+    sidecar.offerQuarantine(1, [quarantineRecord]);
     expect([before, await send("killer"), await send("other")]).toEqual([
         "notRun notReady",
         "notRun quarantined",
@@ -41,7 +41,7 @@
     ]);
 });
 
-test("a sidecar that nobody tells anything takes work after a while", async () => {
+test("a sidecar that receives no configuration accepts work after the waiting time", async () => {
     const { clock, send } = createStartedSidecar();
     await clock.advance(initialConfigWaitMs - 1);
     const before = await send("first");
--- a/packages/sidecar/src/findCommonRefusal.ts
+++ b/packages/sidecar/src/findCommonRefusal.ts
@@ -5,7 +5,7 @@
 import { findQuarantineRefusal } from "./findQuarantineRefusal.js";
 import type { SidecarContext } from "./SidecarContext.js";
 
-/** The checks that every kind of work passes first, in order; undefined lets it pass. Changes nothing. */
+/** Makes the first checks of every kind of work, in order; undefined lets it pass. Changes nothing. */
 export function findCommonRefusal(
     context: SidecarContext,
     work: { attempt: AttemptId; digest: ContentDigest; isTrial?: boolean; },
@@ -15,7 +15,7 @@
     if (!guards.tombstone(standing)) {
         return resultCodes.tombstoned;
     }
-    // The first message of this id runs or ran: only "unknown" is true of the attempt.
+    // The first message with this id runs or ran, so the only correct outcome is "unknown".
     if (!guards.duplicate(standing)) {
         return resultCodes.connectionBroken;
     }
--- a/packages/sidecar/src/findQuarantineRefusal.test.ts
+++ b/packages/sidecar/src/findQuarantineRefusal.test.ts
@@ -26,8 +26,8 @@
     return { ...setup, code };
 }
 
-test("two contents that a death counts against do not run here at once", async () => {
-    // Guards against: a whole group is refused everywhere for a day and its step never becomes whole.
+test("two contents that a crash counts against do not run at one sampler at once", async () => {
+    // Guards against a whole group that is refused everywhere for a day, so that its step never completes.
     const { sidecar, clock, attempt, code } = await createReadySidecar();
     sidecar.offerQuarantine(1, [record("digest-group", ["vm-a"]), record("digest-killer", ["vm-a"])]);
     expect(await code(attempt("group"))).toBe("running");
@@ -37,33 +37,33 @@
     expect(await code(attempt("killer-2", { digest: "digest-killer" }))).toBe("running");
 });
 
-test("of two contents that died together twice neither is refused, until a third death names one", async () => {
-    const { sidecar: gate, clock, attempt, code } = await createReadySidecar();
+test("two contents with the same two crashes are not refused, until a third crash counts against one of them", async () => {
+    const { sidecar, clock, attempt, code } = await createReadySidecar();
     const both = ["vm-a", "vm-b"];
-    gate.offerQuarantine(1, [record("digest-group", both), record("digest-killer", both)]);
+    sidecar.offerQuarantine(1, [record("digest-group", both), record("digest-killer", both)]);
     expect(await code(attempt("group"))).toBe("running");
     expect(await code(attempt("killer"))).toBe("overloaded");
     await clock.advance(10_000);
-    gate.offerQuarantine(2, [record("digest-group", both), record("digest-killer", [...both, "vm-c"])]);
+    sidecar.offerQuarantine(2, [record("digest-group", both), record("digest-killer", [...both, "vm-c"])]);
     expect(await code(attempt("killer-2", { digest: "digest-killer" }))).toBe("quarantined");
     expect(await code(attempt("group-2", { digest: "digest-group" }))).toBe("running");
 });
 
-test("a content with two deaths of its own is refused", async () => {
-    const { sidecar: gate, attempt, code } = await createReadySidecar();
-    gate.offerQuarantine(1, [record("digest-killer", ["vm-a", "vm-b"]), record("digest-group", ["vm-b"])]);
+test("a content with two crashes that no other suspect explains is refused", async () => {
+    const { sidecar, attempt, code } = await createReadySidecar();
+    sidecar.offerQuarantine(1, [record("digest-killer", ["vm-a", "vm-b"]), record("digest-group", ["vm-b"])]);
     expect(await code(attempt("killer"))).toBe("quarantined");
     expect(await code(attempt("group"))).toBe("running");
 });
 
-test("two contents that killed the same VMs at different times do not excuse each other", async () => {
-    // Guards against: a convicted content is released and kills three more engines.
-    const { sidecar: gate, attempt, code } = await createReadySidecar();
+test("two contents with crashes on the same VMs at different times do not excuse each other", async () => {
+    // Guards against a quarantined content that is released and crashes three more engines.
+    const { sidecar, attempt, code } = await createReadySidecar();
     const second = record("digest-second", ["vm-a", "vm-b"]);
     second.deaths.forEach(death => {
         death.bootId += "-later";
     });
-    gate.offerQuarantine(1, [record("digest-first", ["vm-a", "vm-b"]), second]);
+    sidecar.offerQuarantine(1, [record("digest-first", ["vm-a", "vm-b"]), second]);
     expect(await code(attempt("first"))).toBe("quarantined");
     expect(await code(attempt("second"))).toBe("quarantined");
 });
--- a/packages/sidecar/src/findQuarantineRefusal.ts
+++ b/packages/sidecar/src/findQuarantineRefusal.ts
@@ -9,10 +9,10 @@
 }
 
 /**
- * The check of the quarantine, before work is queued and again before it starts. Two contents that a death counts
- * against never run here at once: if the sampler died under them, the bystander would have its second death, and be
- * refused everywhere with the one that killed it. A trial passes, since its sender has it counted, and while one waits
- * or runs here nothing else does.
+ * Makes the quarantine checks, before work is queued and again before it starts. Two contents that a crash counts
+ * against never run here at once: if the engine crashed under them, the innocent one would have its second crash and be
+ * refused everywhere, like the one that caused it. A trial passes, since its sender has already counted it; while a
+ * trial waits or runs here, no other work passes.
  */
 export function findQuarantineRefusal(context: SidecarContext, work: SuspectWork): ResultCode | undefined {
     const { guards, quarantine, suspects, trialReservation: trials } = context;
--- a/packages/sidecar/src/findQueueRefusal.ts
+++ b/packages/sidecar/src/findQueueRefusal.ts
@@ -3,7 +3,7 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { SidecarContext } from "./SidecarContext.js";
 
-/** The last checks before work is queued: deadline, then the bound of the team's queue. */
+/** Makes the last checks before work is queued: its deadline, then the limit of the team's queue. */
 export function findQueueRefusal(
     context: SidecarContext,
     work: { team: TeamId; budgetMs: number; },
--- a/packages/sidecar/src/findSampleRefusal.ts
+++ b/packages/sidecar/src/findSampleRefusal.ts
@@ -3,7 +3,7 @@
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
 import type { SidecarContext } from "./SidecarContext.js";
 
-/** The checks of a sample that may change while it waits: fencing, served policy, least version. */
+/** Makes the checks of a sample whose result may change while it waits: fencing, served policy, minimum version. */
 export function findSampleRefusal(context: SidecarContext, attempt: SampleAttempt): ResultCode | undefined {
     const { guards, weights } = context;
     if (!guards.fencing(context.fencing.highest(attempt.job), attempt.fencing)) {
--- a/packages/sidecar/src/initialConfigWaitMs.ts
+++ b/packages/sidecar/src/initialConfigWaitMs.ts
@@ -1,2 +1,5 @@
-/** Time for which a sidecar that has just started takes no work while no entry has told it what is in force. */
+/**
+ * Longest time for which a sidecar that has just started refuses work while it has received no configuration from an
+ * entry.
+ */
 export const initialConfigWaitMs = 2_000;
--- a/packages/sidecar/src/jsonAnswer.ts
+++ b/packages/sidecar/src/jsonAnswer.ts
@@ -1,6 +1,6 @@
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
 
-/** A whole JSON answer. */
+/** Builds a complete JSON response. */
 export function jsonAnswer(status: number, json: string): PlainAnswer {
     const bytes = Buffer.from(json);
     return {
--- a/packages/sidecar/src/parseCompletion.ts
+++ b/packages/sidecar/src/parseCompletion.ts
@@ -2,10 +2,10 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import { z } from "zod";
 
-/** A completions request as a model sampler runs it. */
+/** A completions request as a model engine runs it. */
 interface Completion {
     kind: "text" | "chat";
-    /** Undefined takes the first policy served. */
+    /** Undefined selects the first served policy. */
     policy: PolicyId | undefined;
     prompt: string;
     maxTokens: number;
@@ -24,7 +24,7 @@
 const messageSchema = z.object({ role: z.string().max(64), content: z.string() });
 const chatSchema = z.object({ ...common, messages: z.array(messageSchema).min(1) });
 
-/** Reads an OpenAI-style completions request; a sentence naming the fault if it is none. */
+/** Parses an OpenAI-style completions request; returns a sentence that names the fault if it is invalid. */
 export function parseCompletion(request: PlainRequest): Completion | string {
     const path = request.path.split("?")[0]!;
     const isChat = path.endsWith("/v1/chat/completions");
--- a/packages/sidecar/src/parseFingerprint.ts
+++ b/packages/sidecar/src/parseFingerprint.ts
@@ -1,7 +1,7 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** Reads `policy@version`; undefined for anything else. The policy may hold `@` itself. */
+/** Parses `policy@version`; undefined for anything else. The policy itself may contain `@`. */
 export function parseFingerprint(
     fingerprint: string,
 ): { policy: PolicyId; version: WeightVersion; } | undefined {
--- a/packages/sidecar/src/reserveForTrial.ts
+++ b/packages/sidecar/src/reserveForTrial.ts
@@ -1,12 +1,12 @@
 import type { SidecarContext } from "./SidecarContext.js";
 
 interface Reservation {
-    /** What the wait has left of the budget. */
+    /** Budget left after the wait. */
     budgetMs: number;
     release(): void;
 }
 
-/** Holds the sampler for a trial that has `budgetMs`; undefined if it may not begin here now. */
+/** Reserves the sampler for a trial with a budget of `budgetMs`; undefined if it may not begin here now. */
 export async function reserveForTrial(
     context: SidecarContext,
     budgetMs: number,
--- a/packages/sidecar/src/runGeneration.ts
+++ b/packages/sidecar/src/runGeneration.ts
@@ -22,16 +22,16 @@
     digest: ContentDigest;
     resume: TokenSpan[];
     onSpan: (span: TokenSpan) => void;
-    /** Ends the generation; what was made is kept. */
+    /** Ends the generation; the tokens generated so far are kept. */
     signal: AbortSignal;
 }
 
 const unstartedFinish: EngineFinish = { reason: "cancelled", engineMs: 0, cachedPromptTokens: 0 };
 const unansweredFinish: EngineFinish = { reason: "crashed", engineMs: 0, cachedPromptTokens: 0 };
-/** An engine told to cancel a lost generation may take this long to say what it cost. */
+/** Longest wait for the cost of a lost generation, after the engine was asked to cancel it. */
 const lostGenerationGraceMs = 1_000;
 
-/** Runs one generation at the engine and stamps its tokens. Never rejects. */
+/** Runs one generation at the engine and attributes its tokens to weight versions. Never rejects. */
 export async function runGeneration(
     context: SidecarContext,
     options: GenerationOptions,
@@ -93,7 +93,7 @@
             return await Promise.race([engine.generate(request, handleChunk, abort.signal), whenUnanswered]);
         }
         catch (error) {
-            // The engine was gone before it took the request, which is therefore not suspect of the death.
+            // The engine was unreachable before it accepted the request, which is therefore not suspect of the crash.
             weights.markEngineDown(codeOf(error).name);
             lossCode ??= resultCodes.engineUnreachable;
             return unansweredFinish;
@@ -104,7 +104,7 @@
         }
     }
 
-    /** An engine that stamps nothing may have changed its weights since the last heartbeat. */
+    /** An engine that does not stamp its chunks may have changed its weights since the last heartbeat. */
     async function areWeightsUnchanged(): Promise<boolean> {
         const reported = await engine.describe().catch(() => undefined);
         const version = reported?.served.find(served => served.policy === request.policy)?.version;
@@ -158,7 +158,7 @@
     const removeInFlight = context.suspects.addInFlight(options.digest);
     const finish = await runEngine();
     if (finish.reason !== "crashed") {
-        // The engine is done with it. What is looked up from here on takes time in which another content may kill it.
+        // The engine has finished this request. The checks below take time in which another content may crash it.
         removeInFlight();
     }
     await classifyLoss(finish);
--- a/packages/sidecar/src/runWithReservation.ts
+++ b/packages/sidecar/src/runWithReservation.ts
@@ -7,8 +7,8 @@
 }
 
 /**
- * Runs work, and a trial only once nothing else runs here; `run` gets what is left of the budget. Undefined if a trial
- * did not find the sampler idle in time.
+ * Runs work; a trial runs only once nothing else runs here. `run` receives the budget left. Undefined if the sampler
+ * did not become idle in time for a trial.
  */
 export async function runWithReservation<Result>(
     context: SidecarContext,
@@ -17,7 +17,7 @@
     run: (budgetMs: number) => Promise<Result>,
 ): Promise<Result | undefined> {
     if (work.isTrial !== true) {
-        // At once: what is sent together must find each other in the queue, or its bound would not hold.
+        // Called synchronously: requests sent together must see each other in the queue, or its limit would not hold.
         return await run(work.budgetMs);
     }
     const reservation = await reserveForTrial(context, work.budgetMs, signal);
--- a/packages/sidecar/src/sendEngineOrder.ts
+++ b/packages/sidecar/src/sendEngineOrder.ts
@@ -10,7 +10,7 @@
 
 const orderTimeoutMs = 120_000;
 
-/** Gives the engine an order. No answer, a late one or a failure leaves unknown what the engine serves. */
+/** Sends an order to the engine. After a missing or late answer, or a failure, it is unknown what the engine serves. */
 export async function sendEngineOrder(
     deps: { clock: Clock; logger: Logger; },
     engine: EnginePort,
--- a/packages/sidecar/src/serveSidecar.test.ts
+++ b/packages/sidecar/src/serveSidecar.test.ts
@@ -95,51 +95,51 @@
     ...overrides,
 });
 
-test("a trial is one over HTTP too, and a caller cannot claim one", async () => {
-    // Guards against: a refused content reaches samplers at its caller's will.
+test("a trial is marked as one over HTTP, and a caller's headers cannot claim one", async () => {
+    // Guards against a quarantined content that its caller can send to samplers at will.
     const { backend } = createFakePlainService({ clock, latencyMs: 1 });
-    const { sidecar: gate, client: sidecar } = await serve(undefined, backend);
+    const { sidecar, client } = await serve(undefined, backend);
     const vms = ["vm-1", "vm-2"];
     const deaths = vms.map(vm => ({ vm, bootId: "b", atMs: clock.wallMs() }));
     const record = { digest: "d", deaths, expiresAtMs: clock.wallMs() + 60_000 };
-    gate.offerQuarantine(1, [record] as unknown as Parameters<Sidecar["offerQuarantine"]>[1]);
+    sidecar.offerQuarantine(1, [record] as unknown as Parameters<Sidecar["offerQuarantine"]>[1]);
     const claimed = passHeaders({ "x-auburnarch-trial": "1" });
-    const refused = await sidecar.callPlain(plainRequest({ headers: claimed }), never);
+    const refused = await client.callPlain(plainRequest({ headers: claimed }), never);
     expect(refused).toMatchObject({ kind: "notRun", code: { name: "quarantined" } });
-    expect(await sidecar.callPlain(plainRequest({ isTrial: true }), never)).toMatchObject({ kind: "ran" });
+    expect(await client.callPlain(plainRequest({ isTrial: true }), never)).toMatchObject({ kind: "ran" });
 });
 
-test("a sample over HTTP is the same as in process: spans stream, outcome, usage and report follow", async () => {
-    const { sidecar: gate, client: sidecar } = await serve(fastEngine().engine, undefined);
+test("a sample over HTTP is the same as in process: streamed spans, outcome, usage and report", async () => {
+    const { sidecar, client } = await serve(fastEngine().engine, undefined);
     const { attempt, load } = createSidecarFixture();
     const streamed: TokenSpan[] = [];
-    const outcome = await sidecar.runSample(attempt("a"), span => streamed.push(span), never);
+    const outcome = await client.runSample(attempt("a"), span => streamed.push(span), never);
     expect(outcome).toMatchObject({
         kind: "ran",
         answer: { complete: true, spans: [{ version: 1, tokens: 64 }] },
     });
     const text = streamed.map(span => span.text).join("");
     expect(outcome).toMatchObject({ answer: { spans: [{ text }] } });
-    expect(await sidecar.order(load(2, 5))).toMatchObject({ kind: "done" });
-    expect(await sidecar.order(load(3, 4))).toMatchObject({ kind: "refused", code: { name: "fenced" } });
-    expect(await sidecar.runSample(attempt("b", { minVersion: 9 }), () => {}, never))
+    expect(await client.order(load(2, 5))).toMatchObject({ kind: "done" });
+    expect(await client.order(load(3, 4))).toMatchObject({ kind: "refused", code: { name: "fenced" } });
+    expect(await client.runSample(attempt("b", { minVersion: 9 }), () => {}, never))
         .toMatchObject({ kind: "notRun", code: { name: "staleWeights" } });
-    expect(await sidecar.readUsage()).toEqual(await gate.readUsage());
-    expect(await sidecar.readReport()).toMatchObject({ state: "ready", served: [{ version: 2 }] });
-    expect(await sidecar.queryAttempt("a" as AttemptId)).toMatchObject({ state: "finished" });
+    expect(await client.readUsage()).toEqual(await sidecar.readUsage());
+    expect(await client.readReport()).toMatchObject({ state: "ready", served: [{ version: 2 }] });
+    expect(await client.queryAttempt("a" as AttemptId)).toMatchObject({ state: "finished" });
 });
 
-test("a cancelled sample answers over HTTP with what was made", async () => {
+test("a cancelled sample over HTTP returns the tokens generated so far", async () => {
     // Longer than any test may take: a sample that can end by itself on a busy machine would race its cancel.
     const tokens = 1_000_000;
-    const { client: sidecar } = await serve(fastEngine(tokens).engine, undefined);
+    const { client } = await serve(fastEngine(tokens).engine, undefined);
     const abort = new AbortController();
     const attempt = createSidecarFixture().attempt("a", { maxTokens: tokens });
-    const outcome = await sidecar.runSample(attempt, () => abort.abort(), abort.signal);
+    const outcome = await client.runSample(attempt, () => abort.abort(), abort.signal);
     expect(outcome).toMatchObject({ kind: "ran", answer: { complete: false } });
 });
 
-test("plain bodies pass both ways, and completions stream with the versions that made them", async () => {
+test("plain bodies pass both ways, and completions state the versions that produced them", async () => {
     const plain = await serve(undefined, createFakePlainService({ clock }).backend);
     const outcome = await plain.client.callPlain(plainRequest(), never);
     const body = outcome.kind === "ran" ? (await readWhole(outcome.answer.body, 1_000)).toString() : "";
@@ -165,12 +165,12 @@
 });
 
 test.each([10, 600_000])(
-    "an answer of %i bytes cut half way is broken for the caller, never whole",
+    "a response of %i bytes cut off half way is broken for the caller, never complete",
     async bytes => {
         const { backend, control } = createFakePlainService({ clock, answer: () => new Uint8Array(bytes) });
-        const { client: sidecar } = await serve(undefined, backend);
+        const { client } = await serve(undefined, backend);
         const read = async (): Promise<string> => {
-            const outcome = await sidecar.callPlain(plainRequest(), never);
+            const outcome = await client.callPlain(plainRequest(), never);
             if (outcome.kind !== "ran") {
                 return outcome.kind;
             }
@@ -180,13 +180,16 @@
             );
         };
         control.cutBody(1);
-        // A short part may not even have left the sidecar: then the outcome itself is unknown.
+        // A short part may not have left the sidecar; then the outcome itself is unknown.
         expect(["unknown", "ResultError"]).toContain(await read());
         expect(await read()).toBe(`${bytes} bytes`);
     },
 );
 
-/** A relay before a sidecar that can swallow what clients send, or break connections once it has arrived. */
+/**
+ * Starts a TCP proxy for a sidecar that can break connections instead of passing on what clients send, or once it has
+ * arrived.
+ */
 async function relay(
     port: number,
 ): Promise<{ port: number; setMode: (mode: "pass" | "breakBefore" | "breakAfter") => void; }> {
@@ -198,7 +201,7 @@
         client.on("error", () => {});
         upstream.on("error", () => {});
         client.on("data", data => {
-            // Only requests of work are hit; the question about them passes.
+            // Only work requests are affected; queries about them pass.
             const isWork = !data.subarray(0, 200).includes("POST /rpc");
             if (mode === "pass" || !isWork) {
                 upstream.write(data);
@@ -227,22 +230,22 @@
     };
 }
 
-test("a request lost on the way is not run and stays so; one that arrived is unknown", async () => {
-    // Guards against: a grid-tile fetch goes out twice.
+test("a request lost on the way is not run, also if it arrives late; one that arrived is unknown", async () => {
+    // Guards against a request that is not idempotent and runs twice.
     const { backend, control } = createFakePlainService({ clock });
     const { port, client: direct } = await serve(undefined, backend);
     const middle = await relay(port);
-    const sidecar = createHttpSidecar({ address: `http://127.0.0.1:${middle.port}`, clock });
-    cleanups.push(() => sidecar.close());
-    await sidecar.readReport();
+    const client = createHttpSidecar({ address: `http://127.0.0.1:${middle.port}`, clock });
+    cleanups.push(() => client.close());
+    await client.readReport();
     middle.setMode("breakBefore");
     const lost = plainRequest({ idempotent: false });
-    expect(await sidecar.callPlain(lost, never)).toMatchObject({ kind: "notRun" });
+    expect(await client.callPlain(lost, never)).toMatchObject({ kind: "notRun" });
     middle.setMode("breakAfter");
     control.setLatency(5);
     const arrived = plainRequest({ idempotent: false });
-    expect(await sidecar.callPlain(arrived, never)).toMatchObject({ kind: "unknown" });
-    // The lost message turns up after all.
+    expect(await client.callPlain(arrived, never)).toMatchObject({ kind: "unknown" });
+    // The lost message arrives late.
     expect(await direct.callPlain(lost, never)).toMatchObject({
         kind: "notRun",
         code: { name: "tombstoned" },
@@ -250,7 +253,7 @@
     expect([...control.runsByAttempt()]).toEqual([[arrived.attempt, 1]]);
 });
 
-test("nobody listening is not run; a sidecar that died under the request is unknown", async () => {
+test("a request to a closed port is not run; one whose sidecar was killed while it ran is unknown", async () => {
     const gone = createHttpSidecar({ address: "http://127.0.0.1:1", clock });
     expect(await gone.callPlain(plainRequest(), never)).toMatchObject({
         kind: "notRun",
@@ -260,20 +263,20 @@
     gone.close();
 
     const { backend, control } = createFakePlainService({ clock, latencyMs: 60_000 });
-    const { client: sidecar, sidecar: gate, close } = await serve(undefined, backend);
-    const calling = sidecar.callPlain(plainRequest(), never);
+    const { client, sidecar, close } = await serve(undefined, backend);
+    const calling = client.callPlain(plainRequest(), never);
     while (control.runsByAttempt().size === 0) {
         await new Promise(resolve => setImmediate(resolve));
     }
-    gate.kill();
+    sidecar.kill();
     await close(false);
     expect(await calling).toMatchObject({ kind: "unknown" });
 });
 
-test("a graceful close lets the answer under way be written to its end", async () => {
+test("a graceful close waits until the response in progress is written", async () => {
     const { backend, control } = createFakePlainService({ clock, latencyMs: 30 });
-    const { client: sidecar, close } = await serve(undefined, backend);
-    const calling = sidecar.callPlain(plainRequest(), never);
+    const { client, close } = await serve(undefined, backend);
+    const calling = client.callPlain(plainRequest(), never);
     while (control.runsByAttempt().size === 0) {
         await new Promise(resolve => setImmediate(resolve));
     }
@@ -294,12 +297,12 @@
     return { status: answer.status, text: await answer.text() };
 };
 
-test("a process without the cluster's token reaches nothing behind the sidecar", async () => {
+test("a process without the cluster token reaches nothing behind the sidecar", async () => {
     const { backend, control } = createFakePlainService({ clock });
-    const { sidecar: gate } = await serve(undefined, backend);
+    const { sidecar } = await serve(undefined, backend);
     const clusterTokenDigest = createHash("sha256").update("secret").digest("hex");
     const logger = createLogger(clock, () => {});
-    const served = await serveSidecar(gate, {
+    const served = await serveSidecar(sidecar, {
         port: 0,
         host: "127.0.0.1",
         clock,
@@ -307,22 +310,22 @@
         clusterTokenDigest,
     });
     const address = `http://127.0.0.1:${served.port}`;
-    const sidecars = [undefined, "wrong", "secret"].map(clusterToken =>
+    const clients = [undefined, "wrong", "secret"].map(clusterToken =>
         createHttpSidecar({ address, clock, clusterToken })
     );
-    cleanups.push(() => served.close(false), ...sidecars.map(sidecar => () => sidecar.close()));
+    cleanups.push(() => served.close(false), ...clients.map(client => () => client.close()));
     const outcomes: string[] = [];
-    for (const sidecar of sidecars) {
-        const outcome = await sidecar.callPlain(plainRequest(), never);
+    for (const client of clients) {
+        const outcome = await client.callPlain(plainRequest(), never);
         outcomes.push(outcome.kind === "ran" ? "ran" : `${outcome.kind} ${outcome.code.name}`);
     }
     expect(outcomes).toEqual(["notRun unauthenticated", "notRun unauthenticated", "ran"]);
     expect(control.runsByAttempt().size).toBe(1);
 });
 
-test("hostile messages get numbered codes, run nothing and stop nothing", async () => {
+test("malformed messages get numbered codes, run nothing and do not stop the sidecar", async () => {
     const { engine, control } = fastEngine();
-    const { port, client: sidecar } = await serve(engine, undefined);
+    const { port, client } = await serve(engine, undefined);
     const rpc = fc.oneof(
         fc.json(),
         fc.string(),
@@ -348,5 +351,5 @@
     expect(JSON.parse((await post(port, "/samples", "x".repeat(70_000))).text)).toMatchObject({ code: 1006 });
     expect(JSON.parse((await post(port, "/rpc", "[".repeat(1_000))).text)).toMatchObject({ code: 1000 });
     expect(control.starts().size).toBe(0);
-    expect(await sidecar.readReport()).toMatchObject({ state: "ready" });
+    expect(await client.readReport()).toMatchObject({ state: "ready" });
 });
--- a/packages/sidecar/src/serveSidecar.ts
+++ b/packages/sidecar/src/serveSidecar.ts
@@ -25,9 +25,8 @@
 const maxHeaderBytes = 16_384;
 
 /**
- * Serves a gate: `/plain/…` requests, `POST /samples` (an answer of JSON lines), `POST /rpc` (JSON-RPC),
- * probes and metrics. Bodies,
- * headers, connections and the time a request may take to arrive are bounded.
+ * Serves a sidecar over HTTP: `/plain/…` requests, `POST /samples` (answered with JSON lines), `POST /rpc` (JSON-RPC),
+ * probes and metrics. Bodies, headers, connections and the time a request may take to arrive are limited.
  */
 export async function serveSidecar(sidecar: Sidecar, options: ServeSidecarOptions): Promise<ServedSidecar> {
     const maxBodyBytes = options.maxBodyBytes ?? defaultMaxBodyBytes;
@@ -103,7 +102,7 @@
             if (!graceful) {
                 server.closeAllConnections();
             }
-            // A connection kept alive after its last answer would hold the server open for its whole idle time.
+            // A connection kept alive after its last response would keep the server open for its whole idle timeout.
             const stopClosingIdle = closeIdleConnections();
             await closed;
             stopClosingIdle();
--- a/packages/sidecar/src/shutdownSidecar.ts
+++ b/packages/sidecar/src/shutdownSidecar.ts
@@ -2,10 +2,10 @@
 import type { SidecarContext } from "./SidecarContext.js";
 
 const idlePollMs = 20;
-/** After the deadline the engine gets this long to confirm the cancelling. */
+/** Time after the deadline for the engine to confirm the cancellations. */
 const cancelGraceMs = 2_000;
 
-/** Lets everything in flight finish for up to `deadlineMs`, then cancels the rest; resolves when nothing is left. */
+/** Lets all work in flight finish for up to `deadlineMs`, then cancels the rest and waits for it to end. */
 export async function shutdownSidecar(context: SidecarContext, deadlineMs: number): Promise<void> {
     const { flags, slots, inFlight } = context;
     const { clock, invariants, logger } = context.deps;
@@ -17,7 +17,7 @@
     }
 
     flags.shuttingDown = true;
-    // Waiting rollouts have not run; another sampler starts them sooner than this one would.
+    // Waiting rollouts have not run; another sampler can start them sooner than this one.
     slots.refuseWaiting(entry => entry.preempt !== undefined, resultCodes.shuttingDown);
     const startedAtMs = clock.monotonicMs();
     await waitIdle(startedAtMs + deadlineMs);
--- a/packages/sidecar/src/testing/createSidecarFixture.ts
+++ b/packages/sidecar/src/testing/createSidecarFixture.ts
@@ -33,7 +33,7 @@
     engine?: Partial<FakeEngineOptions>;
     backend?: PlainBackend;
     guards?: SidecarGuards;
-    /** Number of the job's lease in the object API; a rejection stands for an outage. */
+    /** Fencing number of the job's lease in the object API; a rejection simulates an outage. */
     readFencing?: () => Promise<number>;
     clock?: FakeClock;
     sampler?: string;
@@ -46,7 +46,7 @@
     control: ReturnType<typeof createFakeEngine>["control"];
     lines: string[];
     invariants: Invariants;
-    /** An attempt that makes up to 64 tokens of policy `plume`, changed by `overrides`. */
+    /** An attempt that generates up to 64 tokens of policy `plume`, changed by `overrides`. */
     attempt: (id: string, overrides?: Partial<Record<keyof SampleAttempt, unknown>>) => SampleAttempt;
     /** An order to load a version of policy `plume`. */
     load: (version: number, fencing: number) => SamplerOrder;
@@ -95,7 +95,10 @@
     },
 });
 
-/** A gate before a fake engine that serves `plume@1`, under a fake clock; described once `clock` has advanced. */
+/**
+ * Creates a sidecar with a fake engine that serves `plume@1`, under a fake clock. The engine is described once `clock`
+ * has advanced.
+ */
 export function createSidecarFixture(options: SidecarFixtureOptions = {}): SidecarFixture {
     const clock = options.clock ?? createFakeClock();
     const lines: string[] = [];
--- a/packages/sidecar/src/watchBody.ts
+++ b/packages/sidecar/src/watchBody.ts
@@ -2,8 +2,8 @@
 import { ResultError } from "@auburnarch/errors/ResultError";
 
 /**
- * Passes a body on and calls `onEnd` once, when it is read to its end, fails, is given up, or `signal` is aborted.
- * An aborted body rejects, so that what came before never passes for the whole.
+ * Passes a body on and calls `onEnd` when it is read to its end, fails, is abandoned, or `signal` is aborted. An
+ * aborted body rejects, so that a partial body is never taken for a complete one.
  */
 export function watchBody(
     body: AsyncIterable<Uint8Array>,
@@ -21,7 +21,10 @@
 
     const pass = (result: IteratorResult<Uint8Array>): IteratorResult<Uint8Array> => {
         if (signal.aborted) {
-            throw new ResultError(resultCodes.connectionBroken, "the work was ended");
+            throw new ResultError(
+                resultCodes.connectionBroken,
+                "the request was aborted before its body was complete",
+            );
         }
         if (result.done) {
             finish();
--- a/packages/sidecar/src/writeErrorAnswer.ts
+++ b/packages/sidecar/src/writeErrorAnswer.ts
@@ -5,7 +5,7 @@
 
 const maxDetailChars = 300;
 
-/** Answers that nothing was run, because of a fault of the message itself. */
+/** Responds that nothing was run, because the message itself was rejected. */
 export function writeErrorAnswer(
     response: ServerResponse,
     incarnation: IncarnationId,
@@ -22,7 +22,7 @@
     response.writeHead(code.httpStatus, {
         "content-type": "application/json",
         "content-length": body.length,
-        // What is left of the request will not be read.
+        // The rest of the request will not be read.
         "connection": "close",
         [sidecarHeaders.outcome]: "notRun",
         [sidecarHeaders.code]: String(number),
