--- a/packages/usage/src/StartCountRegistry.ts
+++ b/packages/usage/src/StartCountRegistry.ts
@@ -1,14 +1,16 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { StartReport } from "./StartReport.js";
 
-/** What all processes have counted, as far as it is known here. */
+/** Counts of the requests that began to run at each process, as far as this process has received them. */
 export interface StartCountRegistry {
-    /** Takes a report; late and repeated ones change nothing. */
+    /** Merges a report; late and repeated reports change nothing. */
     learn(report: StartReport): void;
-    /** Everything known, for another book. */
+    /** All known reports, for another registry. */
     reports(): StartReport[];
-    /** Requests of each team that began in a window, over all processes; teams without one are left out. */
+    /** Requests of each team that began in a window, summed over all processes; teams without requests are omitted. */
     countsOf(window: number): Map<TeamId, number>;
-    /** True if each process heard of lately has counted all that began before this moment of true time. */
+    /**
+     * True if every process that reported recently has counted all requests that began before this moment of true time.
+     */
     isCountedUntil(trueMs: number): boolean;
 }
--- a/packages/usage/src/StartReport.ts
+++ b/packages/usage/src/StartReport.ts
@@ -1,10 +1,10 @@
 import type { StartCount } from "./StartCount.js";
 
-/** What one start of a process counted. */
+/** Request counts of one run of a process. */
 export interface StartReport {
-    /** Unique to the start of the process. */
+    /** Unique to the run of the process. */
     source: string;
-    /** All that began before this moment of true time is counted. */
+    /** All requests that began before this moment of true time are counted. */
     countedUntilMs: number;
     counts: StartCount[];
 }
--- a/packages/usage/src/UsageCounters.ts
+++ b/packages/usage/src/UsageCounters.ts
@@ -4,7 +4,7 @@
 
 /** Cumulative usage counters of one sidecar incarnation. */
 export interface UsageCounters {
-    /** Adds one attempt's use. `job` is undefined for interactive and plain requests. */
+    /** Adds the usage of one attempt. `job` is undefined for interactive and plain requests. */
     add(use: { team: TeamId; job: JobId | undefined; engineMs: number; tokens: number; }): void;
     /** A copy of all counters, in the order in which they were first used. */
     read(): UsageCounter[];
--- a/packages/usage/src/createStartCountRegistry.ts
+++ b/packages/usage/src/createStartCountRegistry.ts
@@ -10,17 +10,17 @@
     lastReportAtMs: number;
 }
 
-/** Processes report about every second; one that is silent for longer is not waited for. */
+/** Processes report about once a second; a process without a report for this long is not waited for. */
 const reportTimeoutMs = 5_000;
-/** A process that ended is told for this long, until its last windows are reported. */
+/** Reports of an ended process are kept for this long, until the usage of its last windows has been reported. */
 const retentionMs = 30_000;
-/** Starts of processes at most; the one heard of longest ago goes first. */
+/** Maximum number of process runs; the one whose report is oldest is removed first. */
 const maxSources = 512;
 
 const keyOf = ({ window, team }: StartCount): string => `${window} ${team}`;
 const maximum = (a: StartCount, b: StartCount): StartCount => (a.requests >= b.requests ? a : b);
 
-/** Makes an empty book. */
+/** Creates an empty registry. */
 export function createStartCountRegistry(clock: Clock): StartCountRegistry {
     const sources = new Map<string, Source>();
 
--- a/packages/usage/src/createStartMeter.ts
+++ b/packages/usage/src/createStartMeter.ts
@@ -5,17 +5,20 @@
 import type { StartMeter } from "./StartMeter.js";
 
 interface StartMeterDeps {
-    /** Unique to the start of the process. */
+    /** Unique to the run of the process. */
     source: string;
     windowMs: number;
     trueTime: TrueTime;
     clock: Clock;
 }
 
-/** Windows that are told: those that may not be reported yet, and a few more for a new holder of the duty. */
+/**
+ * Number of windows in a report: those whose usage may not have been reported yet, and a few more for a process that
+ * takes over the reporting.
+ */
 const retainedWindows = 6;
 
-/** Makes the meter of one process. What it tells only grows, so that its reports may be repeated and disordered. */
+/** Creates the meter of one process. Its counts only grow, so its reports may be repeated or arrive out of order. */
 export function createStartMeter({ source, windowMs, trueTime, clock }: StartMeterDeps): StartMeter {
     const counts = new Map<string, StartCount>();
     const open = new Map<symbol, number>();
--- a/packages/usage/src/createUsageCounters.ts
+++ b/packages/usage/src/createUsageCounters.ts
@@ -3,7 +3,7 @@
 import type { UsageCounter } from "@auburnarch/types/UsageCounter";
 import type { UsageCounters } from "./UsageCounters.js";
 
-/** Makes the counters of one incarnation, all zero. Negative amounts are taken as 0, so that none goes back. */
+/** Creates the counters of one incarnation, all zero. Negative amounts count as 0, so that no counter decreases. */
 export function createUsageCounters(sampler: SamplerId, incarnation: IncarnationId): UsageCounters {
     const counters = new Map<string, UsageCounter>();
 
--- a/packages/usage/src/mergeByMaximum.ts
+++ b/packages/usage/src/mergeByMaximum.ts
@@ -1,6 +1,6 @@
 /**
- * Merges reports of counters that only grow, the larger of two of the same key. Repeated, late and disordered reports
- * change nothing: adding them up instead would charge a team twice for one report.
+ * Merges reports of counters that only grow; of two counters with the same key, the larger one is kept. Repeated, late
+ * and out-of-order reports therefore change nothing. Adding them up instead would charge a team twice for one report.
  */
 export function mergeByMaximum<T>(
     keyOf: (counter: T) => string,
--- a/packages/usage/src/mergeUsage.test.ts
+++ b/packages/usage/src/mergeUsage.test.ts
@@ -20,7 +20,7 @@
     });
 };
 
-test("reports merge to the same sum in any order and however often they are repeated", () => {
+test("reports merge to the same sum in any order and with any repetitions", () => {
     const uses = fc.array(fc.nat(1_000), { minLength: 1, maxLength: 8 });
     fc.assert(
         fc.property(uses, uses, fc.array(fc.nat(15), { maxLength: 20 }), (first, second, picks) => {
@@ -34,7 +34,7 @@
     );
 });
 
-test("delivered, discarded and overhead add up to what the sidecars counted", () => {
+test("delivered, discarded and overhead time add up to the sidecars' total", () => {
     const merged = mergeUsage(...report("one", [100, 250, 50]));
     const plain = createUsageCounters(sampler, "one" as IncarnationId);
     plain.add({ team, job: undefined, engineMs: 7, tokens: 0 });
--- a/packages/usage/src/mergeUsage.ts
+++ b/packages/usage/src/mergeUsage.ts
@@ -2,7 +2,7 @@
 import { mergeByMaximum } from "./mergeByMaximum.js";
 import { usageKey } from "./usageKey.js";
 
-/** Merges reports of sidecars, keyed by sampler, incarnation, team and job. */
+/** Merges the reports of sidecars, keyed by sampler, incarnation, team and job. */
 export function mergeUsage(...reports: Iterable<UsageCounter>[]): UsageCounter[] {
     return mergeByMaximum(usageKey, maximum, ...reports);
 }
--- a/packages/usage/src/startReportSchema.ts
+++ b/packages/usage/src/startReportSchema.ts
@@ -3,7 +3,7 @@
 
 const count = z.number().int().nonnegative();
 
-/** How a `StartReport` goes between processes. */
+/** Schema of a `StartReport` sent between processes. */
 export const startReportSchema = z.object({
     source: z.string(),
     countedUntilMs: z.number(),
--- a/packages/usage/src/starts.test.ts
+++ b/packages/usage/src/starts.test.ts
@@ -16,59 +16,59 @@
     return { clock, meterOf, registry: createStartCountRegistry(clock) };
 }
 
-test("a request counts for the window in which it began, though it ends in a later one", async () => {
-    const { clock, meterOf, registry: book } = createFixture();
+test("a request counts for the window in which it began, even if it ends in a later one", async () => {
+    const { clock, meterOf, registry } = createFixture();
     const meter = meterOf("g1");
     await clock.advance(4_900);
     const end = meter.open(hule);
     const startedAtMs = clock.monotonicMs();
     await clock.advance(300);
-    book.learn(meter.report());
-    expect(book.isCountedUntil(1_005_000)).toBe(false);
+    registry.learn(meter.report());
+    expect(registry.isCountedUntil(1_005_000)).toBe(false);
     end(startedAtMs);
     meter.open(fida)(undefined);
-    book.learn(meter.report());
-    expect(book.isCountedUntil(1_005_000)).toBe(true);
-    expect([...book.countsOf(200)]).toEqual([["hule", 1]]);
-    expect([...book.countsOf(201)]).toEqual([]);
+    registry.learn(meter.report());
+    expect(registry.isCountedUntil(1_005_000)).toBe(true);
+    expect([...registry.countsOf(200)]).toEqual([["hule", 1]]);
+    expect([...registry.countsOf(201)]).toEqual([]);
 });
 
-test("whatever reports are repeated, lost or disordered, a window is the sum over processes of the latest", () => {
+test("a window sums the latest counts of all processes, even if reports are repeated, lost or out of order", () => {
     const picks = fc.array(fc.nat(40), { maxLength: 60 });
     fc.assert(
         fc.property(fc.array(fc.nat(1), { minLength: 1, maxLength: 20 }), picks, (processes, order) => {
-            const { clock, meterOf, registry: book } = createFixture();
+            const { clock, meterOf, registry } = createFixture();
             const meters = [meterOf("g1"), meterOf("g2")];
             const reports = processes.map(index => {
                 const meter = meters[index]!;
                 meter.open(hule)(clock.monotonicMs());
                 return meter.report();
             });
-            order.forEach(pick => book.learn(reports[pick % reports.length]!));
-            meters.forEach(meter => book.learn(meter.report()));
-            expect(book.countsOf(200).get(hule)).toBe(processes.length);
+            order.forEach(pick => registry.learn(reports[pick % reports.length]!));
+            meters.forEach(meter => registry.learn(meter.report()));
+            expect(registry.countsOf(200).get(hule)).toBe(processes.length);
         }),
         { seed: 31, numRuns: 300 },
     );
 });
 
-test("a process that fell silent is not waited for, and its counts stay", async () => {
-    const { clock, meterOf, registry: book } = createFixture();
+test("a process that stops reporting is not waited for, and its counts are kept", async () => {
+    const { clock, meterOf, registry } = createFixture();
     const [silent, reporting] = [meterOf("dead"), meterOf("live")];
     silent.open(hule)(clock.monotonicMs());
-    book.learn(silent.report());
+    registry.learn(silent.report());
     await clock.advance(8_000);
-    book.learn(reporting.report());
-    expect(book.isCountedUntil(1_005_000)).toBe(true);
-    expect([...book.countsOf(200)]).toEqual([["hule", 1]]);
+    registry.learn(reporting.report());
+    expect(registry.isCountedUntil(1_005_000)).toBe(true);
+    expect([...registry.countsOf(200)]).toEqual([["hule", 1]]);
 });
 
-test("a book tells another all that it knows", () => {
-    const { clock, meterOf, registry: book } = createFixture();
+test("a registry passes all its reports on to another one", () => {
+    const { clock, meterOf, registry } = createFixture();
     const meter = meterOf("g1");
     meter.open(hule)(clock.monotonicMs());
-    book.learn(meter.report());
+    registry.learn(meter.report());
     const other = createStartCountRegistry(clock);
-    book.reports().forEach(report => other.learn(report));
+    registry.reports().forEach(report => other.learn(report));
     expect([...other.countsOf(200)]).toEqual([["hule", 1]]);
 });
--- a/packages/usage/src/summarizeUsage.ts
+++ b/packages/usage/src/summarizeUsage.ts
@@ -4,9 +4,10 @@
 import type { TeamUsage } from "./TeamUsage.js";
 
 /**
- * Sums merged counters (see `mergeUsage`) into one row a team, sorted by name. The sidecars' total is what the
- * engines were used for; delivered and discarded come from the owners; overhead is the rest. While a sidecar's
- * last report is outstanding the owners may know more than it has told: the overhead is then 0, not negative.
+ * Sums merged counters (see `mergeUsage`) into one row per team, sorted by name. The sidecars' total is the engine time
+ * used; delivered and discarded time come from the owners, and overhead is the rest. While a sidecar's last report is
+ * outstanding, owners may have recorded more time than the sidecar has reported; the overhead is then 0 rather than
+ * negative.
  */
 export function summarizeUsage(counters: Iterable<UsageCounter>, jobs: Iterable<JobUsage>): TeamUsage[] {
     const rows = new Map<TeamId, TeamUsage>();
