--- a/packages/persistence/src/FileGroupStoreOptions.ts
+++ b/packages/persistence/src/FileGroupStoreOptions.ts
@@ -2,13 +2,13 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { FileOperations } from "./FileOperations.js";
 
-/** How a data folder keeps groups. */
+/** Options of a group store in a data folder. */
 export interface FileGroupStoreOptions {
     clock: Clock;
     logger: Logger;
     files?: FileOperations;
-    /** Bytes of all files together; a group that would exceed it is not kept. */
+    /** Maximum size of all files together; a group that would exceed it is not stored. */
     maxBytes?: number;
-    /** Files not changed for so long belong to steps that no owner will finish; they are removed at the start. */
+    /** Files unchanged for this long belong to steps that no owner will finish; they are removed at startup. */
     maxAgeMs?: number;
 }
--- a/packages/persistence/src/createFileGroupStore.test.ts
+++ b/packages/persistence/src/createFileGroupStore.test.ts
@@ -25,7 +25,7 @@
     await rm(folder, { recursive: true, force: true });
 });
 
-/** The wall clock agrees with the files' times, which the machine sets. */
+/** The wall clock starts at the system's time, by which the file system sets modification times. */
 const clockNow = (offsetMs = 0) => createFakeClock(new Date().getTime() + offsetMs);
 const openStore = (options: Partial<FileGroupStoreOptions> = {}): Promise<GroupKeep> =>
     createFileGroupStore(folder, { clock: clockNow(), logger, ...options });
@@ -40,32 +40,32 @@
     (await store.load("j", 4)).map(({ group, fencing, body }) => `${group}@${fencing} ${body}`).sort();
 const onlyFile = async (): Promise<string> => join(folder, (await readdir(folder))[0]!);
 
-test("groups outlive the process; the highest fencing number of a group wins, dropped ones are gone", async () => {
-    const keep = await openStore();
-    await Promise.all([1, 2, 3].map(group => keep.save(groupOf(group))));
-    await keep.save(groupOf(1, 5, "by a newer owner"));
-    await keep.save(groupOf(1, 3, "by an older owner"));
-    await keep.drop("j", 4, [2]);
+test("groups survive a restart; the highest fencing number of a group wins, and dropped groups are removed", async () => {
+    const store = await openStore();
+    await Promise.all([1, 2, 3].map(group => store.save(groupOf(group))));
+    await store.save(groupOf(1, 5, "by a newer owner"));
+    await store.save(groupOf(1, 3, "by an older owner"));
+    await store.drop("j", 4, [2]);
     expect(await bodiesOf(await openStore())).toEqual(["1@5 by a newer owner", "3@1 body 3"]);
 });
 
-test("a file whose groups are all dropped is removed", async () => {
-    const keep = await openStore();
-    await keep.save(groupOf(1));
-    await keep.save(groupOf(2));
-    await keep.drop("j", 4, [1, 2]);
+test("a file is removed once all its groups are dropped", async () => {
+    const store = await openStore();
+    await store.save(groupOf(1));
+    await store.save(groupOf(2));
+    await store.drop("j", 4, [1, 2]);
     expect(await readdir(folder)).toEqual([]);
-    await keep.save(groupOf(7));
-    expect(await bodiesOf(keep)).toEqual(["7@1 body 7"]);
+    await store.save(groupOf(7));
+    expect(await bodiesOf(store)).toEqual(["7@1 body 7"]);
 });
 
-test("a tail torn anywhere is cut off, the rest stays, and the file takes new groups", async () => {
-    // Guards against: a trainer got half a group.
-    const keep = await openStore();
-    await keep.save(groupOf(1));
+test("a tail torn at any byte is cut off, the rest is kept, and the file accepts new groups", async () => {
+    // Guards against a trainer that receives half a group after a torn write.
+    const store = await openStore();
+    await store.save(groupOf(1));
     const path = await onlyFile();
     const wholeBytes = (await stat(path)).size;
-    await keep.save(groupOf(2, 1, "é".repeat(40)));
+    await store.save(groupOf(2, 1, "é".repeat(40)));
     const bytes = await readFile(path);
     for (let cut = wholeBytes + 1; cut < bytes.length; cut++) {
         await writeFile(path, bytes);
@@ -78,12 +78,12 @@
     expect(events).toContain("recordTorn");
 });
 
-test("whatever is done to the file, what loads was saved", async () => {
-    const keep = await openStore();
-    await Promise.all([1, 2, 3, 4].map(group => keep.save(groupOf(group))));
+test("only groups that were saved are loaded, however the file is altered", async () => {
+    const store = await openStore();
+    await Promise.all([1, 2, 3, 4].map(group => store.save(groupOf(group))));
     const path = await onlyFile();
     const whole = await readFile(path);
-    const saved = new Set(await bodiesOf(keep));
+    const saved = new Set(await bodiesOf(store));
     const edit = fc.record({ at: fc.nat(whole.length - 1), byte: fc.integer({ min: 0, max: 255 }) });
     await fc.assert(
         fc.asyncProperty(fc.array(edit, { minLength: 1, maxLength: 5 }), async edits => {
@@ -97,8 +97,8 @@
     );
 });
 
-test("a full disk stops neither the owner nor what was kept, and one line says so", async () => {
-    // Guards against: the job stopped when a disk was full.
+test("a full disk neither rejects a save nor loses stored groups, and is logged once", async () => {
+    // Guards against a job that stops because a disk is full.
     let room = true;
     const full: FileOperations = {
         ...nodeFileOperations,
@@ -110,51 +110,51 @@
             await nodeFileOperations.append(path, text);
         },
     };
-    const keep = await openStore({ files: full });
-    await keep.save(groupOf(1));
+    const store = await openStore({ files: full });
+    await store.save(groupOf(1));
     room = false;
-    await keep.save(groupOf(2));
-    await keep.save(groupOf(3));
-    expect(await bodiesOf(keep)).toEqual(["1@1 body 1"]);
+    await store.save(groupOf(2));
+    await store.save(groupOf(3));
+    expect(await bodiesOf(store)).toEqual(["1@1 body 1"]);
     room = true;
-    await keep.save(groupOf(4));
+    await store.save(groupOf(4));
     expect(await bodiesOf(await openStore())).toEqual(["1@1 body 1", "4@1 body 4"]);
     expect(events).toEqual(["dataFolderFull", "dataFolderHasRoom"]);
 });
 
-test("the folder stays within its limit, counting what earlier runs left", async () => {
+test("the folder stays within its size limit, including the files of earlier runs", async () => {
     const body = "x".repeat(1_000);
     const first = await openStore();
     await first.save({ ...groupOf(1, 1, body), step: 1 });
-    const keep = await openStore({ maxBytes: 2_500 });
-    await keep.save(groupOf(2, 1, body));
-    await keep.save(groupOf(3, 1, body));
-    expect((await keep.load("j", 4)).map(kept => kept.group)).toEqual([2]);
+    const store = await openStore({ maxBytes: 2_500 });
+    await store.save(groupOf(2, 1, body));
+    await store.save(groupOf(3, 1, body));
+    expect((await store.load("j", 4)).map(stored => stored.group)).toEqual([2]);
     expect(events).toEqual(["dataFolderFull"]);
 });
 
-test("a file with more dead than live bytes is rewritten", async () => {
-    const keep = await openStore();
+test("a file is compacted once most of its bytes belong to dropped groups", async () => {
+    const store = await openStore();
     const body = "x".repeat(400_000);
-    await Promise.all([1, 2, 3, 4].map(group => keep.save(groupOf(group, 1, body))));
-    await keep.drop("j", 4, [1, 2, 3]);
+    await Promise.all([1, 2, 3, 4].map(group => store.save(groupOf(group, 1, body))));
+    await store.drop("j", 4, [1, 2, 3]);
     expect((await stat(await onlyFile())).size).toBeLessThan(500_000);
-    expect((await keep.load("j", 4)).map(kept => kept.group)).toEqual([4]);
+    expect((await store.load("j", 4)).map(stored => stored.group)).toEqual([4]);
 });
 
-test("no job's name leads out of the folder, and two names never share a file", async () => {
-    const keep = await openStore();
+test("no job's name leads out of the folder, and no two names share a file", async () => {
+    const store = await openStore();
     const names = ["..", "../x", "a/b", "a%2Fb", "a-4", "a"];
     for (const [group, job] of names.entries()) {
-        await keep.save({ ...groupOf(group), job });
+        await store.save({ ...groupOf(group), job });
     }
     expect((await readdir(folder)).length).toBe(names.length);
     for (const [group, job] of names.entries()) {
-        expect((await keep.load(job, 4)).map(kept => kept.group)).toEqual([group]);
+        expect((await store.load(job, 4)).map(stored => stored.group)).toEqual([group]);
     }
 });
 
-test("files that no owner touched for a day are removed at the start", async () => {
+test("files unchanged for a day are removed at startup", async () => {
     await (await openStore()).save(groupOf(1));
     const longAgo = new Date(0);
     await utimes(await onlyFile(), longAgo, longAgo);
--- a/packages/persistence/src/createFileGroupStore.ts
+++ b/packages/persistence/src/createFileGroupStore.ts
@@ -12,20 +12,20 @@
 const defaultMaxBytes = 1_000_000_000;
 const defaultMaxAgeMs = 24 * 3_600_000;
 const fileExtension = ".groups";
-/** Errors of the system that mean that the disk takes no more. */
+/** Codes of system errors which mean that the disk accepts no more data. */
 const fullDiskCodes = new Set<unknown>(["ENOSPC", "EDQUOT", "EROFS"]);
 
 const isDiskFullError = (error: unknown): boolean =>
     fullDiskCodes.has((error as NodeJS.ErrnoException).code) || codeOf(error) === resultCodes.diskFull;
 
-/** A job's name as one path component; encoded and prefixed, so that no name leads out of the folder. */
+/** File name of a step. The job's name is encoded and prefixed, so that no name leads out of the folder. */
 const fileNameOf = (job: string, step: number): string =>
     `job-${encodeURIComponent(job)}-${step}${fileExtension}`;
 
 /**
- * Keeps groups in a data folder, one append-only file for each step. Appends are not synced one by one: a machine
- * that loses power may lose the last groups, which costs making them again and no promise. A full disk does not
- * reject either; it is logged with code `diskFull`, and the group lives in its owner's memory only.
+ * Creates a group store in a data folder, with one append-only file for each step. Appends are not synced one by one: a
+ * machine that loses power may lose the last groups, which then have to be made again; no guarantee is broken. A full
+ * disk does not reject either: it is logged with code `diskFull`, and the group exists only in its owner's memory.
  */
 export async function createFileGroupStore(
     folder: string,
@@ -35,11 +35,11 @@
     const { maxBytes = defaultMaxBytes, maxAgeMs = defaultMaxAgeMs } = options;
     const steps = new Map<string, StepFile>();
     let lastCall: Promise<unknown> = Promise.resolve();
-    /** Bytes of files left by earlier runs and not opened by this one. */
+    /** Sizes of files, by path, that earlier runs left and this one has not opened. */
     const unopenedBytes = new Map<string, number>();
     let isFull = false;
 
-    /** One call after the other: two appends at once could mix their lines, and a drop could race a save. */
+    /** Runs one call at a time: concurrent appends could interleave their lines, and a drop could race with a save. */
     function runInSequence<T>(run: () => Promise<T>): Promise<T> {
         const call = lastCall.then(run, run);
         lastCall = call.catch(() => undefined);
@@ -99,7 +99,10 @@
     async function save({ job, step, ...group }: Parameters<GroupKeep["save"]>[0]): Promise<void> {
         try {
             if (usedBytes() + group.body.length > maxBytes) {
-                throw new ResultError(resultCodes.diskFull, `limit of ${maxBytes} bytes`);
+                throw new ResultError(
+                    resultCodes.diskFull,
+                    `the data folder would exceed its limit of ${maxBytes} bytes`,
+                );
             }
             await (await stepFile(job, step)).save(group);
             updateDiskFull(false, undefined);
--- a/packages/persistence/src/createSnapshotFile.test.ts
+++ b/packages/persistence/src/createSnapshotFile.test.ts
@@ -22,7 +22,7 @@
     await rm(folder, { recursive: true, force: true });
 });
 
-test("the last of many writes is what is read, and nothing else is left in the folder", async () => {
+test("the last of several concurrent writes is read, and no other file is left in the folder", async () => {
     const snapshot = openSnapshot();
     expect(await snapshot.read()).toBeUndefined();
     await Promise.all([1, 2, 3, 4].map(version => snapshot.write({ version })));
@@ -30,7 +30,7 @@
     expect(await readdir(folder)).toEqual(["config.json"]);
 });
 
-test("a snapshot cut at any byte, or changed, or of another format, is not believed", async () => {
+test("a snapshot that is cut at any byte, changed or of another format is ignored", async () => {
     await openSnapshot().write({ version: 7 });
     const path = join(folder, "config.json");
     const text = await readFile(path, "utf8");
@@ -45,7 +45,7 @@
     expect(await openSnapshot().read()).toEqual({ version: 7 });
 });
 
-test("a disk that takes no more leaves the former snapshot", async () => {
+test("a failed write leaves the previous snapshot", async () => {
     await openSnapshot().write({ version: 1 });
     const full: FileOperations = {
         ...nodeFileOperations,
--- a/packages/persistence/src/createSnapshotFile.ts
+++ b/packages/persistence/src/createSnapshotFile.ts
@@ -6,7 +6,7 @@
 import { nodeFileOperations } from "./nodeFileOperations.js";
 
 interface SnapshotOptions<T> {
-    /** Raised when the shape changes; a file of another format is left unread. */
+    /** Version of the format, raised when the shape changes; a file of another version is ignored. */
     format: number;
     schema: ZodType<T>;
     logger: Logger;
@@ -14,17 +14,18 @@
 }
 
 interface SnapshotFile<T> {
-    /** The last whole snapshot; undefined where there is none, or it is damaged, or of another format. */
+    /** The last complete snapshot; undefined if there is none, or if it is damaged or of another format. */
     read(): Promise<T | undefined>;
-    /** Resolves once this or a later value is on disk, or could not be written, which is logged. */
+    /** Resolves once this or a later value is on disk, or the write has failed, which is logged. */
     write(value: T): Promise<void>;
 }
 
 const envelope = z.object({ format: z.number(), checksum: z.string(), json: z.string() });
 
 /**
- * A snapshot for a quick start: replaced whole and checksummed. What it says is old by nature; a reader must take
- * anything newer over it. Writes that come while one is under way are joined to the last of them.
+ * Creates a snapshot file, which speeds up startup. It is replaced atomically and has a checksum. Its content may be
+ * out of date, so a reader must prefer anything newer. Of the values written while a write is in progress, only the
+ * last is written.
  */
 export function createSnapshotFile<T>(
     folder: string,
@@ -73,7 +74,7 @@
             await files.replace(path, JSON.stringify({ format, checksum: checksumOf(json), json }));
         }
         catch (error) {
-            // A process without its snapshot starts more slowly; that is no reason to stop.
+            // A process without its snapshot only starts more slowly, so the failure does not stop it.
             logger.warn("snapshotNotWritten", { name, detail: String(error) });
         }
     }
--- a/packages/persistence/src/createStepFile.ts
+++ b/packages/persistence/src/createStepFile.ts
@@ -9,15 +9,15 @@
 }
 
 interface StepFile {
-    /** Appends a group unless one with a higher fencing number is kept. */
+    /** Appends a group unless one with a higher fencing number is stored. */
     save(group: StoredGroup): Promise<void>;
     load(): Promise<StoredGroup[]>;
-    /** True if nothing is left and the file is gone. */
+    /** True if no group is left and the file has been removed. */
     drop(groups: number[]): Promise<boolean>;
     bytes(): number;
 }
 
-/** What is known of a kept group without its body. */
+/** Fencing number and line length of a stored group, without its body. */
 interface LiveEntry {
     fencing: number;
     bytes: number;
@@ -38,12 +38,12 @@
     }
 }
 
-/** A kept group with the length of its line. */
+/** A stored group with the length of its line. */
 interface StoredLine extends StoredGroup {
     bytes: number;
 }
 
-/** Applies records in order; of one group the last with the highest fencing number stays. */
+/** Applies records in order; of the records of one group, the last with the highest fencing number wins. */
 function liveGroups(records: Awaited<ReturnType<typeof parseRecords>>["records"]): StoredLine[] {
     const live = new Map<number, StoredLine>();
     for (const { record, bytes } of records) {
@@ -58,7 +58,7 @@
     return [...live.values()];
 }
 
-/** The file of one step, append-only. Calls must not overlap; bodies are not held in memory. */
+/** Opens the append-only file of one step. Calls must not overlap; bodies are not kept in memory. */
 export async function createStepFile(
     files: FileOperations,
     path: string,
@@ -82,7 +82,7 @@
         await truncateTail();
     }
 
-    /** Cuts what a broken append left, so that the next line does not run on behind it. */
+    /** Cuts off what a failed append left, so that the next line does not continue a partial one. */
     async function truncateTail(): Promise<void> {
         await files.truncate(path, sizeBytes).catch((error: unknown) => {
             if (!isMissing(error)) {
--- a/packages/persistence/src/createTextJournal.test.ts
+++ b/packages/persistence/src/createTextJournal.test.ts
@@ -34,7 +34,7 @@
     await Promise.all(folders.splice(0).map(folder => rm(folder, { recursive: true })));
 });
 
-test("a process goes on behind the texts of the one before, also over several lives", async () => {
+test("a process continues the texts of the previous one, also over several restarts", async () => {
     const { openAndLoad } = await createFixture();
     const { journal } = await openAndLoad();
     journal.record("a", [span(1, "one", "two")]);
@@ -54,7 +54,7 @@
     ]);
 });
 
-test("a text that was begun anew replaces the one before", async () => {
+test("a text that starts over replaces the previous one", async () => {
     const { openAndLoad } = await createFixture();
     const { journal } = await openAndLoad();
     journal.record("a", [span(1, "old", "text")]);
@@ -66,7 +66,7 @@
 });
 
 test("after a power loss a text is shorter or missing, and never joined over a gap", async () => {
-    // Guards against: a text with an event missing in its middle.
+    // Guards against a text with a missing part in its middle, after one of its records was torn.
     const { folder, openAndLoad } = await createFixture();
     const { journal } = await openAndLoad();
     for (const words of [["one"], ["one", "two"], ["one", "two", "three"]]) {
@@ -83,7 +83,7 @@
     expect(textOf(texts.get("b"))).toBe("one\ntwo\nthree\n");
 });
 
-test("a disk that refuses writes costs texts and nothing else", async () => {
+test("a failed write loses a text at most, and a later write succeeds", async () => {
     const { openAndLoad } = await createFixture();
     let isFull = true;
     const files = {
@@ -105,7 +105,7 @@
     expect(textOf(texts.get("a"))).toBe("one\ntwo\n");
 });
 
-test("the files stay within their bound, and the newest texts are there", async () => {
+test("the files stay within their size limit and contain the newest texts", async () => {
     const { folder, openAndLoad } = await createFixture();
     const { journal } = await openAndLoad(nodeFileOperations, 2_000);
     for (let index = 0; index < 60; index++) {
--- a/packages/persistence/src/createTextJournal.ts
+++ b/packages/persistence/src/createTextJournal.ts
@@ -15,11 +15,11 @@
     clock: Clock;
     logger: Logger;
     files?: FileOperations;
-    /** Size at which a file is followed by the other one; both together stay below twice of it. */
+    /** Size at which writing switches to the other file; both together stay below about twice this size. */
     maxFileBytes?: number;
 }
 
-/** What of an item's text stands in the journal. */
+/** The part of an item's text that the current file contains. */
 interface WrittenText {
     text: string;
     tokens: number;
@@ -27,7 +27,7 @@
 
 const record = z.object({
     item: z.string(),
-    /** Tokens that the text had before this record; 0 begins it anew. */
+    /** Tokens of the text before this record; 0 starts the text over. */
     after: z.number().int().nonnegative(),
     spans: z.array(z.object({
         version: z.number().transform(value => value as WeightVersion),
@@ -36,18 +36,21 @@
     })),
 });
 
-/** A trainer's step comes to half a megabyte of text, so two files hold several steps, and are read in 0.1 s. */
+/** The texts of a trainer's step take half a megabyte, so two files hold several steps and are read in 0.1 s. */
 const defaultMaxFileBytes = 3_000_000;
-/** What a power loss may cost of each text; a sync takes 1 to 5 ms. */
+/** Delay before a batch is written, which bounds what a power loss may cost of each text; a sync takes 1 to 5 ms. */
 const batchDelayMs = 250;
-/** Items remembered at most; those of ended jobs are never asked for again. */
+/** Maximum number of items tracked; items of ended jobs are never requested again. */
 const maxItems = 4_096;
 const fileNames = ["texts-0.journal", "texts-1.journal"] as const;
 
 const countTokens = (spans: TokenSpan[]): number => spans.reduce((sum, span) => sum + span.tokens, 0);
 const textOf = (spans: TokenSpan[]): string => spans.map(span => span.text).join("");
 
-/** Reads the records of a file; a line that is torn, or behind one that is missing, ends nothing but its own item. */
+/**
+ * Applies the records of a file to `texts` and returns the number of torn lines. A line that is torn or missing
+ * invalidates only the text of its own item, at that item's next record.
+ */
 function replay(file: string, texts: Map<string, TokenSpan[]>): number {
     let torn = 0;
     for (const line of file.split("\n").filter(Boolean)) {
@@ -70,8 +73,9 @@
 }
 
 /**
- * Makes the journal in a data folder. Two files are filled by turns, so that old texts go without being read again.
- * A text is a local aid: a disk that is full, slow or gone costs making it again, and nothing else.
+ * Creates the journal in a data folder. It writes to two files alternately, so that old texts are removed without being
+ * read again. The journal only saves work: if the disk is full, slow or unavailable, texts have to be made again, and
+ * nothing else is affected.
  */
 export function createTextJournal(options: TextJournalOptions): TextJournal {
     const { folder, clock, logger, files = nodeFileOperations } = options;
@@ -85,7 +89,7 @@
     let writing: Promise<void> | undefined;
     let isTimerSet = false;
 
-    /** The new part of a text, or all of it where it does not continue what stands there. */
+    /** Encodes the new part of a text, or all of it if it does not continue the text in the file. */
     function encode(item: string, spans: TokenSpan[]): string {
         const known = written.get(item);
         const text = textOf(spans);
@@ -129,7 +133,7 @@
             }
         }
         catch (error) {
-            // What failed may stand there in part: every text begins anew with its next record.
+            // A failed write may have left part of its records, so every text starts over with its next record.
             written.clear();
             if (!isFailing) {
                 isFailing = true;
@@ -182,7 +186,7 @@
                 for (const file of byAge) {
                     await readFile(file.path, texts);
                 }
-                // The newer file stays as it is; what comes now goes into the other one.
+                // The newer file stays unchanged; new records go to the other one.
                 currentFile = Math.max(0, paths.indexOf(byAge.at(-1)?.path ?? paths[1]!));
                 await rotateFiles();
                 logger.info("textJournalLoaded", { folder, texts: texts.size });
--- a/packages/persistence/src/nodeFileOperations.ts
+++ b/packages/persistence/src/nodeFileOperations.ts
@@ -3,7 +3,7 @@
 import type { FileOperations } from "./FileOperations.js";
 import { replaceFile } from "./replaceFile.js";
 
-/** The file system of the machine. */
+/** File operations on the machine's file system. */
 export const nodeFileOperations: FileOperations = {
     append: (path, text) => appendFile(path, text),
     appendSynced: async (path, text) => {
--- a/packages/persistence/src/parseRecords.ts
+++ b/packages/persistence/src/parseRecords.ts
@@ -5,15 +5,15 @@
 
 interface ParsedRecord {
     record: GroupRecord;
-    /** Length of its line. */
+    /** Length of its line, including the line end. */
     bytes: number;
 }
 
 interface ParsedRecords {
     records: ParsedRecord[];
-    /** Lines left out because their checksum or shape is wrong, or their end is missing. */
+    /** Lines skipped because their checksum or shape is wrong, or their end is missing. */
     torn: number;
-    /** Bytes up to the end of the last whole line; what is behind it was cut short. */
+    /** Bytes up to the end of the last complete line; what follows is a partial line. */
     wholeBytes: number;
 }
 
@@ -40,9 +40,9 @@
 }
 
 /**
- * Reads the lines of a step's file. A process that dies while it appends leaves a line without its end or with a
- * part of its bytes; such a line is left out, and never taken for a whole group. A long file is read in turns, as
- * a process that stands still for it would miss its heartbeats.
+ * Parses the lines of a step's file. A process that crashes during an append leaves a line without its end, or with
+ * only part of its bytes; such a line is skipped and never taken for a complete group. A long file is parsed in slices,
+ * because a process that blocks its event loop for the whole file would miss its heartbeats.
  */
 export async function parseRecords(file: Buffer): Promise<ParsedRecords> {
     const records: ParsedRecord[] = [];
--- a/packages/persistence/src/replaceFile.ts
+++ b/packages/persistence/src/replaceFile.ts
@@ -23,8 +23,8 @@
 }
 
 /**
- * Replaces a file whole. Written in place, a crash half way would leave neither the old nor the new content; a
- * rename of a synced file leaves one of them.
+ * Replaces a file atomically. If it were written in place, a crash during the write would leave neither the old nor the
+ * new content; renaming a synced file leaves one of them.
  */
 export async function replaceFile(path: string, text: string): Promise<void> {
     const temporary = `${path}.new`;
--- a/packages/persistence/src/textTail.ts
+++ b/packages/persistence/src/textTail.ts
@@ -1,6 +1,9 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 
-/** What of `spans` lies behind the first `tokens` tokens and `chars` characters, which end at the end of a token. */
+/**
+ * Returns the part of `spans` after the first `tokens` tokens and `chars` characters, which end at the end of the same
+ * token.
+ */
 export function textTail(spans: TokenSpan[], tokens: number, chars: number): TokenSpan[] {
     const tail: TokenSpan[] = [];
     let skippedTokens = tokens;
