--- a/packages/ownership/src/Authority.ts
+++ b/packages/ownership/src/Authority.ts
@@ -1,19 +1,19 @@
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
-/** An owner's right to act, judged anew before each effect. */
+/** Decides whether an owner may act; asked before each effect. */
 export interface Authority {
-    /** Starting and delivering samples. */
+    /** Whether samples may be started and delivered. */
     mayRun(): boolean;
-    /** Accepting steps and weights. */
+    /** Whether new steps and weights may be accepted. */
     mayAcceptIntent(): boolean;
-    /** True while the object API is known not to answer. */
+    /** True while the last probe of the object API is unanswered. */
     isStoreUnreachable(): boolean;
-    /** Tells of a fencing number seen outside; false, and the end of this owner, if it is newer than its own. */
+    /** Checks a fencing number received from outside; a higher one stops the owner and returns false. */
     checkFencing(seen: number, source: string): boolean;
-    /** The end of this owner, whatever the lease says. */
+    /** Stops this owner for good, whatever the state of the lease. */
     stopPermanently(code: ResultCode, reason: string): void;
-    /** Why the owner has ended; undefined while it has not. */
+    /** The code that the owner was stopped with; undefined while it is active. */
     stopCode(): ResultCode | undefined;
-    /** Stops probing. */
+    /** Stops probing the lease object. */
     close(): void;
 }
--- a/packages/ownership/src/AuthorityState.ts
+++ b/packages/ownership/src/AuthorityState.ts
@@ -1,11 +1,11 @@
-/** What an owner knows of its right to act. */
+/** The facts that decide whether an owner may act. */
 export interface AuthorityState {
-    /** Another holder was seen in the lease object. */
+    /** The lease object was seen with another holder. */
     isLeaseLost: boolean;
-    /** A sidecar, a cursor or a stored object showed a higher fencing number. */
+    /** A sidecar, a cursor or a stored object carried a higher fencing number. */
     isFenced: boolean;
-    /** The lease is within its time by this process's own clock. */
+    /** The lease has not expired by this process's own clock. */
     isLeaseHeld: boolean;
-    /** How long ago a probe of the lease object was sent that got no answer; undefined after an answer. */
+    /** Time since the last unanswered probe of the lease object was sent; undefined after an answer. */
     unansweredProbeAgeMs: number | undefined;
 }
--- a/packages/ownership/src/Checkpoint.ts
+++ b/packages/ownership/src/Checkpoint.ts
@@ -1,5 +1,5 @@
 import type { z } from "zod";
 import type { checkpointSchema } from "./checkpointSchema.js";
 
-/** What a new owner cannot learn from the steps and the trainer. */
+/** State that a new owner can't derive from the stored steps or the trainer's cursors. */
 export type Checkpoint = z.infer<typeof checkpointSchema>;
--- a/packages/ownership/src/Checkpointer.ts
+++ b/packages/ownership/src/Checkpointer.ts
@@ -1,9 +1,9 @@
-/** Writes the job's checkpoint, batched. */
+/** Writes the job's checkpoint in batches. */
 export interface Checkpointer {
-    /** Something worth keeping changed; it is written within a few seconds, with whatever else changes till then. */
+    /** Schedules a write within a few seconds, together with all further changes until then. */
     markChanged(): void;
-    /** Writes now; resolves once what stood at the call is durable, or writing has ended. */
+    /** Writes now; resolves once the changes up to this call are durable, or the checkpointer is closed. */
     flush(): Promise<void>;
-    /** Ends writing; what is under way ends by itself. */
+    /** Starts no further writes; one in flight completes on its own. */
     close(): void;
 }
--- a/packages/ownership/src/GroupReaderDeps.ts
+++ b/packages/ownership/src/GroupReaderDeps.ts
@@ -12,7 +12,7 @@
 import type { OwnerGuards } from "./OwnerGuards.js";
 import type { SampleProducer } from "./SampleProducer.js";
 
-/** What a reader is built from. */
+/** Dependencies of a group reader. */
 export interface GroupReaderDeps {
     state: JobState;
     fencing: FencingNumber;
@@ -25,10 +25,10 @@
     logger: Logger;
     metrics: Metrics;
     notifier: ReturnType<typeof createNotifier>;
-    /** Looks the step up where it may have been opened by another owner; undefined if there is none. */
+    /** Looks up a step that another owner may have opened; undefined if there is none. */
     findStep: (step: number) => Promise<OpenStep | undefined>;
-    /** The trainer has shown that it has these groups, for the first time. */
+    /** Called when a cursor covers these groups for the first time. */
     onAcknowledged: (step: OpenStep, cursor: CursorState, groups: number[]) => void;
-    /** Resolves once the end of a step is durable, or after a short while if it cannot be made so now. */
+    /** Resolves once the completion of a step is durable, or after a short timeout. */
     flushCheckpoint: () => Promise<void>;
 }
--- a/packages/ownership/src/OpenStep.ts
+++ b/packages/ownership/src/OpenStep.ts
@@ -4,17 +4,17 @@
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { StepDocument } from "./StepDocument.js";
 
-/** A step that an owner works on. */
+/** A step that has groups left to generate or deliver. */
 export interface OpenStep {
     document: StepDocument;
     ledger: StepLedger;
-    /** The cursor with the most groups that the trainer has shown. */
+    /** The cursor with the most groups that the trainer has presented. */
     furthestCursor: CursorState;
-    /** Pages issued, by what their reader's cursor said. */
+    /** Pages issued, by `pageKey` of the cursor that they answered. */
     issuedPages: Map<string, GroupsPage>;
     /**
-     * Samples that are with the dispatcher, being scored, or about to be tried again, each with the number of its
-     * submission: a sample withdrawn and wanted again is another submission, and the first one's answer is dropped.
+     * Samples that are at the dispatcher, being scored or waiting for a retry, each with its submission number: a
+     * sample that is withdrawn and requested again gets a new number, and the first submission's answer is dropped.
      */
     outstanding: Map<SampleId, number>;
 }
--- a/packages/ownership/src/Owner.ts
+++ b/packages/ownership/src/Owner.ts
@@ -5,19 +5,19 @@
 import type { StepSpec } from "@auburnarch/types/StepSpec";
 import type { OwnerStatus } from "./OwnerStatus.js";
 
-/** Owner of one job under one fencing number. All calls reject with a `ResultError`. */
+/** The owner of one job under one fencing number. Calls reject with a `ResultError`. */
 export interface Owner {
-    /** Resolves once the step is durable. Opening the same content again changes nothing. */
+    /** Resolves once the step is durable. Opening a step again with the same content has no effect. */
     openStep(spec: StepSpec): Promise<void>;
-    /** Resolves once the version is durable; the weights are then rolled over the samplers. */
+    /** Resolves once the version is durable; the samplers are then swapped to it one after another. */
     publishWeights(weights: PublishedWeights): Promise<void>;
-    /** Long poll: the groups ready beyond `cursor` (undefined to start), or an empty page after `waitMs`. */
+    /** Long poll: ready groups that `cursor` (undefined at first) doesn't cover, or an empty page after `waitMs`. */
     readGroups(step: StepNumber, cursor: string | undefined, waitMs: number): Promise<GroupsPage>;
-    /** The manifest changed; takes effect for samples not yet running. */
+    /** Applies a changed manifest to samples that are not running yet. */
     updateJob(job: JobManifest): void;
     status(): OwnerStatus;
-    /** Aborted once this owner has ended for good, by `stop` or because a newer owner showed itself: drop it then. */
+    /** Aborted once this owner has stopped for good, by `stop` or on detecting a newer owner; discard it then. */
     ended?: AbortSignal;
-    /** Graceful: checkpoints, stops the dispatcher. The lease is released by the caller. */
+    /** Graceful stop: writes the checkpoint and stops the dispatcher. The caller releases the lease. */
     stop(): Promise<void>;
 }
--- a/packages/ownership/src/OwnerDeps.ts
+++ b/packages/ownership/src/OwnerDeps.ts
@@ -13,7 +13,7 @@
 import type { ScoringPort } from "@auburnarch/types/ScoringPort";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 
-/** What an owner is built from. */
+/** Dependencies of an owner. */
 export interface OwnerDeps {
     job: JobManifest;
     limits: () => LimitsManifest;
@@ -27,8 +27,8 @@
     listSamplers: () => SamplerView[];
     sidecar: (sampler: SamplerId) => SidecarPort;
     scoring: ScoringPort;
-    /** Keeps unacknowledged groups beyond this process; undefined where no data folder is reachable. */
+    /** Stores unacknowledged groups outside this process; undefined where no data folder is reachable. */
     keep: GroupKeep | undefined;
-    /** Key that signs cursors, the same on every entry. */
+    /** Key that signs cursors; the same on every entry. */
     cursorKey: string;
 }
--- a/packages/ownership/src/OwnerGuards.ts
+++ b/packages/ownership/src/OwnerGuards.ts
@@ -8,19 +8,19 @@
 import type { VersionBounds } from "@auburnarch/validation/VersionBounds";
 import type { AuthorityState } from "./AuthorityState.js";
 
-/** The checks that keep an owner's promises. The fault bench replaces one at a time and shows what is lost. */
+/** The checks behind an owner's guarantees. The fault bench replaces one at a time to show what then fails. */
 export interface OwnerGuards extends LedgerGuards {
     mayRun: (state: AuthorityState) => boolean;
-    /** False if a number that came back from outside shows a newer owner than this one. */
+    /** False if a fencing number received from outside belongs to a newer owner. */
     isOwnNumberCurrent: (seen: number, own: number) => boolean;
     isGenuineCursor: typeof isGenuineCursor;
-    /** True if the cursor's trainer does not have the group yet. */
+    /** True if the cursor does not cover the group. */
     isUndelivered: (delivered: Uint8Array, group: number) => boolean;
     /** True if a sample may still be delivered now. */
     isFresh: (spans: readonly TokenSpan[], minVersion: WeightVersion) => boolean;
     findSampleProblem: (job: JobId, made: MadeSample, bounds: VersionBounds) => SampleProblem | undefined;
-    /** True if a page issued for a cursor is to be issued again for the same cursor. */
+    /** True if a repeated read with the same cursor must get the same page. */
     repeatsPage: () => boolean;
-    /** True if a published version may follow the one that stands. */
+    /** True if a published version may replace the current one. */
     isHigherVersion: (version: number, current: number) => boolean;
 }
--- a/packages/ownership/src/OwnerParts.ts
+++ b/packages/ownership/src/OwnerParts.ts
@@ -1,7 +1,7 @@
 import type { createDispatcher } from "@auburnarch/dispatch/createDispatcher";
 import type { createSwapRoller } from "@auburnarch/weights/createSwapRoller";
 
-/** The parts of an owner that stand on their own, so that tests and measurements can put others in their place. */
+/** Factories of an owner's replaceable parts, so that tests and benchmarks can substitute them. */
 export interface OwnerParts {
     createDispatcher: typeof createDispatcher;
     createSwapRoller: typeof createSwapRoller;
--- a/packages/ownership/src/OwnerStatus.ts
+++ b/packages/ownership/src/OwnerStatus.ts
@@ -2,7 +2,7 @@
 import type { JobId } from "@auburnarch/types/JobId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** What `auburnarch jobs` shows of a job. */
+/** Status of a job as shown by `auburnarch jobs`. */
 export interface OwnerStatus {
     job: JobId;
     fencing: FencingNumber;
@@ -19,7 +19,7 @@
     }[];
     /** Engine time of acknowledged samples. */
     deliveredEngineMs: number;
-    /** Engine time of samples that the team itself gave up. */
+    /** Engine time of samples that the team itself abandoned. */
     discardedEngineMs: number;
     /** Acknowledged samples and their tokens. */
     deliveredSamples: number;
--- a/packages/ownership/src/SampleProducer.ts
+++ b/packages/ownership/src/SampleProducer.ts
@@ -1,14 +1,14 @@
 import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { OpenStep } from "./OpenStep.js";
 
-/** Has samples made, verified and scored until they count. */
+/** Has samples generated, verified, scored and committed to their step's ledger. */
 export interface SampleProducer {
-    /** Sees to it that every missing sample of the groups is under way. */
+    /** Submits every missing sample of the groups that is not outstanding yet. */
     requestMissing(step: OpenStep, groups: readonly number[]): void;
-    /** Ends what is under way for the groups. */
+    /** Cancels the outstanding samples of the groups. */
     withdraw(step: OpenStep, groups: readonly number[]): void;
-    /** Takes samples of the group that are over the bound out and has them made again; true if there were any. */
+    /** Removes the group's samples beyond the staleness bound and requests them again; true if there were any. */
     regenerateStale(step: OpenStep, group: number): boolean;
-    /** Takes an answer of the dispatcher. */
+    /** Handles a sample that the dispatcher returned. */
     handleGenerated(generated: MadeSample): Promise<void>;
 }
--- a/packages/ownership/src/SampleProducerDeps.ts
+++ b/packages/ownership/src/SampleProducerDeps.ts
@@ -9,7 +9,7 @@
 import type { OpenStep } from "./OpenStep.js";
 import type { OwnerGuards } from "./OwnerGuards.js";
 
-/** What a maker is built from. */
+/** Dependencies of a sample producer. */
 export interface SampleProducerDeps {
     state: JobState;
     guards: OwnerGuards;
@@ -20,6 +20,6 @@
     scoring: ScoringPort;
     dispatcher: Dispatcher;
     isStopped: () => boolean;
-    /** A group has become whole. */
+    /** Called when the last sample of a group has been committed. */
     onGroupComplete: (step: OpenStep, group: SampleGroup) => void;
 }
--- a/packages/ownership/src/StepDocument.ts
+++ b/packages/ownership/src/StepDocument.ts
@@ -1,7 +1,7 @@
-/** A step as it stands in the object API. */
+/** A step as stored in the object API. */
 export interface StepDocument {
     step: number;
-    /** SHA-256 in hex of the prompts, to tell the same step opened again from another one. */
+    /** SHA-256 of the prompts in hex; distinguishes a repeated open from one with other prompts. */
     digest: string;
     groupSize: number;
     /** Wall time when the trainer needs the last group. */
--- a/packages/ownership/src/StepRegistry.ts
+++ b/packages/ownership/src/StepRegistry.ts
@@ -2,14 +2,14 @@
 import type { OpenStep } from "./OpenStep.js";
 import type { StepDocument } from "./StepDocument.js";
 
-/** Opens and completes the steps of a job. */
+/** Opens, looks up and completes the steps of a job. */
 export interface StepRegistry {
-    /** Takes a durable step in, with the groups that were kept of it, and has the rest made. */
+    /** Registers a durable step, restores its stored groups and requests the missing ones. */
     open(document: StepDocument, furthest?: CursorState): Promise<OpenStep>;
-    /** The open step, looked up in the object API if this owner does not know it. */
+    /** Returns the open step; one that this owner doesn't know is read from the object API. */
     find(step: number): Promise<OpenStep | undefined>;
-    /** Notes what a trainer has; completes the step if that is all of it. */
+    /** Records the groups that a trainer acknowledged; completes the step if it has them all. */
     acknowledge(step: OpenStep, cursor: CursorState, groups: number[]): void;
-    /** Removes the objects of steps that are over according to a durable checkpoint. */
+    /** Removes the objects of steps that a durable checkpoint lists as finished. */
     removeFinished(steps: readonly number[]): Promise<void>;
 }
--- a/packages/ownership/src/buildCheckpoint.ts
+++ b/packages/ownership/src/buildCheckpoint.ts
@@ -2,7 +2,7 @@
 import type { Checkpoint } from "./Checkpoint.js";
 import type { JobState } from "./JobState.js";
 
-/** What of a job's state a new owner needs. */
+/** Builds the checkpoint from a job's state. */
 export function buildCheckpoint(state: JobState, codec: CursorCodec, fencing: number): Checkpoint {
     return {
         fencing,
--- a/packages/ownership/src/buildSampleTask.ts
+++ b/packages/ownership/src/buildSampleTask.ts
@@ -11,8 +11,8 @@
 const maxSeed = 0x7fffffff;
 
 /**
- * Makes the task of one sample. Its seed follows from its identity, so that a sample made again by another owner
- * asks for the same thing. Its digest leaves the seed out: a prompt that kills samplers does so under any seed.
+ * Builds the task of one sample. The seed is derived from the sample's identity, so that another owner requests the
+ * same generation again. The content digest excludes the seed: a prompt that crashes samplers does so with any seed.
  */
 export function buildSampleTask(
     job: JobManifest,
--- a/packages/ownership/src/checkPageInvariants.ts
+++ b/packages/ownership/src/checkPageInvariants.ts
@@ -10,13 +10,16 @@
     job: JobId;
     step: number;
     groupSize: number;
-    /** Bitmap of the reader's cursor. */
+    /** Bitmap of the groups that the reader's cursor covers. */
     delivered: Uint8Array;
     groups: SampleGroup[];
     bounds: VersionBounds;
 }
 
-/** Asserts the promises on a page about to be delivered; false if one would break. Uses none of the guards. */
+/**
+ * Checks the delivery invariants on a page that is about to be sent; false if one is violated. Independent of the
+ * guards, so that it also detects a guard that is switched off or wrong.
+ */
 export function checkPageInvariants(invariants: Invariants, page: PageToCheck): boolean {
     const { job, step, groupSize, bounds } = page;
     return page.groups.every(group => {
--- a/packages/ownership/src/claimWithRetries.ts
+++ b/packages/ownership/src/claimWithRetries.ts
@@ -19,7 +19,7 @@
     logger: Logger;
 }
 
-/** Claims the job's state, trying again while the object API fails and the lease is held; rejects with the last error. */
+/** Claims the job's state; retries while the object API fails and the lease is held. Rejects with the last error. */
 export async function claimWithRetries(deps: ClaimDeps): Promise<ClaimedState> {
     const { jobStore, lease, clock, random, logger } = deps;
     for (let failures = 1;; failures++) {
--- a/packages/ownership/src/createAuthority.ts
+++ b/packages/ownership/src/createAuthority.ts
@@ -19,15 +19,16 @@
     clock: Clock;
     logger: Logger;
     guards: OwnerGuards;
-    /** Called once when the owner must not act any more. */
+    /** Called once when the owner is stopped. */
     onStopped: () => void;
-    /** Called when the owner may run again after it might not. */
+    /** Called when `mayRun` becomes true again. */
     onMayRunAgain: () => void;
 }
 
 /**
- * Makes the judge of an owner's right to act. While the lease is past its time it reads the lease object every
- * second: a higher number there ends the owner, silence lets it go on with fenced effects.
+ * Creates the authority of an owner. While the lease is expired it reads the lease object every second: a higher
+ * fencing number there stops the owner; while reads go unanswered, the owner may go on with effects that are fenced
+ * at their destination.
  */
 export function createAuthority(deps: AuthorityDeps): Authority {
     const { lease, store, clock, logger, guards } = deps;
@@ -68,7 +69,7 @@
         const timeout = clock.sleep(probeTimeoutMs, closed.signal).then((): "silent" => "silent");
         const answer = await Promise.race([store.read(lease.key), timeout]);
         if (answer === "silent") {
-            throw new Error("no answer");
+            throw new Error("reading the lease object timed out");
         }
         return fencingOf(answer);
     }
@@ -80,7 +81,7 @@
             unansweredProbeSentAtMs = undefined;
         }
         catch {
-            // Counted from the sending: a process paused in the middle of a probe learns nothing from it.
+            // The age counts from the sending: a process that was paused during a probe must probe again.
             unansweredProbeSentAtMs = sentAtMs;
         }
     }
--- a/packages/ownership/src/createCheckpointer.ts
+++ b/packages/ownership/src/createCheckpointer.ts
@@ -19,7 +19,10 @@
     write: (checkpoint: Checkpoint) => Promise<void>;
 }
 
-/** Makes the writer of checkpoints: one at a time, every 5 s at most but for a flush, with backoff and jitter on failure. */
+/**
+ * Creates the writer of checkpoints: one write at a time, at most one every 5 s unless flushed, with backoff and
+ * jitter after a failure.
+ */
 export function createCheckpointer(deps: CheckpointerDeps): Checkpointer {
     const { clock, random, logger } = deps;
     const closed = new AbortController();
--- a/packages/ownership/src/createFencedObject.ts
+++ b/packages/ownership/src/createFencedObject.ts
@@ -5,24 +5,24 @@
 import type { ObjectVersion } from "@auburnarch/types/ObjectVersion";
 import type { WriteOutcome } from "@auburnarch/types/WriteOutcome";
 
-/** A write whose answer was lost is sent again; if it took effect, the second comes back as a conflict that shows it. */
+/** A write with an unknown outcome is repeated; if the first took effect, the repeat gets a conflict that shows it. */
 const maxAttempts = 3;
 
 interface FencedObjectDeps<T> {
     store: ObjectStore;
     key: string;
-    /** Returns what a stored value means; a value nobody can read counts as absent. */
+    /** Parses a stored value; one that can't be parsed counts as absent. */
     parse: (value: unknown) => T | undefined;
     fencingOf: (value: T) => number;
-    /** False, and the owner's end, if the stored number is newer than the owner's. */
+    /** Stops the owner and returns false if the stored fencing number is higher than the owner's. */
     checkFencing: (seen: number) => boolean;
 }
 
-/** An object that only its owner with the highest fencing number can change. */
+/** An object that only the owner with the highest fencing number can change. */
 interface FencedObject<T> {
     /**
-     * Replaces the value by what `change` makes of the one that stands; undefined leaves it. Resolves with the
-     * value that stands and its version.
+     * Replaces the stored value by the result of `change`; undefined leaves it as it is. Resolves with the stored
+     * value and its version.
      */
     update(
         change: (current: T | undefined) => T | undefined,
@@ -30,9 +30,10 @@
 }
 
 /**
- * Makes an object that is fenced at the object API: every change is conditional on the version that was judged, and
- * a new owner's first change moves that version on. So an old owner, paused between its check and its write, has
- * its write refused. A write whose answer was lost comes back as a conflict with one's own value, and is judged anew.
+ * Creates an object that is fenced at the object API: every write is conditional on the version that was checked,
+ * and a new owner's first write raises that version. An old owner that is paused between its check and its write
+ * therefore has the write rejected. A repeated write whose first answer was lost gets a conflict that carries the
+ * owner's own value; the value is then checked again.
  */
 export function createFencedObject<T>(deps: FencedObjectDeps<T>): FencedObject<T> {
     const { store, key, parse } = deps;
--- a/packages/ownership/src/createGroupBackup.ts
+++ b/packages/ownership/src/createGroupBackup.ts
@@ -8,7 +8,7 @@
 import type { OpenStep } from "./OpenStep.js";
 import { parseStoredGroup } from "./parseStoredGroup.js";
 
-/** A takeover does not wait longer than this for kept groups; making them again is slower, but sure. */
+/** Longest that a takeover waits for stored groups; generating them again is slower but always possible. */
 const restoreTimeoutMs = 5_000;
 
 interface GroupBackupDeps {
@@ -19,7 +19,7 @@
     logger: Logger;
 }
 
-/** Makes the keeper over a `GroupKeep`; without one it keeps nothing. */
+/** Creates the group backup on top of a group store; without a store it does nothing. */
 export function createGroupBackup(deps: GroupBackupDeps): GroupBackup {
     const { groupStore, state, fencing, clock, logger } = deps;
     const { job } = state.job;
@@ -45,7 +45,7 @@
 
     async function restore(step: OpenStep): Promise<number> {
         const records = await load(step.document.step);
-        // A record of a newer owner is left to it: this one is about to learn that it is fenced off.
+        // A record of a newer owner is ignored: it shows that this owner is fenced and about to stop.
         const usable = records
             .filter(record => record.fencing <= fencing)
             .sort((a, b) => b.fencing - a.fencing);
--- a/packages/ownership/src/createGroupReader.ts
+++ b/packages/ownership/src/createGroupReader.ts
@@ -13,7 +13,7 @@
 const maxWaitMs = 60_000;
 const retryAfterMs = 500;
 
-/** Reads groups of a step for its trainer. */
+/** Reads ready groups of a step for its trainer. */
 type GroupReader = (step: StepNumber, cursor: string | undefined, waitMs: number) => Promise<GroupsPage>;
 
 const isComplete = (cursor: CursorState): boolean => countGroups(cursor) === cursor.groups;
@@ -21,8 +21,9 @@
 const allGroups = (step: OpenStep): number[] => step.document.prompts.map((_, group) => group);
 
 /**
- * Makes the reader: a long poll whose cursor is the authority on what the trainer has. `done` answers a cursor that
- * covers every group, so a trainer reads once more after its last groups, and that read acknowledges them.
+ * Creates the group reader: a long poll whose cursor is authoritative for the groups that the trainer has. `done`
+ * answers a cursor that covers every group; a trainer therefore reads once more after its last groups, and that
+ * read acknowledges them.
  */
 export function createGroupReader(deps: GroupReaderDeps): GroupReader {
     const { state, codec, authority, producer, clock } = deps;
@@ -97,7 +98,7 @@
             }
             const remainingMs = deadlineMs - clock.monotonicMs();
             if (remainingMs <= 0 && !authority.mayRun()) {
-                throw new ResultError(resultCodes.notOwner, "the lease is past its time", retryAfterMs);
+                throw new ResultError(resultCodes.notOwner, "the owner's lease has expired", retryAfterMs);
             }
             if (remainingMs <= 0) {
                 return emptyPage(cursor);
--- a/packages/ownership/src/createIntentWriter.ts
+++ b/packages/ownership/src/createIntentWriter.ts
@@ -23,7 +23,7 @@
     jobStore: JobStore;
     steps: StepRegistry;
     clock: Clock;
-    /** The weights that stand in the object API, once they are known. */
+    /** Called with the weights stored in the object API after a write. */
     onWeights: (weights: PublishedWeights) => void;
 }
 
@@ -31,7 +31,7 @@
 
 const isCount = (value: number): boolean => Number.isSafeInteger(value) && value >= 0;
 
-/** Makes the taker of intent: one durable change at a time, refused while the lease is not held. */
+/** Creates the writer of a trainer's intent: one durable change at a time, refused while the lease is not held. */
 export function createIntentWriter(deps: IntentWriterDeps): IntentWriter {
     const { state, authority, jobStore, steps, clock } = deps;
     const runSerially = createSerialQueue(maxWaitingChanges);
@@ -42,14 +42,14 @@
             throw new ResultError(stopCode, "", retryAfterMs);
         }
         if (!authority.mayAcceptIntent()) {
-            throw new ResultError(resultCodes.intentRefused, "the lease is past its time", retryAfterMs);
+            throw new ResultError(resultCodes.intentRefused, "the owner's lease has expired", retryAfterMs);
         }
     }
 
     function toDocument(spec: StepSpec): StepDocument {
         const prompts = promptsSchema.safeParse(spec.prompts).data ?? [];
         if (!isCount(spec.step) || prompts.length === 0 || prompts.length > maxGroups) {
-            throw badRequest(`step: a number from 0, with 1 to ${maxGroups} prompts of positive maxTokens`);
+            throw badRequest(`step: expected a number >= 0, 1 to ${maxGroups} prompts, maxTokens > 0`);
         }
         return {
             step: spec.step,
@@ -60,7 +60,7 @@
         };
     }
 
-    /** True if the step stands with this content; throws if it stands with another or is long over. */
+    /** True if the step was opened with this content; throws if it was opened with other content or is retired. */
     function isAlreadyOpened(document: StepDocument): boolean {
         const digest = state.steps.get(document.step)?.document.digest ?? state.completed.get(document.step);
         const isRetired = digest === undefined && document.step < state.retiredBelow;
@@ -86,7 +86,7 @@
 
     async function publishWeights(weights: PublishedWeights): Promise<void> {
         if (weights.policy !== state.job.policy || !isCount(weights.version)) {
-            throw badRequest(`weights: a version from 0 of policy ${state.job.policy}`);
+            throw badRequest(`weights: expected a version >= 0 of policy ${state.job.policy}`);
         }
         throwUnlessLeaseHeld();
         await runSerially(async () => {
@@ -94,7 +94,7 @@
             const stored = await jobStore.writeWeights(weights);
             deps.onWeights(stored);
             if (stored.version !== weights.version || stored.location !== weights.location) {
-                throw new ResultError(resultCodes.versionNotHigher, `published: ${stored.version}`);
+                throw new ResultError(resultCodes.versionNotHigher, `published version: ${stored.version}`);
             }
         });
     }
--- a/packages/ownership/src/createJobState.ts
+++ b/packages/ownership/src/createJobState.ts
@@ -3,7 +3,7 @@
 import type { ClaimedState } from "./ClaimedState.js";
 import type { JobState } from "./JobState.js";
 
-/** Makes the record of a job from its durable state; the steps are put in by the caller. */
+/** Creates a job's state from its durable state; the caller adds the steps. */
 export function createJobState(job: JobManifest, claimed: ClaimedState): JobState {
     const { checkpoint, weights } = claimed;
     const state: JobState = {
--- a/packages/ownership/src/createJobStore.ts
+++ b/packages/ownership/src/createJobStore.ts
@@ -26,7 +26,7 @@
 
 const retryAfterMs = 1_000;
 
-/** Makes a job's durable state under its keys `jobs/<job>/…`. */
+/** Creates the access to a job's durable state under the keys `jobs/<job>/…`. */
 export function createJobStore(deps: JobStoreDeps): JobStore {
     const { store, job, fencing, guards } = deps;
     const steps = createStepStore(store, job);
--- a/packages/ownership/src/createNotifier.ts
+++ b/packages/ownership/src/createNotifier.ts
@@ -1,13 +1,13 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
-/** Wakes those who wait for a change. */
+/** Wakes the waiters of a change. */
 interface Notifier {
     notify(): void;
     /** Resolves at the next `notify` or after `waitMs`. */
     wait(waitMs: number): Promise<void>;
 }
 
-/** Makes a notifier. */
+/** Creates a notifier; a notification wakes all current waiters at once. */
 export function createNotifier(clock: Clock): Notifier {
     let changed = new AbortController();
     return {
--- a/packages/ownership/src/createOpenStep.ts
+++ b/packages/ownership/src/createOpenStep.ts
@@ -4,7 +4,7 @@
 import type { OpenStep } from "./OpenStep.js";
 import type { StepDocument } from "./StepDocument.js";
 
-/** Makes an open step with nothing made yet. */
+/** Creates an open step without any samples. */
 export function createOpenStep(
     document: StepDocument,
     furthest: CursorState,
--- a/packages/ownership/src/createOwner.test.ts
+++ b/packages/ownership/src/createOwner.test.ts
@@ -16,7 +16,7 @@
 const weights = (version: number): PublishedWeights =>
     ({ policy: "plume", version, location: `plume/${version}` }) as unknown as PublishedWeights;
 
-/** Runs the world's clock until the call has ended. */
+/** Advances the world's clock until the call has settled. */
 async function settle<T>(world: TestWorld, call: Promise<T>): Promise<T> {
     let isOver = false;
     const ended = call.finally(() => {
@@ -34,7 +34,7 @@
     );
 }
 
-/** Reads until `done` and returns every page. */
+/** Reads until `done` and returns all pages. */
 async function readAll(world: TestWorld, owner: Owner, start?: string): Promise<GroupsPage[]> {
     const pages: GroupsPage[] = [];
     let cursor = start;
@@ -51,7 +51,7 @@
 const groupsIn = (pages: GroupsPage[]): number[] =>
     pages.flatMap(page => page.groups.map(group => group.group));
 
-test("a step is opened, made, delivered once and charged", async () => {
+test("each group of an opened step is generated, delivered once and counted as usage", async () => {
     const world = createTestWorld();
     const { owner } = await settle(world, world.startOwner());
     await settle(world, owner.publishWeights(weights(1)));
@@ -93,7 +93,7 @@
     expect(world.violations()).toEqual([]);
 });
 
-test("the same cursor gives the same bytes, and an old cursor still does after newer ones", async () => {
+test("the same cursor gets identical bytes, also after newer cursors were read", async () => {
     const world = createTestWorld();
     const { owner } = await settle(world, world.startOwner());
     await settle(world, owner.openStep(spec()));
@@ -108,7 +108,7 @@
     expect(groupsIn([first, second]).sort()).toEqual([0, 1, 2]);
 });
 
-test("a step opened again is the same step; other prompts are a conflict; also once it is complete", async () => {
+test("opening a step again has no effect and other prompts are a conflict, also after completion", async () => {
     const world = createTestWorld();
     const { owner } = await settle(world, world.startOwner());
     await settle(world, owner.openStep(spec()));
@@ -122,7 +122,7 @@
     expect(world.sidecars.reduce((sum, sidecar) => sum + sidecar.started(), 0)).toBe(6);
 });
 
-test("a step of several megabytes is stored in pieces of less than one and survives its owner", async () => {
+test("a step of several megabytes is stored in chunks and survives its owner; a prompt beyond the chunk size is refused", async () => {
     const world = createTestWorld({ job: { groupSize: 1 } });
     const first = await settle(world, world.startOwner());
     const prompt = "p".repeat(90_000);
@@ -137,7 +137,7 @@
     );
 });
 
-test("versions only rise; the one that stands may be published again", async () => {
+test("a lower version is refused; publishing the current version again has no effect", async () => {
     const world = createTestWorld();
     const { owner } = await settle(world, world.startOwner());
     await settle(world, owner.publishWeights(weights(3)));
@@ -149,7 +149,7 @@
     expect(owner.status().publishedVersion).toBe(3);
 });
 
-test("a sample that fails verification is made again", async () => {
+test("a sample that fails verification is generated again", async () => {
     const world = createTestWorld({ samplers: 1 });
     world.sidecars[0]!.returnEmptyAnswers(2);
     const { owner } = await settle(world, world.startOwner());
@@ -159,8 +159,8 @@
     expect(world.violations()).toEqual([]);
 });
 
-// Guards against: a trainer was given samples of weights that were long replaced, and nobody noticed.
-test("groups that went over the bound while they were offered are made again", async () => {
+// Guards against delivering samples of weights that have been replaced since the page was first sent.
+test("groups that exceed the staleness bound after they were sent but not acknowledged are generated again", async () => {
     const world = createTestWorld();
     const { owner } = await settle(world, world.startOwner());
     await settle(world, owner.publishWeights(weights(1)));
@@ -179,7 +179,7 @@
     expect(world.violations()).toEqual([]);
 });
 
-test("groups that the trainer proved to have are not made again when they go over the bound", async () => {
+test("groups that the trainer's cursor covers are not generated again when they exceed the staleness bound", async () => {
     const world = createTestWorld();
     const { owner } = await settle(world, world.startOwner());
     await settle(world, owner.openStep(spec()));
@@ -192,7 +192,7 @@
     expect(world.sidecars.reduce((sum, sidecar) => sum + sidecar.started(), 0)).toBe(6);
 });
 
-test("hostile cursors are refused, and reading goes on with the true one", async () => {
+test("forged cursors are refused, and reading continues with the genuine one", async () => {
     const world = createTestWorld();
     const { owner } = await settle(world, world.startOwner());
     await settle(world, owner.openStep(spec()));
--- a/packages/ownership/src/createOwner.ts
+++ b/packages/ownership/src/createOwner.ts
@@ -24,13 +24,13 @@
 import type { OwnerParts } from "./OwnerParts.js";
 import { resumeSteps } from "./resumeSteps.js";
 
-/** A read that ends a step, or a graceful stop, waits this long for the checkpoint to be durable. */
+/** Longest that the last read of a step, or a graceful stop, waits for a durable checkpoint. */
 const flushTimeoutMs = 1_000;
 
 /**
- * Makes the owner of one job under its lease's fencing number. It first claims the job's durable state, so that an
- * older owner can change it no more, then takes up the open steps with the groups that were kept of them. Rejects
- * with `fenced` if a newer owner has claimed the state, or the last store error once the lease is past its time.
+ * Creates the owner of one job under its lease's fencing number. It first claims the job's durable state, so that
+ * older owners can no longer change it, then resumes the open steps with their stored groups. Rejects with `fenced`
+ * if a newer owner has claimed the state, or with the last store error once the lease has expired.
  */
 export async function createOwner(
     deps: OwnerDeps,
@@ -142,7 +142,7 @@
         () => ended.abort(),
     );
 
-    // The lease may have been lost while the state was claimed, when there was nothing to end yet.
+    // The lease may have been lost during the claim, before the stop handlers were registered.
     const stopCode = authority.stopCode();
     if (stopCode !== undefined) {
         stopHandlers.forEach(end => end());
--- a/packages/ownership/src/createOwnerTakeover.test.ts
+++ b/packages/ownership/src/createOwnerTakeover.test.ts
@@ -71,7 +71,7 @@
     return trainer;
 }
 
-/** Starts a new owner whenever there is none alive, as the entries would once the lease has run out. */
+/** Starts a new owner whenever none is running, as the entries do once the lease has expired. */
 function ensureOwner(
     world: TestWorld,
     onStart: (count: number) => Promise<Started>,
@@ -86,7 +86,7 @@
         isStarting = true;
         current = undefined;
         const started = onStart(starts++);
-        // An owner killed while it starts never answers.
+        // An owner that is killed during its start never settles.
         current = await Promise.race([started, world.clock.sleep(3_000).then(() => undefined)]);
         isStarting = false;
     }
@@ -100,7 +100,7 @@
     return () => current?.process.isAlive() === true ? current.owner : undefined;
 }
 
-test("a takeover with kept groups makes nothing again; usage is neither lost nor doubled", async () => {
+test("a takeover with stored groups generates nothing again, and usage is neither lost nor counted twice", async () => {
     const world = createTestWorld();
     const first = await settle(world, world.startOwner());
     await settle(world, first.owner.openStep(spec));
@@ -121,7 +121,7 @@
     expect(third.owner.status().deliveredEngineMs).toBe(delivered);
 });
 
-test("a takeover without kept groups makes again only what the trainer does not have", async () => {
+test("a takeover without stored groups generates again only what the trainer does not have", async () => {
     const world = createTestWorld();
     const change = (
         deps: Parameters<NonNullable<Parameters<TestWorld["startOwner"]>[0]>["change"] & object>[0],
@@ -145,7 +145,7 @@
     expect(groups.sort()).toEqual([0, 1, 2]);
 });
 
-test("kept groups that are torn, of a newer owner, of another step or too old do not count", async () => {
+test("stored groups that are truncated, of a newer owner, of another step or too stale are ignored", async () => {
     const world = createTestWorld();
     const first = await settle(world, world.startOwner());
     await settle(world, first.owner.openStep(spec));
@@ -170,8 +170,8 @@
     expect(fourth.owner.status().steps[0]).toMatchObject({ ready: 0 });
 });
 
-// Guards against: training idles because the object API is down, though samplers and trainer are well.
-test("during a long store outage a running job is made and delivered, new intent is refused", async () => {
+// Guards against idle training while only the object API is down and samplers and trainer are healthy.
+test("during a long store outage open steps are generated and delivered, and new intent is refused", async () => {
     const world = createTestWorld();
     const { owner, setHeld } = await settle(world, world.startOwner());
     await settle(world, owner.openStep(spec));
@@ -199,8 +199,8 @@
     expect(world.violations()).toEqual([]);
 });
 
-// Guards against: two owners act for one job.
-test("an owner that wakes after another has taken over stops itself before any effect", async () => {
+// Guards against two owners that act for one job at the same time.
+test("an owner that resumes after a takeover stops before it has any effect", async () => {
     const world = createTestWorld();
     const first = await settle(world, world.startOwner());
     await settle(world, first.owner.openStep(spec));
@@ -221,8 +221,8 @@
     expect(page.groups.length).toBe(3);
 });
 
-// The same, but the sleeper's own way to the object API is cut, so it finds no proof against itself there.
-test("an owner cut off from the store goes on until a destination shows it the newer number", async () => {
+// The old owner is also disconnected from the object API, so it can't see there that it was replaced.
+test("an owner without access to the store continues until it receives a newer fencing number", async () => {
     const world = createTestWorld();
     let isCut = false;
     const first = await settle(
@@ -251,7 +251,7 @@
     expect(await codeOfRejection(world, first.owner.readGroups(step, undefined, 0))).toBe("fenced");
 });
 
-test("weights that an old owner was about to publish are refused at the store once another has taken over", async () => {
+test("the store refuses weights of an old owner after a takeover", async () => {
     const world = createTestWorld();
     const first = await settle(world, world.startOwner());
     await settle(world, first.owner.publishWeights(weights(1)));
@@ -264,7 +264,7 @@
     expect(world.control.peek("jobs/humo/weights")).toMatchObject({ published: { version: 1 } });
 });
 
-test("a lagging store replica hides neither steps nor weights from a new owner", async () => {
+test("a new owner finds all steps and weights despite a lagging store replica", async () => {
     const world = createTestWorld();
     const first = await settle(world, world.startOwner());
     await settle(world, first.owner.publishWeights(weights(4)));
@@ -310,7 +310,7 @@
 }
 
 test.each(["before", "after"] as const)(
-    "an owner killed %s any one of its calls loses and doubles nothing",
+    "an owner killed %s any of its calls loses nothing and delivers nothing twice",
     async phase => {
         let killAt = 0;
         for (; killAt < 2_000; killAt++) {
@@ -325,7 +325,7 @@
 );
 
 test.each([3, 4, 5, 6, 7, 8])(
-    "answers lost on either side and owners killed again and again, seed %i",
+    "delivery is exactly once with lost answers on both sides and repeated owner kills, seed %i",
     async seed => {
         const world = createTestWorld({ seed });
         const random = createRandom(seed);
--- a/packages/ownership/src/createPageIssuer.ts
+++ b/packages/ownership/src/createPageIssuer.ts
@@ -13,15 +13,15 @@
 
 const maxPageGroups = 64;
 
-/** Gives the page that is due for a cursor now; undefined while no group is ready. */
+/** Returns the page that answers a cursor now; undefined while no group is ready. */
 type PageIssuer = (step: OpenStep, cursor: CursorState) => GroupsPage | undefined;
 
 const allGroups = (step: OpenStep): number[] => step.document.prompts.map((_, group) => group);
 
 /**
- * Makes the issuer of pages. A page issued for a cursor is issued again for the same cursor, unless one of its
- * samples has gone over the staleness bound since: the old cursor proves that the trainer does not have them, so
- * they are made again.
+ * Creates the issuer of pages. A repeated read with the same cursor gets the same page, unless one of its samples
+ * has exceeded the staleness bound since: the old cursor proves that the trainer doesn't have these samples, so
+ * they are generated again.
  */
 export function createPageIssuer(deps: GroupReaderDeps): PageIssuer {
     const { state, codec, producer, guards, logger, metrics } = deps;
@@ -60,7 +60,7 @@
     function issuePage(step: OpenStep, cursor: CursorState, groups: SampleGroup[]): GroupsPage {
         const number = step.document.step;
         if (!passesInvariants(step, cursor, groups)) {
-            throw new ResultError(resultCodes.internal, "a promise would break; the page is withheld");
+            throw new ResultError(resultCodes.internal, "page withheld: it violates a delivery invariant");
         }
         const next = advanceCursor(cursor, groups, deps.fencing);
         logger.info("groupsOffered", { step: number, groups: groups.length, delivered: countGroups(cursor) });
@@ -77,7 +77,7 @@
         return page;
     }
 
-    /** The page issued for this cursor before, if all of it may still be delivered. */
+    /** The page issued for this cursor before, if every sample in it may still be delivered. */
     function repeatPage(step: OpenStep, cursor: CursorState): GroupsPage | undefined {
         const issued = step.issuedPages.get(pageKey(cursor));
         if (issued === undefined || !guards.repeatsPage()) {
--- a/packages/ownership/src/createRunningCounts.ts
+++ b/packages/ownership/src/createRunningCounts.ts
@@ -1,12 +1,12 @@
 import type { SampleId } from "@auburnarch/types/SampleId";
 
-/** Attempts that run now, by step. */
+/** Counts of running attempts by step. */
 interface RunningCounts {
     change(sample: SampleId, by: 1 | -1): void;
     ofStep(step: number): number;
 }
 
-/** Makes counts that start at none. */
+/** Creates the counts, all zero. */
 export function createRunningCounts(): RunningCounts {
     const counts = new Map<number, number>();
     return {
--- a/packages/ownership/src/createSamplePipeline.ts
+++ b/packages/ownership/src/createSamplePipeline.ts
@@ -27,14 +27,14 @@
     onGroupComplete: (step: OpenStep, group: SampleGroup) => void;
 }
 
-/** The parts of an owner that samples and weights go through. */
+/** The parts of an owner that handle samples and weights. */
 interface SamplePipeline {
     producer: SampleProducer;
     dispatcher: Dispatcher;
     roller: SwapRoller;
 }
 
-/** Joins dispatcher, swap roller and maker. All of them act only while `authority` lets the owner run. */
+/** Connects dispatcher, swap roller and sample producer. They act only while `authority` permits it. */
 export function createSamplePipeline(options: SamplePipelineDeps): SamplePipeline {
     const { deps, parts, guards, state, authority, logger } = options;
     const { clock, random, metrics, limits, listSamplers } = deps;
--- a/packages/ownership/src/createSampleProducer.ts
+++ b/packages/ownership/src/createSampleProducer.ts
@@ -12,8 +12,8 @@
 const maxBackoffMs = 10_000;
 
 /**
- * Makes the maker: dispatch → verify → score → commit. Nothing unverified or unscored is committed; what fails
- * verification is made again after a backoff, and a scoring service that is down is asked until it answers.
+ * Creates the sample producer: dispatch → verify → score → commit. Only verified and scored samples are committed.
+ * A sample that fails verification is generated again after a backoff; scoring is retried until the service answers.
  */
 export function createSampleProducer(deps: SampleProducerDeps): SampleProducer {
     const { state, guards, clock, random, logger, metrics } = deps;
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Undefined if the sample is no longer wanted before the service has answered. */
+    /** Resolves with undefined if the sample is withdrawn before the scoring service has answered. */
     async function score(
         step: OpenStep,
         generated: MadeSample,
@@ -143,7 +143,7 @@
         if (sampleScore === undefined) {
             return;
         }
-        // Weights may have been published while the score was awaited.
+        // New weights may have been published while the sample was scored.
         if (!guards.isFresh(generated.answer.spans, state.bounds().minVersion)) {
             await regenerate(step, generated.task, submission, "staleVersion");
             return;
--- a/packages/ownership/src/createStepRegistry.ts
+++ b/packages/ownership/src/createStepRegistry.ts
@@ -27,13 +27,13 @@
     producer: SampleProducer;
     checkpointer: Checkpointer;
     logger: Logger;
-    /** Completed steps that have no objects any more. */
+    /** Completed steps whose objects are already removed. */
     alreadyRemoved: Iterable<number>;
 }
 
 const groupsOf = (step: OpenStep): number[] => step.document.prompts.map((_, group) => group);
 
-/** Makes the book of a job's steps over its shared state. */
+/** Creates the registry of a job's steps on top of the shared job state. */
 export function createStepRegistry(deps: StepRegistryDeps): StepRegistry {
     const { state, groupBackup, producer, logger } = deps;
     const removed = new Set(deps.alreadyRemoved);
@@ -121,7 +121,7 @@
                 await deps.jobStore.removeStep(step);
             }
             catch (error) {
-                // Left for the next owner, which finds it in its list.
+                // The next owner finds the step in its list and removes it.
                 logger.warn("stepRemovalFailed", { step, code: codeOf(error).number });
             }
         }
--- a/packages/ownership/src/createStepStore.ts
+++ b/packages/ownership/src/createStepStore.ts
@@ -17,13 +17,13 @@
 const retryAfterMs = 1_000;
 
 /**
- * Makes the stored steps of a job: `jobs/<job>/steps/<step>` commits a step, `…/<step>/<digest>/<chunk>` hold its
- * prompts. A step exists once its commit object does.
+ * Creates the store of a job's steps. `jobs/<job>/steps/<step>` is the commit object of a step,
+ * `…/<step>/<digest>/<chunk>` hold its prompts. A step exists once its commit object does.
  */
 export function createStepStore(store: ObjectStore, job: JobId): StepStore {
     const stepsPrefix = `jobs/${job}/steps/`;
     const stepKey = (step: number): string => `${stepsPrefix}${step}`;
-    // Content in the name, so that two owners opening one step with different prompts cannot mix their chunks.
+    // The key contains the digest, so that chunks of two owners that open a step with different prompts can't mix.
     const chunkKey = (step: number, digest: string, chunk: number): string =>
         `${stepKey(step)}/${digest}/${chunk}`;
 
@@ -45,9 +45,9 @@
         writtenVersion: number,
     ): Promise<{ steps: StepDocument[]; storedSteps: number[]; }> {
         const { objects, revision } = await store.list(stepsPrefix);
-        // A lagging replica lists the steps of a while ago; one left out would wait until its trainer asks for it.
+        // A lagging replica may omit recent steps; an omitted step would not resume until its trainer reads it.
         if (revision < writtenVersion) {
-            throw new ResultError(resultCodes.storeUnavailable, "the list is older than our claim");
+            throw new ResultError(resultCodes.storeUnavailable, "the list of steps is older than the claim");
         }
         const byKey = new Map(objects.map(object => [object.key, object]));
         const steps = objects
@@ -66,12 +66,12 @@
         return assemble(record, key => byKey.get(key));
     }
 
-    /** Everything before the commit object: if it fails, no step has come about. */
+    /** Writes all chunks before the commit object; if this fails, the step does not exist. */
     async function writeChunks(document: StepDocument): Promise<number> {
         const chunks = splitPrompts(document.prompts);
         try {
             for (const [index, chunk] of chunks.entries()) {
-                // A conflict means that the same content is there already.
+                // A conflict means that the same content is already stored.
                 await store.write(chunkKey(document.step, document.digest, index), chunk, absent);
             }
         }
@@ -90,7 +90,7 @@
                 if (codeOf(error).number === resultCodes.storeThrottled.number) {
                     throw new ResultError(resultCodes.intentRefused, "storeThrottled", retryAfterMs);
                 }
-                // The lost answer may have been a "written"; then the next try is a conflict with our own content.
+                // The write may have taken effect; the next attempt then gets a conflict with the same content.
                 if (attempts === maxAttempts) {
                     throw error;
                 }
--- a/packages/ownership/src/createWeightUpdater.ts
+++ b/packages/ownership/src/createWeightUpdater.ts
@@ -20,19 +20,19 @@
     producer: SampleProducer;
 }
 
-/** Puts published weights into force. */
+/** Applies published weights to dispatching, swaps and generated samples. */
 interface WeightUpdater {
-    /** Takes weights that stand in the object API. */
+    /** Applies weights that are stored in the object API. */
     apply(weights: PublishedWeights): void;
-    /** Applies the staleness bound to everything under way and everything made. */
+    /** Applies the staleness bound to running and to finished samples. */
     applyBounds(): void;
 }
 
-/** Makes the taker of published weights. */
+/** Creates the updater of published weights. */
 export function createWeightUpdater(deps: WeightUpdaterDeps): WeightUpdater {
     const { state, guards, invariants, logger, dispatcher, roller, producer } = deps;
 
-    /** Makes anew what has gone over the bound, but for the page that the trainer may be taking in just now. */
+    /** Regenerates samples that exceed the bound, except those on the page that the trainer may be receiving now. */
     function remakeStaleGroups(step: OpenStep): void {
         const offered = step.issuedPages.get(pageKey(step.furthestCursor))?.groups.map(group => group.group)
             ?? [];
--- a/packages/ownership/src/defaultOwnerGuards.ts
+++ b/packages/ownership/src/defaultOwnerGuards.ts
@@ -6,7 +6,7 @@
 import { mayRun } from "./mayRun.js";
 import type { OwnerGuards } from "./OwnerGuards.js";
 
-/** The checks as they run in production. */
+/** The checks used in production. */
 export const defaultOwnerGuards: OwnerGuards = {
     ...defaultLedgerGuards,
     mayRun,
@@ -15,7 +15,7 @@
     isUndelivered: (delivered, group) => !hasGroup(delivered, group),
     isFresh,
     findSampleProblem,
-    // A trainer whose answer was lost reads again; with other bytes it could not tell a repeat from new groups.
+    // A trainer that lost an answer reads again; only identical bytes let it tell a repeat from new groups.
     repeatsPage: () => true,
     isHigherVersion: (version, current) => version > current,
 };
--- a/packages/ownership/src/describeOwner.ts
+++ b/packages/ownership/src/describeOwner.ts
@@ -3,7 +3,7 @@
 import type { JobState } from "./JobState.js";
 import type { OwnerStatus } from "./OwnerStatus.js";
 
-/** An owner's status; delivered engine time is that of the furthest cursors and of completed steps. */
+/** Returns an owner's status; the delivered totals sum up completed steps and the furthest cursors of open ones. */
 export function describeOwner(
     state: JobState,
     fencing: FencingNumber,
--- a/packages/ownership/src/describeStep.ts
+++ b/packages/ownership/src/describeStep.ts
@@ -3,7 +3,7 @@
 import type { OpenStep } from "./OpenStep.js";
 import type { OwnerStatus } from "./OwnerStatus.js";
 
-/** One step's row of the status; `running` counts attempts, `waiting` samples under way that no attempt runs for. */
+/** Returns one step's status row; `running` counts attempts, `waiting` samples without a running attempt. */
 export function describeStep(step: OpenStep, running: number): OwnerStatus["steps"][number] {
     const groups = step.document.prompts.map((_, group) => group);
     const ready = groups.filter(group =>
--- a/packages/ownership/src/digestOf.ts
+++ b/packages/ownership/src/digestOf.ts
@@ -1,7 +1,7 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import { createHash } from "node:crypto";
 
-/** SHA-256 in hex over the JSON of `content`. */
+/** SHA-256 of the JSON of `content`, in hex. */
 export function digestOf(content: unknown): ContentDigest {
     return createHash("sha256").update(JSON.stringify(content)).digest("hex") as ContentDigest;
 }
--- a/packages/ownership/src/mayRun.ts
+++ b/packages/ownership/src/mayRun.ts
@@ -1,15 +1,16 @@
 import type { AuthorityState } from "./AuthorityState.js";
 
-/** A probe without answer speaks for this long; the next is sent every second. */
+/** Time that an unanswered probe counts as evidence; probes are sent every second. */
 const unansweredProbeValidMs = 3_000;
 
 /**
- * Whether an owner may start and deliver samples, the effects that their destinations fence: sidecars and trainers
- * refuse a lower number. Within the lease it may. Past it, it may only while the object API is known to be silent
- * right now: then nobody can take the lease over either, or if somebody did, the destinations refuse us.
+ * Whether an owner may start and deliver samples. These effects are fenced at their destination: sidecars and
+ * trainers refuse a lower fencing number. Within the lease the owner may act. After it has expired, it may act only
+ * while the object API is known to be unreachable: then no other owner can acquire the lease, and if one already
+ * has, the destinations refuse this owner.
  *
- * An owner that wakes from a pause finds its last proof of silence too old, and does nothing before a fresh probe has
- * told it which of the two it is.
+ * After a pause of the process the last unanswered probe is too old to count, so the owner does nothing until a new
+ * probe has shown whether the object API is unreachable or the lease has another holder.
  */
 export function mayRun(state: AuthorityState): boolean {
     if (state.isLeaseLost || state.isFenced) {
--- a/packages/ownership/src/pageKey.ts
+++ b/packages/ownership/src/pageKey.ts
@@ -1,6 +1,6 @@
 import type { CursorState } from "@auburnarch/cursors/CursorState";
 
-/** Two cursors that say the same get the same page, whoever issued them. */
+/** Key of a page by its cursor's content: equal cursors get the same page, whichever owner issued them. */
 export function pageKey(cursor: CursorState): string {
     return `${Buffer.from(cursor.delivered).toString("base64url")}/${cursor.engineMs}`;
 }
--- a/packages/ownership/src/parseStoredGroup.ts
+++ b/packages/ownership/src/parseStoredGroup.ts
@@ -17,8 +17,8 @@
 }
 
 /**
- * Reads a kept group and verifies it as if it had just been made: what lay on another machine's disk may be torn,
- * old or another step's. Undefined if it does not count; its samples are then made again.
+ * Parses a stored group and verifies it like a newly generated one: a record from another VM's disk may be
+ * truncated, outdated or of another step. Undefined if it is invalid; its samples are then generated again.
  */
 export function parseStoredGroup(
     job: JobId,
--- a/packages/ownership/src/promptsSchema.ts
+++ b/packages/ownership/src/promptsSchema.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** Prompts of a step, one a group. */
+/** Prompts of a step, one per group. */
 export const promptsSchema = z.array(z.object({
     prompt: z.string(),
     maxTokens: z.number().int().positive(),
--- a/packages/ownership/src/resumeSteps.ts
+++ b/packages/ownership/src/resumeSteps.ts
@@ -10,7 +10,7 @@
     steps: StepRegistry;
 }
 
-/** Opens the steps that the last owner left, each from the furthest cursor it had noted, and removes finished ones. */
+/** Reopens the previous owner's steps, each at its checkpointed cursor, and removes the objects of finished ones. */
 export async function resumeSteps(deps: ResumeStepsDeps): Promise<void> {
     const { claimed, state, codec, steps } = deps;
     const cursors = new Map(claimed.checkpoint.cursors.map(({ step, cursor }) => [step, cursor]));
--- a/packages/ownership/src/sampleGroupSchema.ts
+++ b/packages/ownership/src/sampleGroupSchema.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** A group as it is kept outside the owner's process. */
+/** A group as stored outside the owner's process. */
 export const sampleGroupSchema = z.object({
     group: z.number().int().nonnegative(),
     samples: z.array(z.object({
--- a/packages/ownership/src/stepRecordSchema.ts
+++ b/packages/ownership/src/stepRecordSchema.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** The commit object of a step: `chunks` objects beside it hold the prompts, all written before it. */
+/** The commit object of a step, written after the `chunks` objects that hold its prompts. */
 export const stepRecordSchema = z.object({
     step: z.number().int().nonnegative(),
     digest: z.string(),
--- a/packages/ownership/src/testing/TestSidecar.ts
+++ b/packages/ownership/src/testing/TestSidecar.ts
@@ -2,7 +2,7 @@
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** A sampler in memory that fences, swaps and stamps as a real one does. */
+/** An in-memory sampler that checks fencing, swaps weights and records versions like a real one. */
 export interface TestSidecar {
     port: SidecarPort;
     view(): SamplerView;
@@ -11,7 +11,7 @@
     engineMs(): number;
     /** Sample attempts that were started. */
     started(): number;
-    /** Attempts refused for an old fencing number. */
+    /** Attempts and orders refused for an outdated fencing number. */
     fenced(): number;
     /** The next `count` answers are complete but carry no spans. */
     returnEmptyAnswers(count: number): void;
--- a/packages/ownership/src/testing/TestTrainerReport.ts
+++ b/packages/ownership/src/testing/TestTrainerReport.ts
@@ -1,12 +1,12 @@
-/** What a test trainer received and every breach of a promise that it saw. */
+/** What a test trainer received, and every violated guarantee that it detected. */
 export interface TestTrainerReport {
-    /** Groups taken in, by `step/group`. */
+    /** Received groups by `step/group`. */
     receivedGroups: Map<string, { engineMs: number; samples: number; }>;
     problems: string[];
     stepsDone: number;
-    /** Engine time of all samples taken in. */
+    /** Engine time of all received samples. */
     engineMs: number;
-    /** Calls that were made again. */
+    /** Repeated calls. */
     retries: number;
     droppedPages: number;
 }
--- a/packages/ownership/src/testing/TestWorld.ts
+++ b/packages/ownership/src/testing/TestWorld.ts
@@ -9,7 +9,7 @@
 import type { TestProcess } from "./TestProcess.js";
 import type { TestSidecar } from "./TestSidecar.js";
 
-/** A store, samplers and a scoring service, and owners that come and go. */
+/** A test environment: object store, samplers, scoring service and any number of owners. */
 export interface TestWorld {
     clock: FakeClock;
     store: ObjectStore;
@@ -18,9 +18,9 @@
     sidecars: TestSidecar[];
     groupStore: GroupKeep;
     lines: string[];
-    /** Acquires the lease under the next number and makes an owner in a process of its own. */
+    /** Acquires the lease under the next fencing number and creates an owner in its own process. */
     startOwner(options?: StartOptions): Promise<StartedOwner>;
-    /** Violations that owners found themselves. */
+    /** Invariant violations that owners reported. */
     violations(): string[];
     engineMs(): number;
 }
@@ -28,15 +28,15 @@
 interface StartOptions {
     guards?: OwnerGuards;
     change?: (deps: OwnerDeps, process: TestProcess) => OwnerDeps;
-    /** Called at each call out of the process, before it leaves and after its answer has come. */
+    /** Called for each outgoing call of the process, before it is sent and after its answer has arrived. */
     onCall?: (phase: "before" | "after", name: string, process: TestProcess) => void;
 }
 
 interface StartedOwner {
     owner: Owner;
     process: TestProcess;
-    /** Lets the lease lapse by the holder's own clock, or be held again. */
+    /** Sets whether the lease is unexpired by the holder's own clock. */
     setHeld(held: boolean): void;
-    /** As if the lease had seen another holder. */
+    /** Simulates that the lease was seen with another holder. */
     lose(): void;
 }
--- a/packages/ownership/src/testing/TrainerConnection.ts
+++ b/packages/ownership/src/testing/TrainerConnection.ts
@@ -3,7 +3,7 @@
 import type { StepNumber } from "@auburnarch/types/StepNumber";
 import type { StepSpec } from "@auburnarch/types/StepSpec";
 
-/** How a trainer reaches its job's owner. Every answer names the owner's fencing number. */
+/** A trainer's connection to its job's owner. Every answer carries the owner's fencing number. */
 export interface TrainerConnection {
     openStep(spec: StepSpec): Promise<{ fencing: number; }>;
     publishWeights(weights: PublishedWeights): Promise<{ fencing: number; }>;
--- a/packages/ownership/src/testing/connectToOwner.ts
+++ b/packages/ownership/src/testing/connectToOwner.ts
@@ -1,7 +1,7 @@
 import type { Owner } from "../Owner.js";
 import type { TrainerConnection } from "./TrainerConnection.js";
 
-/** The route of a trainer that calls an owner in the same process. */
+/** Connects a trainer to an owner in the same process. */
 export function connectToOwner(owner: Owner): TrainerConnection {
     const receipt = (): { fencing: number; } => ({ fencing: owner.status().fencing });
     return {
--- a/packages/ownership/src/testing/createTestCaller.ts
+++ b/packages/ownership/src/testing/createTestCaller.ts
@@ -12,14 +12,14 @@
 interface CallerOptions {
     clock: Clock;
     random: Random;
-    /** Where a call goes now; undefined if there is no way. */
+    /** Connection for the next call; undefined while no owner is reachable. */
     connect: () => TrainerConnection | undefined;
-    /** Share of calls whose answer is lost on the way back. */
+    /** Probability that the answer of a call is lost. */
     loseAnswerChance: () => number;
 }
 
 interface TestCaller {
-    /** Calls until an answer is of use; `onError` may give one instead. Answers of an older owner are dropped. */
+    /** Repeats a call until it is answered or `onError` returns a value. Answers of an older owner are dropped. */
     callUntilAnswered<T extends { fencing: number; }, Fallback = never>(
         call: (connection: TrainerConnection) => Promise<T>,
         onError?: (code: string) => Fallback | undefined,
@@ -27,12 +27,12 @@
     highestFencing(): number;
 }
 
-/** Makes the calling side of a test trainer. */
+/** Creates the calling side of a test trainer. */
 export function createTestCaller(options: CallerOptions, report: TestTrainerReport): TestCaller {
     const { clock, random } = options;
     let highestFencing = 0;
 
-    /** One call to whoever the route leads to; rejects if the answer is lost, late or from nobody. */
+    /** Sends one call on the current connection; rejects if there is none, or the answer is lost or late. */
     async function callOnce<T>(call: (connection: TrainerConnection) => Promise<T>): Promise<T> {
         const route = options.connect();
         if (route === undefined) {
--- a/packages/ownership/src/testing/createTestGroupStore.ts
+++ b/packages/ownership/src/testing/createTestGroupStore.ts
@@ -1,6 +1,6 @@
 import type { GroupKeep } from "@auburnarch/types/GroupKeep";
 
-/** A keep in memory that outlives its owners. */
+/** Creates an in-memory group store that outlives its owners. */
 export function createTestGroupStore(): GroupKeep {
     const records = new Map<
         string,
--- a/packages/ownership/src/testing/createTestPageChecker.ts
+++ b/packages/ownership/src/testing/createTestPageChecker.ts
@@ -8,15 +8,15 @@
     maxStalenessVersions: number;
 }
 
-/** Judges pages by what a trainer knows for itself. */
+/** Checks pages against what a trainer can verify itself. */
 interface TestPageChecker {
-    /** `publishedAtRead` is the version whose publication was answered before the read was sent. */
+    /** `publishedAtRead` is the last version that was acknowledged as published before the read was sent. */
     recordPage(step: number, page: GroupsPage, publishedAtRead: number): void;
-    /** Two answers to one cursor by one owner may differ only where the first went over the bound. */
+    /** One owner's two answers to the same cursor may differ only if the first has exceeded the staleness bound. */
     comparePages(step: number, first: GroupsPage, second: GroupsPage, published: number): void;
 }
 
-/** Makes a judge that writes into `report`. */
+/** Creates a page checker that records into `report`. */
 export function createTestPageChecker(
     options: PageCheckerOptions,
     report: TestTrainerReport,
--- a/packages/ownership/src/testing/createTestProcess.ts
+++ b/packages/ownership/src/testing/createTestProcess.ts
@@ -6,7 +6,7 @@
 
 const neverSettles = new Promise<never>(() => undefined);
 
-/** Makes a process that runs. */
+/** Creates a running process. */
 export function createTestProcess(sharedClock: Clock): TestProcess {
     const killed = new AbortController();
     let resumed: Promise<void> | undefined;
@@ -39,7 +39,7 @@
         };
     }
 
-    /** Resolves at once while the process runs, at its resumption while it is paused, never once it is killed. */
+    /** Resolves at once while the process is running, on resume while it is paused, and never once it is killed. */
     async function waitUntilRunning(): Promise<void> {
         if (resumed !== undefined) {
             await resumed;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Callbacks come back into this process; a signal is also aborted when this process dies. */
+    /** Callbacks run inside this process; a signal is also aborted when this process is killed. */
     function wrapArgument(argument: unknown): unknown {
         if (typeof argument === "function") {
             return (...args: unknown[]) => runInProcess(() => void (argument as AnyFunction)(...args));
--- a/packages/ownership/src/testing/createTestSidecar.ts
+++ b/packages/ownership/src/testing/createTestSidecar.ts
@@ -19,7 +19,7 @@
 const lengthOf = (attempt: SampleAttempt): number => 1 + attempt.seed % attempt.maxTokens;
 const countTokens = (spans: TokenSpan[]): number => spans.reduce((sum, span) => sum + span.tokens, 0);
 
-/** Makes a test sidecar that serves version 0 of the job's policy. */
+/** Creates a test sidecar that serves version 0 of the job's policy. */
 export function createTestSidecar(clock: Clock, sampler: SamplerId, job: JobManifest): TestSidecar {
     let version = 0 as WeightVersion;
     let isSwapping = false;
--- a/packages/ownership/src/testing/createTestTrainer.ts
+++ b/packages/ownership/src/testing/createTestTrainer.ts
@@ -17,47 +17,47 @@
     policy: string;
     groupSize: number;
     maxStalenessVersions: number;
-    /** Steps trained at least. */
+    /** Minimum number of steps to train. */
     steps: number;
-    /** Trains on until this holds; by default at once. */
+    /** Training continues until this returns true; by default it may end at once. */
     mayEnd?: () => boolean;
-    /** Steps opened beyond the one being read; none by default. */
+    /** Number of steps opened ahead of the one being read; 0 by default. */
     openAhead?: number;
-    /** Versions to publish right after a page, as a trainer does that has caught up; none by default. */
+    /** Number of versions to publish right after a page, like a trainer that catches up; 0 by default. */
     nextExtraPublishCount?: () => number;
     /** Called before a version is published. */
     onPublish?: (version: number) => void;
-    /** Called with each page taken in. */
+    /** Called with each received page. */
     onPage?: (page: GroupsPage) => void;
     groupsPerStep: number;
     maxTokens: number;
-    /** Where a call goes now; undefined if there is no way. */
+    /** Connection for the next call; undefined while no owner is reachable. */
     connect: () => TrainerConnection | undefined;
-    /** Share of reads that are made twice with one cursor. */
+    /** Probability that a read is repeated with the same cursor. */
     rereadChance: () => number;
-    /** Share of calls whose answer is lost on the way back. */
+    /** Probability that the answer of a call is lost. */
     loseAnswerChance: () => number;
     trainMs: number;
 }
 
 interface TestTrainer {
     run(): Promise<void>;
-    /** Opens one more step with these prompts, after `run`, and takes all of it. */
+    /** Opens one more step with these prompts after `run`, and reads all its groups. */
     runExtraStep(prompts: readonly string[]): Promise<void>;
     report: TestTrainerReport;
     isFinished(): boolean;
     /** Highest fencing number seen in any answer. */
     highestFencing(): number;
-    /** Last version whose publication was answered. */
+    /** Last version that was acknowledged as published. */
     publishedVersion(): number;
 }
 
 const readWaitMs = 2_000;
 
 /**
- * Makes a trainer that follows the protocol for trainers and judges everything it receives by its own records: it
- * takes a page only if its number is not lower than one seen, reads once more after the last groups, and shows the
- * last cursor of each finished step again to an owner with a higher number.
+ * Creates a trainer that follows the trainer protocol and checks all it receives against its own records. It accepts
+ * a page only if its fencing number is not lower than any seen before, reads once more after the last groups, and
+ * presents the last cursor of each finished step again to an owner with a higher fencing number.
  */
 export function createTestTrainer(options: TestTrainerOptions): TestTrainer {
     const { clock, random } = options;
@@ -95,7 +95,7 @@
     const caller = createTestCaller(options, report);
     const { callUntilAnswered } = caller;
 
-    /** Publishes versions in quick order; a late repeat of the first must not put it back into force. */
+    /** Publishes several versions in quick succession; a late repeat of the first must not make it current again. */
     async function publishExtra(count: number): Promise<void> {
         const first = published + 1;
         for (let extra = 0; extra < count; extra++) {
@@ -157,7 +157,7 @@
         }
     }
 
-    /** Shows what it has to an owner that may not know of it. */
+    /** Presents the cursors of finished steps to an owner that may not know them. */
     async function showFinishedCursors(): Promise<void> {
         for (const [step, cursor] of [...finished]) {
             await readPage(step, cursor);
--- a/packages/ownership/src/testing/createTestWorld.ts
+++ b/packages/ownership/src/testing/createTestWorld.ts
@@ -47,7 +47,7 @@
     storeLatencyMs?: number;
 }
 
-/** Makes a world whose every draw follows from the seed. */
+/** Creates a test world; all its randomness is derived from the seed. */
 export function createTestWorld(options: TestWorldOptions = {}): TestWorld {
     const clock = createFakeClock();
     const random = createRandom(options.seed ?? 1);
--- a/packages/ownership/src/watchFencing.ts
+++ b/packages/ownership/src/watchFencing.ts
@@ -4,14 +4,17 @@
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 
 interface FencingWatcher {
-    /** A sidecar knows of a newer owner. */
+    /** Called when a sidecar refuses this owner's fencing number. */
     onFenced: () => void;
     onRunning: (sample: SampleId, change: 1 | -1) => void;
 }
 
 const isFenced = (code: ResultCode): boolean => code.number === resultCodes.fenced.number;
 
-/** A sidecar port that tells `watcher` of refusals for an old fencing number and of samples that run. */
+/**
+ * Wraps a sidecar port; reports to `watcher` refusals of an outdated fencing number, and starts and ends of
+ * samples.
+ */
 export function watchFencing(port: SidecarPort, watcher: FencingWatcher): SidecarPort {
     return {
         ...port,
