--- a/packages/dispatch/src/DispatchPolicy.ts
+++ b/packages/dispatch/src/DispatchPolicy.ts
@@ -8,24 +8,24 @@
 import type { RoomRule } from "./RoomRule.js";
 import type { ThinRule } from "./ThinRule.js";
 
-/** The rules of a dispatcher. Each is a pure function, so that the bench can replace one at a time. */
+/** The rules of a dispatcher. Each is a pure function, so that the policy bench can replace one at a time. */
 export interface DispatchPolicy {
     name: string;
-    /** Which waiting sample goes first. */
+    /** Order of the waiting samples. */
     order: WorkOrder;
-    /** Where it goes. */
+    /** Chooses the sampler for a sample. */
     pick: SamplerPicker;
-    /** What waits although there is a place. */
+    /** Which samples wait although a sampler has room. */
     hold: HoldRule;
-    /** How much is sent ahead and how much waits here. */
+    /** How many more attempts are sent to a sampler; the others wait at the dispatcher. */
     room: RoomRule;
-    /** How far a sampler is filled that runs what the trainer waits for. */
+    /** Concurrency limit of a sampler that runs a straggler which the trainer waits for. */
     thin: ThinRule;
-    /** Which running attempts are looked at for a move. */
+    /** Which running attempts are considered for a move. */
     movable: MovableRule;
-    /** Which of them go on elsewhere, and where. */
+    /** Which of them continue on another sampler, and on which. */
     move: MoveRule;
-    /** Priority at the engine, 0 to 99. */
+    /** Engine priority of an attempt, 0 to 99. */
     priority: PriorityRule;
     createLengthModel: () => LengthModel;
 }
--- a/packages/dispatch/src/DispatchState.ts
+++ b/packages/dispatch/src/DispatchState.ts
@@ -8,11 +8,11 @@
 import type { RunningAttempt } from "./RunningAttempt.js";
 import type { SampleWork } from "./SampleWork.js";
 
-/** What the parts of one dispatcher share. */
+/** State that is shared by the parts of one dispatcher. */
 export interface DispatchState {
     policy: DispatchPolicy;
     queue: ReturnType<typeof createWaitingQueue<SampleWork>>;
-    /** Every sample that is wanted and not made, waiting or running. */
+    /** Every submitted sample that is not finished, waiting or running. */
     unfinished: Map<SampleId, SampleWork>;
     attempts: Set<RunningAttempt>;
     samplerStats: ReturnType<typeof createSamplerStats>;
--- a/packages/dispatch/src/Dispatcher.ts
+++ b/packages/dispatch/src/Dispatcher.ts
@@ -4,19 +4,20 @@
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
 /**
- * Runs a job's waiting samples. Each submitted task ends in exactly one call of `onMade`, unless it is withdrawn
- * or the dispatcher stops; tasks lost to crashes, swaps and refusals are tried again within the retry budget.
+ * Runs a job's waiting samples. Each submitted task ends in exactly one call of `onSampleGenerated`, unless it is
+ * withdrawn or the dispatcher stops. Attempts with an unknown outcome, such as after a crash, are retried within the
+ * retry budget; refused and preempted ones are queued again.
  */
 export interface Dispatcher {
     submit(tasks: SampleTask[]): void;
-    /** Ends tasks whose samples are no longer wanted; their engine time is overhead. */
+    /** Ends tasks whose samples are no longer needed; their engine time counts as overhead. */
     withdraw(samples: SampleId[]): void;
-    /** What is made of a wanted sample so far; empty for one that is not wanted. */
+    /** Spans generated so far for an unfinished sample; empty for any other sample. */
     spansOf(sample: SampleId): TokenSpan[];
-    /** Tells of a newly published version and the oldest version that may still be used from now on. */
+    /** Sets the newly published version and the lowest version that may still be used from now on. */
     raiseMinVersion(published: WeightVersion, minVersion: WeightVersion): void;
     waiting(): number;
     running(): number;
-    /** Cancels everything in flight and starts nothing more. */
+    /** Cancels all running attempts and starts no more. */
     stop(): Promise<void>;
 }
--- a/packages/dispatch/src/DispatcherDeps.ts
+++ b/packages/dispatch/src/DispatcherDeps.ts
@@ -10,7 +10,7 @@
 import type { SamplerView } from "@auburnarch/types/SamplerView";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 
-/** What a dispatcher is built from. */
+/** Dependencies of a dispatcher. */
 export interface DispatcherDeps {
     job: () => JobManifest;
     limits: () => LimitsManifest;
@@ -19,21 +19,21 @@
     random: Random;
     logger: Logger;
     metrics: Metrics;
-    /** Samplers of the job's service as this entry sees them now. */
+    /** Samplers of the job's service as currently known to this process. */
     listSamplers: () => SamplerView[];
     sidecar: (sampler: SamplerId) => SidecarPort;
-    /** False once the lease is lost or lapsed: nothing more is sent. */
+    /** False while the owner may not act, such as after its lease was lost: nothing is sent then. */
     mayAct: () => boolean;
     onSampleGenerated: (generated: MadeSample) => void;
-    /** True if one more attempt after a failure is within the retry budget; by default one of this dispatcher alone. */
+    /** Takes one retry from the budget, false if it is used up; by default a budget of this dispatcher alone. */
     takeRetry?: () => boolean;
     /**
-     * Tokens a second of single generations at a sampler as seen now, over all dispatchers of the process; by default
-     * what this dispatcher's ended attempts came to.
+     * Measured tokens per second of a single generation on a sampler, over all dispatchers of the process; by default
+     * the mean of this dispatcher's own ended attempts.
      */
     measuredTokensPerSecond?: (sampler: SamplerId) => number | undefined;
-    /** An attempt is given up after this long without a token from a sampler that is suspected down. */
+    /** An attempt is abandoned after this time without a token from a sampler that is suspected down. */
     stallTimeoutMs?: number;
-    /** True if the swap roller is about to order this sampler to swap; by default none is. */
+    /** True if the swap roller is about to order this sampler to swap; by default always false. */
     isAboutToSwap?: (sampler: SamplerId) => boolean;
 }
--- a/packages/dispatch/src/HoldRule.ts
+++ b/packages/dispatch/src/HoldRule.ts
@@ -1,14 +1,14 @@
-/** True if a waiting sample is not to be sent yet although there is a place for it. */
+/** True if a waiting sample is not sent yet although a sampler has room for it. */
 export type HoldRule = (input: {
-    /** Steps between the oldest one that is not whole and the sample's. */
+    /** Number of steps between the oldest incomplete one and the sample's. */
     stepsAhead: number;
-    /** Time at which it has to start to be ready in time. */
+    /** Latest time at which the sample has to start to be ready in time. */
     latestStartMs: number;
-    /** Time the samplers need for all that waits. */
+    /** Time the samplers need for all waiting samples. */
     backlogMs: number;
-    /** Run time of the job's longest samples lately. */
+    /** Run time of the job's longest recent samples. */
     longRunMs: number;
-    /** The job's weighing of fresh samples (1) against trainer idle time (0). */
+    /** The job's preference for fresh samples (1) over low trainer idle time (0). */
     freshnessWeight: number;
     nowMs: number;
 }) => boolean;
--- a/packages/dispatch/src/LengthModel.ts
+++ b/packages/dispatch/src/LengthModel.ts
@@ -1,9 +1,9 @@
-/** Expected lengths of a job's samples. */
+/** Predicts the lengths of a job's samples. */
 export interface LengthModel {
-    /** A sample of `prompt` was made and has `tokens`. */
+    /** Records that a finished sample of `prompt` has `tokens`. */
     observe(prompt: string, tokens: number): void;
-    /** Tokens still expected of a sample of `prompt` that has `produced` tokens already. */
+    /** Tokens still expected for a sample of `prompt` that has `produced` tokens. */
     expectRemaining(prompt: string, produced: number, maxTokens: number): number;
-    /** Length that one in a hundred samples of the job exceeds; `maxTokens` until some are known. */
+    /** 99th percentile of the job's sample lengths; `maxTokens` until enough samples are known. */
     longTokens(maxTokens: number): number;
 }
--- a/packages/dispatch/src/MoveRule.ts
+++ b/packages/dispatch/src/MoveRule.ts
@@ -1,15 +1,15 @@
 import type { Candidate } from "@auburnarch/selection/Candidate";
 
-/** A running attempt as the rule for moves sees it. */
+/** Input of the rule: a running attempt. */
 interface MovableAttempt {
-    /** Where it runs; undefined if that sampler is no candidate any more. */
+    /** The sampler that runs it; undefined if that is no longer a candidate. */
     current: Candidate | undefined;
     leftTokens: number;
-    /** Tokens to be read again elsewhere. */
+    /** Tokens generated so far; another sampler has to prefill them. */
     madeTokens: number;
-    /** Times the sample was moved before. */
+    /** Number of earlier moves of the sample. */
     moves: number;
 }
 
-/** The candidate that a running attempt should go on at, or undefined to leave it where it is. */
+/** Returns the candidate on which a running attempt should continue, or undefined to leave it where it is. */
 export type MoveRule = (attempt: MovableAttempt, candidates: Candidate[]) => Candidate | undefined;
--- a/packages/dispatch/src/RoomRule.ts
+++ b/packages/dispatch/src/RoomRule.ts
@@ -1,11 +1,11 @@
-/** How many more attempts a dispatcher may send to a sampler now; the rest waits at the dispatcher. */
+/** Number of further attempts that a dispatcher may send to a sampler now; others wait at the dispatcher. */
 export type RoomRule = (input: {
     /** The sampler's concurrency limit as reported. */
     limit: number;
-    /** Attempts believed to be there now, of all senders. */
+    /** Estimated number of attempts on the sampler now, from all senders. */
     load: number;
-    /** Attempts of this dispatcher that are there. */
+    /** Attempts of this dispatcher on the sampler. */
     outstanding: number;
-    /** Those of them that have begun to stream. */
+    /** Those of them that have started to stream. */
     started: number;
 }) => number;
--- a/packages/dispatch/src/RunningAttempt.ts
+++ b/packages/dispatch/src/RunningAttempt.ts
@@ -3,18 +3,18 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { SampleWork } from "./SampleWork.js";
 
-/** Why the dispatcher itself ended an attempt. */
+/** Reason for which the dispatcher itself ended an attempt. */
 type EndCause = "withdrawn" | "stale" | "moved" | "stalled" | "lostRace" | "stopped";
 
-/** An attempt that was sent and has not ended. */
+/** An attempt that was sent and has not ended yet. */
 export interface RunningAttempt {
     attempt: AttemptId;
     work: SampleWork;
     sampler: SamplerId;
     abort: AbortController;
-    /** Spans it continues behind. */
+    /** Spans of earlier attempts that it continues from. */
     resumedSpans: TokenSpan[];
-    /** Spans streamed so far, behind those resumed from. */
+    /** Spans streamed so far, excluding `resumedSpans`. */
     spans: TokenSpan[];
     tokens: number;
     expectedTokens: number;
@@ -22,6 +22,6 @@
     firstSpanAtMs: number | undefined;
     lastSpanAtMs: number | undefined;
     firstSpanTokens: number;
-    /** Undefined while the dispatcher wants it to go on. */
+    /** Undefined unless the dispatcher itself has ended the attempt. */
     endCause: EndCause | undefined;
 }
--- a/packages/dispatch/src/SampleWork.ts
+++ b/packages/dispatch/src/SampleWork.ts
@@ -4,19 +4,19 @@
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import type { RunningAttempt } from "./RunningAttempt.js";
 
-/** A sample that is wanted and not made yet. */
+/** A submitted sample that is not finished yet. */
 export interface SampleWork extends WaitingSample {
     minVersion: WeightVersion;
-    /** Spans to continue behind, from attempts that ended early; empty for a fresh start. */
+    /** Spans of ended attempts that the next attempt continues from; empty for a new start. */
     resume: TokenSpan[];
-    /** Attempts that ended without saying what came of them. */
+    /** Attempts that ended with an unknown outcome. */
     failures: number;
-    /** Attempts in a row that broke off before they made anything. */
+    /** Consecutive attempts that broke off before their first span. */
     fruitless: number;
     attemptsSent: number;
-    /** Times it was moved to another sampler while it ran. */
+    /** Number of moves to another sampler while it was running. */
     moves: number;
-    /** Samplers that failed it. */
+    /** Samplers on which an attempt failed. */
     avoid: Set<SamplerId>;
     running: Set<RunningAttempt>;
 }
--- a/packages/dispatch/src/ThinRule.ts
+++ b/packages/dispatch/src/ThinRule.ts
@@ -1,2 +1,2 @@
-/** The limit up to which a sampler is filled that runs a straggler the trainer waits for. */
+/** Reduces the concurrency limit of a sampler that runs a straggler which the trainer waits for. */
 export type ThinRule = (limit: number) => number;
--- a/packages/dispatch/src/areSpansReliable.ts
+++ b/packages/dispatch/src/areSpansReliable.ts
@@ -3,9 +3,10 @@
 import type { SamplerView } from "@auburnarch/types/SamplerView";
 
 /**
- * Whether the streamed spans of an attempt that ended with `code`, without an answer, may be built upon. An engine
- * that does not state versions may have had other weights meanwhile: the sidecar notices only at the attempt's end,
- * and a sample continued behind such spans would name versions that did not make it.
+ * Whether another attempt may continue from the streamed spans of an attempt that ended with `code` and without an
+ * answer. An engine that doesn't stamp versions on its tokens may have loaded other weights in the meantime: the
+ * sidecar detects this only at the end of the attempt, and a sample continued from such spans would carry versions
+ * that did not generate it.
  */
 export function areSpansReliable(sampler: SamplerView | undefined, code: ResultCode): boolean {
     return sampler?.report.stampsVersions === true && code !== resultCodes.incarnationChanged;
--- a/packages/dispatch/src/crashInducingSample.test.ts
+++ b/packages/dispatch/src/crashInducingSample.test.ts
@@ -58,7 +58,7 @@
     minVersion: 2 as SampleTask["minVersion"],
 });
 
-/** Samplers without sidecars, as on the users' platform: a run that breaks off tells nothing about the cause. */
+/** Samplers without sidecars, as on the platform: a broken connection doesn't report its cause. */
 function createFixture() {
     const clock = createFakeClock();
     const upAtMs = new Map<string, number>();
@@ -118,12 +118,12 @@
     return { clock, dispatcher, killerRunsAtMs, madeAtMs };
 }
 
-test("a sample that kills each sampler is retried three times after the third, and the others are made", async () => {
+test("a sample that crashes every sampler gets at most three more attempts after the third, and the others finish", async () => {
     const { clock, dispatcher, killerRunsAtMs, madeAtMs } = createFixture();
     dispatcher.submit(Array.from({ length: 8 }, (_, index) => taskOf(index)));
     await clock.advance(600_000);
     expect(madeAtMs).toHaveLength(7);
-    // The users' aim for a step is 6 minutes; here everything is made long before.
+    // The required time for a step is 6 minutes; the other samples finish long before.
     expect(Math.max(...madeAtMs)).toBeLessThan(6_000);
     expect(killerRunsAtMs.length - 3).toBeLessThanOrEqual(3);
 });
--- a/packages/dispatch/src/createAttemptRunner.ts
+++ b/packages/dispatch/src/createAttemptRunner.ts
@@ -13,22 +13,22 @@
 
 type Picked = Extract<PickDecision, { kind: "picked"; }>;
 
-/** Sends attempts and ends them. */
+/** Sends attempts and cancels them. */
 interface AttemptRunner {
     send(work: SampleWork, candidate: Candidate, decision: Picked, nowMs: number): void;
-    /** Cancels; the outcome still comes. */
+    /** Cancels an attempt; its outcome is still reported. */
     end(attempt: RunningAttempt, cause: NonNullable<RunningAttempt["endCause"]>): void;
-    /** Forgets the attempt; true the first time. */
+    /** Removes the attempt from the state; true the first time. */
     release(attempt: RunningAttempt): boolean;
-    /** Resolves once no outcome is awaited any more. */
+    /** Resolves once all outcomes have been reported. */
     settled(): Promise<void>;
 }
 
-/** Longest that a sidecar may spend on one attempt. */
+/** Longest time that a sidecar may spend on one attempt. */
 const attemptBudgetMs = 1_800_000;
 const fallbackTokensPerSecond = 50;
 
-/** Makes the runner of one dispatcher. `onOutcome` gets each attempt's outcome exactly once. */
+/** Creates the attempt runner of one dispatcher. `onOutcome` is called exactly once per attempt. */
 export function createAttemptRunner(
     deps: DispatcherDeps,
     state: DispatchState,
--- a/packages/dispatch/src/createBaselinePolicy.ts
+++ b/packages/dispatch/src/createBaselinePolicy.ts
@@ -9,7 +9,7 @@
 import { roomUnbounded } from "./roomUnbounded.js";
 import { thinNever } from "./thinNever.js";
 
-/** A simple rule to measure against: first come, first served, sent at once to the sampler that `pick` chooses. */
+/** Creates a baseline for comparison: first come, first served, sent at once to the sampler that `pick` chooses. */
 export function createBaselinePolicy(name: string, pick: SamplerPicker): DispatchPolicy {
     return {
         name,
--- a/packages/dispatch/src/createDispatchRound.ts
+++ b/packages/dispatch/src/createDispatchRound.ts
@@ -9,15 +9,15 @@
 import { oldestStep } from "./oldestStep.js";
 import type { RunningAttempt } from "./RunningAttempt.js";
 
-/** One look at the samplers and the queue. */
+/** Dispatches waiting samples to the samplers that have room now. */
 interface DispatchRound {
     run(): void;
 }
 
-/** Waiting samples that one round passes over at most, since looking at each costs time. */
+/** Limits the waiting samples that one round skips, which bounds the round's run time. */
 const maxSkipped = 256;
 
-/** Makes the round of one dispatcher: first stragglers are moved, then waiting samples are sent. */
+/** Creates the round of one dispatcher: it first moves stragglers, then sends waiting samples. */
 export function createDispatchRound(
     deps: DispatcherDeps,
     state: DispatchState,
@@ -31,7 +31,10 @@
         return state.lengthModel.expectRemaining(prompt, madeTokens, maxTokens);
     }
 
-    /** Ends attempts that go on faster elsewhere; their samples come first when the ends are in. */
+    /**
+     * Cancels attempts that would finish earlier on another sampler, where this round reserves room for them. Their
+     * samples are queued again once the attempts have ended.
+     */
     function moveStragglers(candidates: Candidate[], nowMs: number): void {
         for (const attempt of findMovable(state)) {
             const { work, sampler } = attempt;
--- a/packages/dispatch/src/createDispatchState.ts
+++ b/packages/dispatch/src/createDispatchState.ts
@@ -7,7 +7,7 @@
 import type { DispatchState } from "./DispatchState.js";
 import type { SampleWork } from "./SampleWork.js";
 
-/** State of a dispatcher that has nothing to do yet. */
+/** Creates the state of an idle dispatcher. */
 export function createDispatchState(
     deps: Pick<DispatcherDeps, "job">,
     policy: DispatchPolicy,
--- a/packages/dispatch/src/createDispatcher.test.ts
+++ b/packages/dispatch/src/createDispatcher.test.ts
@@ -94,7 +94,7 @@
         mayAct,
         onSampleGenerated: sample => made.push(sample),
     });
-    /** Ends what is in flight as sidecars do at a cancel, so that `stop` need not wait. */
+    /** Ends running attempts as sidecars do on a cancel, so that `stop` need not wait. */
     const stop = (): Promise<void> => {
         const stopped = dispatcher.stop();
         calls.forEach(call => call.answer({ kind: "unknown", code: resultCodes.cancelled }));
@@ -115,7 +115,7 @@
     return { clock, calls, made, lines, dispatcher, complete, stop };
 }
 
-test("samples wait at the dispatcher beyond the samplers' limits, and each is made once", async () => {
+test("samples beyond the samplers' limits wait at the dispatcher, and each is generated once", async () => {
     const { clock, calls, made, dispatcher, complete, stop } = start([viewOf("a", 1), viewOf("b", 1)]);
     dispatcher.submit([taskOf(0, 0), taskOf(0, 1), taskOf(0, 2)]);
     await clock.advance(10);
@@ -132,8 +132,8 @@
     expect(clock.pendingTimers()).toBe(0);
 });
 
-test("a sample cut short continues elsewhere behind what was made", async () => {
-    // Guards against: a sample near its end starts anew and the step is late.
+test("an interrupted sample continues on another sampler from its streamed spans", async () => {
+    // Guards against late steps because a sample near its end starts from the beginning.
     const { clock, calls, made, dispatcher, complete, stop } = start([viewOf("a", 1), viewOf("b", 1)]);
     dispatcher.submit([taskOf(0, 0)]);
     await clock.advance(10);
@@ -150,8 +150,8 @@
     await stop();
 });
 
-test("spans that their engine did not state and no answer proved are not built upon", async () => {
-    // Guards against: a delivered sample names a version that did not make it.
+test("a sample does not continue from spans whose version the engine did not stamp and no answer confirmed", async () => {
+    // Guards against delivered samples that carry a version which did not generate them.
     const { clock, calls, dispatcher, stop } = start([viewOf("a", 1, false), viewOf("b", 1, false)]);
     dispatcher.submit([taskOf(0, 0)]);
     await clock.advance(10);
@@ -162,8 +162,8 @@
     await stop();
 });
 
-test("a raised minimum ends running samples whose spans fall below it and makes them anew", async () => {
-    // Guards against: ridge estimates drift.
+test("a raised minimum version ends running samples with older spans and generates them again", async () => {
+    // Guards against training estimates that drift because delivered samples contain outdated versions.
     const { clock, calls, made, dispatcher, complete, stop } = start([viewOf("a", 2)]);
     dispatcher.submit([taskOf(0, 0), taskOf(0, 1)]);
     await clock.advance(10);
@@ -181,7 +181,7 @@
     await stop();
 });
 
-test("a refusing sampler is left alone for as long as it says", async () => {
+test("nothing is sent to a sampler that refused until its requested delay has passed", async () => {
     const { clock, calls, dispatcher, stop } = start([viewOf("a", 4)]);
     dispatcher.submit([taskOf(0, 0)]);
     await clock.advance(10);
@@ -205,8 +205,8 @@
     await stop();
 });
 
-test("a sample on a frozen sampler is given up and its late answer is not delivered twice", async () => {
-    // Guards against: a step hangs on one sample.
+test("a sample on a frozen sampler is abandoned, and its late answer is not delivered as well", async () => {
+    // Guards against a step that waits for a single sample on a frozen VM.
     const frozen = viewOf("a", 1);
     const { clock, calls, made, dispatcher, complete, stop } = start([frozen]);
     dispatcher.submit([taskOf(0, 0)]);
@@ -222,7 +222,7 @@
     await stop();
 });
 
-test("a withdrawn sample ends and is not made", async () => {
+test("a withdrawn sample is cancelled and not reported", async () => {
     const { clock, calls, made, dispatcher, complete, stop } = start([viewOf("a", 1)]);
     dispatcher.submit([taskOf(0, 0), taskOf(0, 1)]);
     await clock.advance(10);
@@ -234,7 +234,7 @@
     await stop();
 });
 
-test("a frozen sampler does not hold up a stop", async () => {
+test("a frozen sampler does not block a stop", async () => {
     const { clock, dispatcher } = start([viewOf("a", 1)]);
     dispatcher.submit([taskOf(0, 0)]);
     await clock.advance(10);
--- a/packages/dispatch/src/createDispatcher.ts
+++ b/packages/dispatch/src/createDispatcher.ts
@@ -16,11 +16,11 @@
 import type { SampleWork } from "./SampleWork.js";
 import { updateEstimates } from "./updateEstimates.js";
 
-/** Views change without notice, so waiting work is looked at this often even if nothing of ours ended. */
+/** Sampler views change without notification, so a round runs at this interval even if no attempt has ended. */
 const tickIntervalMs = 100;
-/** Estimates of waiting work are brought up to date this often. */
+/** Interval at which the estimates of waiting samples are updated. */
 const refreshIntervalMs = 500;
-/** A stop waits this long for cancelled attempts to end; a frozen VM never says so. */
+/** Longest that a stop waits for cancelled attempts to end; a frozen VM never reports their end. */
 const stopTimeoutMs = 1_000;
 
 const createSampleWork = (task: SampleTask, arrivalOrder: number, minVersion: WeightVersion): SampleWork => ({
@@ -39,7 +39,7 @@
     running: new Set(),
 });
 
-/** The longer of what is kept of ended attempts and what a running one has made. */
+/** The longest of the spans kept from ended attempts and those of each running attempt. */
 function longestSpans(work: SampleWork | undefined): TokenSpan[] {
     let longest = work?.resume ?? [];
     for (const attempt of work?.running ?? []) {
@@ -51,7 +51,7 @@
 
 const higherVersion = (a: WeightVersion, b: WeightVersion): WeightVersion => a > b ? a : b;
 
-/** Makes the dispatcher of one job under one fencing number; see `Dispatcher`. */
+/** Creates the dispatcher of one job under one fencing number; see `Dispatcher`. */
 export function createDispatcher(
     deps: DispatcherDeps,
     policy: DispatchPolicy = defaultDispatchPolicy,
@@ -79,7 +79,7 @@
         scheduleRound();
     }
 
-    /** Many ends at one moment lead to one look at the queue. */
+    /** Attempts that end at the same time share one round. */
     function scheduleRound(): void {
         if (!isRoundScheduled && !state.isStopped) {
             isRoundScheduled = true;
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Lengths become known and need dates move while work waits. */
+    /** Updates the estimates: length predictions and need dates change while samples wait. */
     function refreshIfDue(): void {
         const nowMs = clock.monotonicMs();
         if (nowMs - refreshedAtMs < refreshIntervalMs) {
@@ -113,7 +113,7 @@
         if (state.queue.size() > 0) {
             refreshIfDue();
         }
-        // Also where nothing waits: what runs last on a slow sampler is what the trainer stands still for.
+        // Also while nothing waits: the trainer idles until the last sample on a slow sampler is finished or moved.
         if (state.queue.size() > 0 || state.attempts.size > 0) {
             scheduleRound();
         }
--- a/packages/dispatch/src/createMaxLengthModel.ts
+++ b/packages/dispatch/src/createMaxLengthModel.ts
@@ -1,6 +1,6 @@
 import type { LengthModel } from "./LengthModel.js";
 
-/** Predicts nothing: every sample is expected to reach its limit. */
+/** Creates a model without prediction: every sample is expected to reach its token limit. */
 export function createMaxLengthModel(): LengthModel {
     return {
         observe: () => {},
--- a/packages/dispatch/src/createMoveRule.ts
+++ b/packages/dispatch/src/createMoveRule.ts
@@ -3,19 +3,19 @@
 import type { MoveRule } from "./MoveRule.js";
 
 interface MoveRuleOptions {
-    /** A move pays if it saves this part of the time left, and this much. */
+    /** A move has to save at least this share of the remaining time, and at least `minGainMs`. */
     minGainRatio: number;
     minGainMs: number;
     maxMoves: number;
-    /** Tokens are read again this many times faster than they are generated. */
+    /** Prefill speed as a multiple of the generation speed. */
     prefillSpeedup: number;
-    /** For cancelling, sending and queueing again. */
+    /** Time for cancelling, sending again and queueing. */
     moveOverheadMs: number;
 }
 
 /**
- * Makes the rule that moves an attempt to a faster sampler with a free place, behind what it has made. Its tokens are
- * read again there, which costs a small part of making them; a second attempt beside the first would cost all of it.
+ * Creates the rule that moves an attempt to a faster sampler with room, where it continues from the spans generated
+ * so far. Their prefill there costs a small share of generating them; a second, parallel attempt would cost all of it.
  */
 export function createMoveRule(options: MoveRuleOptions): MoveRule {
     const { minGainRatio, minGainMs, maxMoves, prefillSpeedup, moveOverheadMs } = options;
--- a/packages/dispatch/src/createNeedForecast.ts
+++ b/packages/dispatch/src/createNeedForecast.ts
@@ -1,18 +1,19 @@
-/** When a job's trainer will need its open steps. */
+/** Forecasts when a job's trainer will need its open steps. */
 interface NeedForecast {
     recordOpened(step: number, nowMs: number): void;
-    /** `stated` is the need date the step was opened with; `oldest` the oldest step not whole yet. */
+    /** `declaredMs` is the need date that the step was opened with, `oldest` the oldest incomplete step. */
     needAtMs(step: number, declaredMs: number, oldest: number, nowMs: number): number;
 }
 
 const smoothing = 0.3;
-/** Steps opened closer together than this were opened as one burst and say nothing about the rhythm. */
+/** Steps opened within this time of each other form one burst, which doesn't indicate the step interval. */
 const burstWindowMs = 1_000;
 
 /**
- * Forecasts from the rhythm at which steps are opened. The stated date alone misleads: steps opened together
- * state the same one, and while the trainer waits for a late step the next ones are not due as stated. With the
- * stated dates alone later steps take the place of the one the trainer stands still for.
+ * Creates a forecast from the interval at which steps are opened. The declared need dates alone are misleading:
+ * steps opened together declare the same date, and while the trainer waits for a late step, the next ones are not
+ * needed as early as declared. With declared dates alone, later steps would displace the step that the trainer is
+ * waiting for.
  */
 export function createNeedForecast(defaultIntervalMs: () => number): NeedForecast {
     let lastOpenedMs: number | undefined;
--- a/packages/dispatch/src/createOutcomeHandler.ts
+++ b/packages/dispatch/src/createOutcomeHandler.ts
@@ -18,14 +18,14 @@
 import type { RunningAttempt } from "./RunningAttempt.js";
 import type { SampleWork } from "./SampleWork.js";
 
-/** Decides what becomes of a sample when an attempt of it ends. */
+/** Decides how a sample proceeds when one of its attempts ends. */
 interface OutcomeHandler {
     handle(attempt: RunningAttempt, outcome: AttemptOutcome<SampleAnswer>): void;
-    /** Gives up attempts whose sampler has gone silent, and sends their samples elsewhere. */
+    /** Abandons attempts on unresponsive samplers and queues their samples again. */
     abandonStalled(): void;
 }
 
-/** A sidecar that is suspected down may still be heard again within this time. */
+/** A sidecar that is suspected down may recover within this time. */
 const defaultStallTimeoutMs = 2_000;
 
 const fieldsOf = (attempt: RunningAttempt): { sample: string; attempt: string; sampler: string; } => ({
@@ -34,7 +34,7 @@
     sampler: attempt.sampler,
 });
 
-/** Keeps what an ended attempt made if all of it may still be used and it is more than what is there. */
+/** Saves the spans of an ended attempt if all may still be used and they are at least as long as the saved ones. */
 function saveResumeSpans(work: SampleWork, spans: TokenSpan[]): void {
     const isFresh = spans.every(span => span.version >= work.minVersion);
     if (isFresh && countTokens(spans) >= countTokens(work.resume)) {
@@ -42,7 +42,7 @@
     }
 }
 
-/** Makes the outcome rules of one dispatcher. `enqueue` puts a sample back into the queue after a delay. */
+/** Creates the outcome handler of one dispatcher. `enqueue` puts a sample back into the queue after a delay. */
 export function createOutcomeHandler(
     deps: DispatcherDeps,
     state: DispatchState,
--- a/packages/dispatch/src/createPlacement.ts
+++ b/packages/dispatch/src/createPlacement.ts
@@ -10,17 +10,17 @@
 import { findCriticalSamplers } from "./findCriticalSamplers.js";
 import type { SampleWork } from "./SampleWork.js";
 
-/** Turns views into candidates and a waiting sample into a decision. */
+/** Turns sampler views into candidates and chooses one for a waiting sample. */
 interface Placement {
     listCandidates(nowMs: number): Candidate[];
-    /** Those of the candidates that are able to run it. */
+    /** The candidates that can run the sample. */
     listEligible(work: SampleWork, candidates: Candidate[], nowMs: number): Candidate[];
     decide(work: SampleWork, candidates: Candidate[], nowMs: number): PickDecision;
 }
 
 const charsPerToken = 4;
 
-/** Makes the placement of one dispatcher. */
+/** Creates the placement of one dispatcher. */
 export function createPlacement(deps: DispatcherDeps, state: DispatchState): Placement {
     const { samplerStats, prefixHints, policy } = state;
 
--- a/packages/dispatch/src/createPrefixHints.ts
+++ b/packages/dispatch/src/createPrefixHints.ts
@@ -1,10 +1,10 @@
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 
-/** Guesses of which prompts are in which sampler's prefix cache. */
+/** Estimates which prompts are in which sampler's prefix cache. */
 interface PrefixHints {
-    /** A prompt was sent to a sampler, so that its cache holds it for some time. */
+    /** Records that a prompt was sent to a sampler, whose cache then contains it for some time. */
     recordSent(prompt: string, sampler: SamplerId, nowMs: number): void;
-    /** What the engine said it found: corrects a hint that was wrong. */
+    /** Records what the engine reported as cached; this corrects a wrong hint. */
     recordCacheResult(prompt: string, sampler: SamplerId, cachedTokens: number): void;
     expectCachedTokens(prompt: string, sampler: SamplerId, promptTokens: number, nowMs: number): number;
 }
@@ -13,8 +13,9 @@
 const maxPrompts = 4_096;
 
 /**
- * Remembers where prompts went. Caches are limited and their events late and lossy, so a hint loses half its
- * worth every 30 s, and is forgotten when an engine finds nothing of the prompt.
+ * Creates hints from the samplers that prompts were sent to. Caches are limited and their events are late and may be
+ * lost, so the expected number of cached tokens halves every 30 s, and a hint is removed when an engine reports no
+ * cached token of the prompt.
  */
 export function createPrefixHints(): PrefixHints {
     const prompts = new Map<string, Map<SamplerId, number>>();
--- a/packages/dispatch/src/createPromptLengthModel.ts
+++ b/packages/dispatch/src/createPromptLengthModel.ts
@@ -1,17 +1,17 @@
 import type { LengthModel } from "./LengthModel.js";
 
 const historySize = 512;
-/** Observations between two looks for the long length. */
+/** Number of observations between two updates of the long length. */
 const longTokensInterval = 32;
 const maxPrompts = 8_192;
-/** Weight of the job's mean against the samples of the prompt seen so far. */
+/** Weight of the job's mean, in samples, against the prompt's own samples. */
 const priorWeight = 2;
 
 /**
- * Predicts lengths from the job's last 512 samples and from what earlier samples of the same prompt came to, in
- * this step or in earlier epochs. The prompt's mean is shrunk towards the job's while few are known. A sample
- * that has outgrown it is expected to have the mean excess of the earlier samples that grew as long, which for
- * heavy tails rises with the length reached.
+ * Creates a model that predicts lengths from the job's last 512 samples and from earlier samples of the same prompt,
+ * in this step or in earlier epochs. The prompt's mean is shrunk towards the job's mean while few samples are known.
+ * For a sample that exceeds the prediction, the remaining length is the mean excess of the earlier samples that were
+ * longer than it is now; with heavy-tailed lengths it rises with the length reached.
  */
 export function createPromptLengthModel(): LengthModel {
     const history: number[] = [];
--- a/packages/dispatch/src/createSamplerStats.ts
+++ b/packages/dispatch/src/createSamplerStats.ts
@@ -4,7 +4,7 @@
 
 interface SamplerRecord {
     running: Set<RunningAttempt>;
-    /** Monotonic times of ends of attempts, with their start, newest last. */
+    /** Monotonic start and end times of ended attempts, newest last. */
     ended: { sentAtMs: number; endedAtMs: number; }[];
     tokensPerSecond: number | undefined;
     lastSentOrder: number;
@@ -12,28 +12,28 @@
     refusals: number;
 }
 
-/** What one dispatcher knows of samplers by its own traffic. */
+/** Statistics of samplers from one dispatcher's own attempts. */
 interface SamplerStats {
     recordOf(sampler: SamplerId): Readonly<SamplerRecord>;
     recordSent(attempt: RunningAttempt): void;
     recordEnded(attempt: RunningAttempt, nowMs: number): void;
-    /** The sampler refused: no more is sent there until `retryAfterMs`, or a doubling backoff, has passed. */
+    /** Records a refusal: nothing is sent to the sampler until `retryAfterMs` or a doubling backoff has passed. */
     recordRefused(sampler: SamplerId, retryAfterMs: number | undefined, nowMs: number): void;
-    /** Attempts sent after the report was made less those of its time that have ended since. */
+    /** Attempts sent after the view's report was made, minus the earlier ones that have ended since. */
     sentSinceReport(view: SamplerView, nowMs: number): number;
-    /** Tokens a second of single generations over all samplers lately. */
+    /** Recent tokens per second of a single generation, averaged over all samplers. */
     meanTokensPerSecond(): number;
 }
 
 const maxEndedAttempts = 256;
 const speedSmoothing = 0.2;
 const meanSpeedSmoothing = 0.05;
-/** Speed assumed until the first one is measured. */
+/** Assumed until the first measurement. */
 const assumedTokensPerSecond = 50;
 const firstPauseMs = 50;
 const maxPauseMs = 2_000;
 
-/** Tokens a second between the first and the last span; undefined where too little was streamed to tell. */
+/** Tokens per second between the first and the last span; undefined if there are fewer than two spans in time. */
 const measuredSpeed = (attempt: RunningAttempt): number | undefined => {
     const { firstSpanAtMs, lastSpanAtMs, firstSpanTokens, tokens } = attempt;
     if (firstSpanAtMs === undefined || lastSpanAtMs === undefined || lastSpanAtMs <= firstSpanAtMs) {
@@ -42,7 +42,7 @@
     return (tokens - firstSpanTokens) / (lastSpanAtMs - firstSpanAtMs) * 1000;
 };
 
-/** Makes an empty ledger. */
+/** Creates statistics without any samplers. */
 export function createSamplerStats(): SamplerStats {
     const records = new Map<SamplerId, SamplerRecord>();
     let sentOrder = 0;
--- a/packages/dispatch/src/defaultDispatchPolicy.ts
+++ b/packages/dispatch/src/defaultDispatchPolicy.ts
@@ -9,7 +9,7 @@
 import { roomBesideOthers } from "./roomBesideOthers.js";
 import { thinForStraggler } from "./thinForStraggler.js";
 
-/** Our policy. */
+/** The policy used in production. */
 export const defaultDispatchPolicy: DispatchPolicy = {
     name: "ours",
     order: orderByLatestStart,
--- a/packages/dispatch/src/estimateBacklogMs.ts
+++ b/packages/dispatch/src/estimateBacklogMs.ts
@@ -2,7 +2,7 @@
 import { expectedTokensPerSecond } from "@auburnarch/selection/expectedTokensPerSecond";
 import type { DispatchState } from "./DispatchState.js";
 
-/** Time that all samplers together need for what waits, all their places in use; infinite without samplers. */
+/** Time that all samplers together need for the waiting samples at full batches; infinite without samplers. */
 export function estimateBacklogMs(state: DispatchState, candidates: Candidate[]): number {
     let tokens = 0;
     for (const work of state.queue.all()) {
--- a/packages/dispatch/src/findCriticalSamplers.ts
+++ b/packages/dispatch/src/findCriticalSamplers.ts
@@ -3,9 +3,9 @@
 import { oldestStep } from "./oldestStep.js";
 import type { RunningAttempt } from "./RunningAttempt.js";
 
-/** What is needed sooner than this counts as waited for. */
+/** A trainer counts as waiting for a step that it needs within this time. */
 const leadMs = 5_000;
-/** An attempt counts as a straggler once it has outgrown its expected length by this factor. */
+/** An attempt counts as a straggler once it exceeds its expected length by this factor. */
 const stragglerFactor = 2;
 
 const hasWaiting = (state: DispatchState, step: number): boolean => {
@@ -18,8 +18,8 @@
 };
 
 /**
- * Samplers that run a straggler the trainer waits for: nothing of the oldest step waits to be sent any more, and
- * its need date has come or is near.
+ * Finds samplers that run a straggler which the trainer waits for: no sample of the oldest step is left to be sent,
+ * and its need date has passed or is near.
  */
 export function findCriticalSamplers(state: DispatchState, nowMs: number): Set<SamplerId> {
     const oldest = oldestStep(state);
--- a/packages/dispatch/src/findMovable.ts
+++ b/packages/dispatch/src/findMovable.ts
@@ -1,7 +1,7 @@
 import type { DispatchState } from "./DispatchState.js";
 import type { RunningAttempt } from "./RunningAttempt.js";
 
-/** Running attempts that may go on elsewhere, by the policy. */
+/** Running attempts that the policy considers for a move. */
 export function findMovable(state: DispatchState): RunningAttempt[] {
     return [...state.attempts].filter(attempt =>
         attempt.endCause === undefined
--- a/packages/dispatch/src/findStalled.ts
+++ b/packages/dispatch/src/findStalled.ts
@@ -2,8 +2,9 @@
 import type { RunningAttempt } from "./RunningAttempt.js";
 
 /**
- * Attempts to give up. A frozen VM answers neither yes nor no; without this the last sample of a step would wait
- * for its connection to time out while the trainer stands still.
+ * Finds attempts to abandon: without a token for `stallMs` on a sampler that is suspected down. A frozen VM sends
+ * neither tokens nor an error; the last sample of a step would otherwise wait for its connection to time out while
+ * the trainer idles.
  */
 export function findStalled(
     attempts: Iterable<RunningAttempt>,
--- a/packages/dispatch/src/hasMeasurableSpeed.ts
+++ b/packages/dispatch/src/hasMeasurableSpeed.ts
@@ -1,7 +1,7 @@
 import type { MovableRule } from "./MovableRule.js";
 
-/** Two gaps between events tell a slow sampler from a late event. */
+/** Two gaps between events distinguish a slow sampler from a single late event. */
 const minTokens = 3;
 
-/** Attempts that have run for long enough to show how fast their sampler is, whatever their length. */
+/** Selects attempts that have enough tokens to measure their sampler's speed, whatever their expected length. */
 export const hasMeasurableSpeed: MovableRule = ({ tokens }) => tokens >= minTokens;
--- a/packages/dispatch/src/holdForFreshness.ts
+++ b/packages/dispatch/src/holdForFreshness.ts
@@ -1,14 +1,14 @@
 import type { HoldRule } from "./HoldRule.js";
 
-/** Jobs that do not weigh freshness above idle time hold nothing. */
+/** Up to this weight, a job does not prefer freshness over idle time, and no samples are held. */
 const neutralWeight = 0.5;
-/** Backlogs that are kept in hand at freshness weight 1; one more at 0. */
+/** Time reserve in multiples of the backlog at freshness weight 1; one more at weight 0. */
 const reservedBacklogs = 1.2;
 
 /**
- * Holds samples of later steps until they have to start to be in time, less the time for all that waits and for
- * one long sample that nobody foresaw. What is made as soon as a place is free is made from weights that are old
- * by the time the trainer reads it; one notices by staleness near `stepsAhead` versions.
+ * Holds samples of later steps until their latest start time, minus a reserve for the backlog and for one
+ * unexpectedly long sample. A sample that is generated as soon as a sampler has room uses weights that are outdated
+ * when the trainer reads it; the symptom is a staleness near `stepsAhead` versions.
  */
 export const holdForFreshness: HoldRule = input => {
     const { stepsAhead, freshnessWeight, latestStartMs, backlogMs, longRunMs, nowMs } = input;
--- a/packages/dispatch/src/holdNever.ts
+++ b/packages/dispatch/src/holdNever.ts
@@ -1,4 +1,4 @@
 import type { HoldRule } from "./HoldRule.js";
 
-/** Sends as soon as there is a place. */
+/** Sends samples as soon as a sampler has room. */
 export const holdNever: HoldRule = () => false;
--- a/packages/dispatch/src/joinSpans.ts
+++ b/packages/dispatch/src/joinSpans.ts
@@ -1,6 +1,6 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 
-/** One list of spans in order, neighbours of the same version joined. The arguments stay as they are. */
+/** Concatenates lists of spans and merges neighbours of the same version. The arguments are not modified. */
 export function joinSpans(...lists: TokenSpan[][]): TokenSpan[] {
     const joined: TokenSpan[] = [];
     for (const span of lists.flat()) {
--- a/packages/dispatch/src/moveNever.ts
+++ b/packages/dispatch/src/moveNever.ts
@@ -1,4 +1,4 @@
 import type { MoveRule } from "./MoveRule.js";
 
-/** Leaves every attempt where it is. */
+/** Leaves every attempt on its sampler. */
 export const moveNever: MoveRule = () => undefined;
--- a/packages/dispatch/src/moveToFaster.ts
+++ b/packages/dispatch/src/moveToFaster.ts
@@ -1,6 +1,6 @@
 import { createMoveRule } from "./createMoveRule.js";
 
-/** Moves a straggler to a faster sampler where that saves a second at least; see `createMoveRule`. */
+/** Moves a straggler to a faster sampler if that saves at least a second; see `createMoveRule`. */
 export const moveToFaster = createMoveRule({
     minGainRatio: 0.3,
     minGainMs: 1_000,
--- a/packages/dispatch/src/oldestStep.ts
+++ b/packages/dispatch/src/oldestStep.ts
@@ -1,6 +1,6 @@
 import type { DispatchState } from "./DispatchState.js";
 
-/** The oldest step that is not whole yet; 0 if nothing is wanted. */
+/** The oldest step with unfinished samples; 0 if there are none. */
 export function oldestStep(state: DispatchState): number {
     let oldest = Infinity;
     for (const work of state.unfinished.values()) {
--- a/packages/dispatch/src/pauseAfterFailure.ts
+++ b/packages/dispatch/src/pauseAfterFailure.ts
@@ -2,19 +2,19 @@
 import { pauseAfterBreaks } from "@auburnarch/transport/pauseAfterBreaks";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
-/** How an attempt ended, and what went before it. */
+/** The failures of a sample so far. */
 interface FailedWork {
     failures: number;
     fruitless: number;
 }
 
-/** Pause of a sample that the retry budget does not allow yet. */
+/** Pause of a sample whose retry exceeds the retry budget. */
 const budgetPauseMs = 500;
-/** After so many crashes a sample pauses until every process knows what it is suspected of. */
+/** After this many crashes a sample pauses until every process has received its suspected content digest. */
 const maxCrashes = 2;
 const crashPauseMs = 10_000;
 
-/** How long a sample waits before its next attempt after one that ended without an answer. */
+/** Pause of a sample before its next attempt, after one that ended without an answer. */
 export function pauseAfterFailure(code: ResultCode, work: FailedWork, isWithinBudget: boolean): number {
     const isCrashInducing = code === resultCodes.engineCrashed && work.failures >= maxCrashes;
     const pauseMs = Math.max(isCrashInducing ? crashPauseMs : 0, pauseAfterBreaks(work.fruitless));
--- a/packages/dispatch/src/priorityByNeed.ts
+++ b/packages/dispatch/src/priorityByNeed.ts
@@ -4,8 +4,8 @@
 const urgencySpan = 40;
 
 /**
- * The job's priority plus up to 40 as the expected end nears the need date: 0 with twice the expected run time
- * to spare, 40 when the need date cannot be met any more.
+ * Returns five times the job's priority plus up to 40 as the need date approaches: 0 with twice the expected run
+ * time to spare, 40 once the need date can't be met any more.
  */
 export const priorityByNeed: PriorityRule = ({ jobPriority, needAtMs, nowMs, expectedRunMs }) => {
     const spareMs = needAtMs - nowMs - expectedRunMs;
--- a/packages/dispatch/src/roomBesideOthers.ts
+++ b/packages/dispatch/src/roomBesideOthers.ts
@@ -1,12 +1,12 @@
 import type { RoomRule } from "./RoomRule.js";
 
-/** Attempts that wait at a full sampler, so that its fair queue has something of ours to choose. */
+/** Attempts that wait at a full sampler, so that its fair queue can schedule one of this dispatcher's. */
 const waitingAhead = 2;
 
 /**
- * The free places, or where there are none because others hold some, two attempts that wait there. More would be
- * bound to one sampler early and sit behind other jobs while places elsewhere fall free; none at all would leave
- * this team's share to the others, since a gate can only give places to those who wait.
+ * Room for the free slots; on a sampler that is full because of other senders, for two attempts that wait there. More
+ * would be bound to one sampler early and queue behind other jobs while slots elsewhere become free. With none, the
+ * other teams would get this team's share, since the sampler's sidecar schedules only attempts that wait there.
  */
 export const roomBesideOthers: RoomRule = ({ limit, load, outstanding, started }) => {
     const free = Math.max(1, limit) - load;
--- a/packages/dispatch/src/roomUnbounded.ts
+++ b/packages/dispatch/src/roomUnbounded.ts
@@ -1,4 +1,4 @@
 import type { RoomRule } from "./RoomRule.js";
 
-/** Baseline: everything is sent at once and waits at the samplers. */
+/** Baseline: every sample is sent at once and waits at the samplers. */
 export const roomUnbounded: RoomRule = () => Infinity;
--- a/packages/dispatch/src/roomWithinLimit.ts
+++ b/packages/dispatch/src/roomWithinLimit.ts
@@ -1,4 +1,4 @@
 import type { RoomRule } from "./RoomRule.js";
 
-/** As many of ours as the sampler's limit, whoever else sends there. */
+/** Fills the sampler's limit with this dispatcher's attempts, regardless of other senders. */
 export const roomWithinLimit: RoomRule = ({ limit, outstanding }) => Math.max(1, limit) - outstanding;
--- a/packages/dispatch/src/rules.test.ts
+++ b/packages/dispatch/src/rules.test.ts
@@ -26,7 +26,7 @@
 ): Span => ({ version, tokens, text: "x".repeat(tokens) } as Span);
 const sampler = "a" as Parameters<ReturnType<typeof createPrefixHints>["recordSent"]>[1];
 
-test("room: the free places, and two ahead only where others hold some", () => {
+test("room is the free slots, or two waiting attempts on a sampler that is full because of other senders", () => {
     const room = (limit: number, load: number, outstanding: number, started: number): number =>
         roomBesideOthers({ limit, load, outstanding, started });
     expect({
@@ -50,7 +50,7 @@
     `);
 });
 
-test("priority rises as the need date nears and stays below interactive traffic", () => {
+test("priority rises as the need date approaches and stays below that of interactive requests", () => {
     const at = (nowMs: number): number =>
         priorityByNeed({ jobPriority: 5, needAtMs: 60_000, nowMs, expectedRunMs: 10_000 });
     expect([0, 30_000, 40_000, 50_000, 90_000].map(at)).toMatchInlineSnapshot(`
@@ -71,7 +71,7 @@
     );
 });
 
-test("length: a prompt's own samples outweigh the job's mean as they come in", () => {
+test("the expected length moves from the job's mean to the prompt's own mean as its samples finish", () => {
     const model = createPromptLengthModel();
     const expected: number[] = [model.expectRemaining("hard", 0, 4_000)];
     for (let round = 0; round < 20; round++) {
@@ -94,7 +94,7 @@
     `);
 });
 
-test("length: one that has outgrown the prediction is expected to go on as earlier long ones did", () => {
+test("a sample that exceeds its prediction is expected to continue like earlier long samples", () => {
     const model = createPromptLengthModel();
     [100, 100, 100, 100, 1_000, 1_200].forEach((tokens, index) => model.observe(`p${index}`, tokens));
     expect([50, 200, 900, 3_000].map(produced => Math.round(model.expectRemaining("p0", produced, 4_000))))
@@ -108,8 +108,8 @@
         `);
 });
 
-test("need: steps opened in one burst are not all due at once", () => {
-    // Guards against: samples of the next step run while the trainer waits for this one.
+test("steps opened in one burst are not all needed at the same time", () => {
+    // Guards against samples of the next step that run while the trainer waits for the current one.
     const needs = createNeedForecast(() => 20_000);
     needs.recordOpened(0, 0);
     needs.recordOpened(1, 0);
@@ -118,7 +118,7 @@
     expect(needs.needAtMs(2, 50_000, 1, 30_000)).toBe(60_000);
 });
 
-test("a prefix hint decays, and is dropped when the engine found nothing", () => {
+test("a prefix hint decays and is removed when the engine reports no cached tokens", () => {
     const hints = createPrefixHints();
     hints.recordSent("prompt", sampler, 0);
     const at = (nowMs: number): number => hints.expectCachedTokens("prompt", sampler, 800, nowMs);
@@ -127,7 +127,7 @@
     expect(at(0)).toBe(0);
 });
 
-test("a straggler moves to a much faster sampler with a free place, twice at most", () => {
+test("a straggler moves to a much faster sampler with room, at most twice", () => {
     const slow = createTestCandidate("slow", { observedTokensPerSecond: 40 });
     const fast = createTestCandidate("fast", { observedTokensPerSecond: 150 });
     const full = createTestCandidate("full", { observedTokensPerSecond: 300, room: 0 });
@@ -140,7 +140,7 @@
         .toBeUndefined();
 });
 
-test("joined spans keep every token in order, with no two neighbours of one version", () => {
+test("joined spans keep every token in order and have no neighbours of the same version", () => {
     const drawn = fc.array(fc.record({ version: fc.integer({ min: 1, max: 3 }), tokens: fc.nat(5) }), {
         maxLength: 20,
     });
@@ -155,7 +155,7 @@
     }));
 });
 
-test("the queue gives what is due in order, and skips what is removed while it is read", () => {
+test("the queue returns due samples in order and skips those removed during iteration", () => {
     const queue = createWaitingQueue<WaitingSample>(orderByLatestStart);
     const waiting = (
         latestStartMs: number,
@@ -174,7 +174,7 @@
     expect([...queue.due(1_000)].map(work => work.latestStartMs)).toEqual([10, 30, 40]);
 });
 
-test("held: only later steps of jobs that weigh freshness above idle time, and only while there is time to spare", () => {
+test("only later steps of jobs that prefer freshness over idle time are held, and only while there is time to spare", () => {
     const base = {
         stepsAhead: 1,
         latestStartMs: 60_000,
@@ -202,7 +202,7 @@
     `);
 });
 
-test("critical: the sampler of a straggler that the trainer waits for, once nothing else of its step waits", () => {
+test("a sampler is critical while it runs a straggler that the trainer waits for and no other sample of its step waits", () => {
     const deps = { job: () => ({ stepNeedMs: 20_000 }) } as Parameters<typeof createDispatchState>[0];
     const state = createDispatchState(deps, defaultDispatchPolicy);
     const work = (
--- a/packages/dispatch/src/thinNever.ts
+++ b/packages/dispatch/src/thinNever.ts
@@ -1,4 +1,4 @@
 import type { ThinRule } from "./ThinRule.js";
 
-/** Fills every sampler alike. */
+/** Leaves the limit of every sampler as it is. */
 export const thinNever: ThinRule = limit => limit;
--- a/packages/dispatch/src/updateEstimates.ts
+++ b/packages/dispatch/src/updateEstimates.ts
@@ -2,10 +2,10 @@
 import type { DispatchState } from "./DispatchState.js";
 import type { SampleWork } from "./SampleWork.js";
 
-/** Part by which the expected run time is exceeded often enough to be planned for. */
+/** Factor on the expected run time, which is exceeded often enough to plan for it. */
 const runTimeMargin = 1.5;
 
-/** Brings the expected length and the latest start of a waiting sample up to date. */
+/** Updates the expected length and the latest start time of a waiting sample. */
 export function updateEstimates(
     state: DispatchState,
     work: SampleWork,
