--- a/packages/selection/src/Candidate.ts
+++ b/packages/selection/src/Candidate.ts
@@ -1,24 +1,24 @@
 import type { SamplerView } from "@auburnarch/types/SamplerView";
 
-/** A sampler that is able to run the request, with what only the deciding dispatcher knows about it. */
+/** A sampler with the state that only the deciding dispatcher has of it. */
 export interface Candidate {
     view: SamplerView;
-    /** Attempts this dispatcher has outstanding there. */
+    /** Outstanding attempts of this dispatcher on the sampler. */
     outstanding: number;
-    /** Tokens this dispatcher still expects of them. */
+    /** Tokens that this dispatcher still expects from them. */
     outstandingTokens: number;
-    /** Attempts sent since the report was made and not finished since, by this entry as a whole. */
+    /** Attempts that this process sent since the report was made, minus those that have ended since. */
     sentSinceReport: number;
-    /** Attempts this dispatcher may still add there. */
+    /** Attempts that this dispatcher may still send to the sampler. */
     room: number;
-    /** Waiting samples that decided in this round to wait for it. */
+    /** Samples that this round assigned to the sampler but didn't send: they wait for it or are being moved to it. */
     reserved: number;
-    /** Prompt tokens expected in the prefix cache, after decay of the hint. */
+    /** Prompt tokens expected in the prefix cache, after the decay of the hint. */
     cachedPromptTokens: number;
-    /** Tokens a second that single generations reached there lately; undefined before the first one. */
+    /** Recently measured tokens per second of a single generation; undefined before the first one. */
     observedTokensPerSecond: number | undefined;
-    /** The next weight swaps will take it. */
+    /** The sampler is next for a weight swap. */
     aboutToSwap: boolean;
-    /** Grows with each send of this dispatcher; 0 before the first one to this sampler. */
+    /** Sequence number of this dispatcher's last attempt sent to the sampler; 0 before the first one. */
     lastSentOrder: number;
 }
--- a/packages/selection/src/PickRequest.ts
+++ b/packages/selection/src/PickRequest.ts
@@ -3,19 +3,21 @@
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** What a picker needs to know of one attempt. */
+/** Input of a picker for one attempt. */
 export interface PickRequest {
     policy: PolicyId;
     minVersion: WeightVersion;
     digest: ContentDigest;
     promptTokens: number;
-    /** Tokens still to be generated, by prediction. */
+    /** Predicted number of tokens still to be generated. */
     expectedTokens: number;
     /** Monotonic time at which the trainer needs the sample. */
     needAtMs: number;
     nowMs: number;
-    /** True if the digest was in flight when an engine died and is not cleared. */
+    /**
+     * True if a request with this content digest was running when an engine crashed and the digest is not cleared.
+     */
     suspect: boolean;
-    /** Samplers that failed this sample before. */
+    /** Samplers on which earlier attempts of this sample failed. */
     avoid: ReadonlySet<SamplerId>;
 }
--- a/packages/selection/src/correctedLoad.ts
+++ b/packages/selection/src/correctedLoad.ts
@@ -1,9 +1,9 @@
 import type { Candidate } from "./Candidate.js";
 
 /**
- * Attempts believed to be at a sampler now. A report cannot include what was sent after it was made; without
- * the correction every sampler that looked idle in one report gets the whole burst that follows, which shows
- * as queues that swing from one sampler to the next at the rhythm of the reports.
+ * Estimates the attempts on a sampler now. A report doesn't include attempts sent after it was made; without this
+ * correction, a sampler that was idle in its last report gets the whole next burst. The symptom is queues that
+ * oscillate between samplers at the interval of the reports.
  */
 export function correctedLoad(candidate: Candidate): number {
     const report = candidate.view.report;
--- a/packages/selection/src/estimateFinishMs.ts
+++ b/packages/selection/src/estimateFinishMs.ts
@@ -3,18 +3,18 @@
 import { expectedTokensPerSecond } from "./expectedTokensPerSecond.js";
 import type { PickRequest } from "./PickRequest.js";
 
-/** Prompt tokens are read this many times faster than tokens are generated. */
+/** Prefill speed as a multiple of the generation speed. */
 const prefillSpeedup = 30;
 
-/** Tokens that those at work there still make, each; guessed by the request itself where nothing of ours runs. */
+/** Mean remaining tokens of this dispatcher's attempts there; that of the request itself if there are none. */
 const meanRemainingTokens = (candidate: Candidate, request: PickRequest): number =>
     candidate.outstanding === 0
         ? request.expectedTokens
         : candidate.outstandingTokens / candidate.outstanding;
 
 /**
- * Milliseconds from now until the request would be complete at a candidate: time until a place is free there
- * behind those who wait, reading the part of the prompt that is not cached, and generating what is expected.
+ * Estimates the time until the request would be complete on a candidate: the wait for a free slot behind the queued
+ * attempts, the prefill of the uncached part of the prompt, and the generation of the expected tokens.
  */
 export function estimateFinishMs(candidate: Candidate, request: PickRequest): number {
     const load = correctedLoad(candidate) + candidate.reserved;
--- a/packages/selection/src/pickEarliestFinish.ts
+++ b/packages/selection/src/pickEarliestFinish.ts
@@ -7,10 +7,10 @@
     finishMs: number;
 }
 
-/** A sampler with a place now is taken unless waiting for another one saves this part of the time. */
+/** A sampler with room is chosen unless waiting for another one saves at least this share of the time. */
 const minGainRatio = 0.15;
 
-/** A guess about a queue is worth no more than the age of the report behind it. */
+/** The gain must also exceed the age of the report, since the estimate of the queue is only as recent as that. */
 const isWorthWaiting = (full: Ranked, available: Ranked): boolean => {
     const gainMs = available.finishMs - full.finishMs;
     return gainMs > available.finishMs * minGainRatio && gainMs > full.candidate.view.reportAgeMs;
@@ -34,10 +34,10 @@
     candidate.cachedPromptTokens > 0 ? "earliestFinishCachedPrefix" : "earliestFinish";
 
 /**
- * The candidate that is expected to finish the request first, its queue included; where that one has no place
- * yet and is worth the wait, the request stays at the dispatcher. Without waiting, a long sample goes to a slow
- * sampler that happens to be free and holds up the step for longer than the fast one's queue would have.
- * One about to swap weights is taken only if no other has a place: what starts there is paused at once.
+ * Picks the candidate that is expected to finish the request first, including its queue. If that one has no room yet
+ * and is worth the wait, the request stays at the dispatcher; otherwise a long sample would go to a slow sampler that
+ * happens to have room, and delay the step longer than the queue of the fast sampler. A candidate that is about to
+ * swap weights is picked only if no other has room, because an attempt that starts there is paused at once.
  */
 export const pickEarliestFinish: SamplerPicker = (candidates, request) => {
     const staying = candidates.filter(candidate => !candidate.aboutToSwap);
--- a/packages/selection/src/pickLeastFinish.ts
+++ b/packages/selection/src/pickLeastFinish.ts
@@ -6,8 +6,8 @@
     candidate.cachedPromptTokens > 0 ? "leastFinishCachedPrefix" : "leastFinish";
 
 /**
- * The candidate that is expected to finish the request first. One about to swap weights is taken only if no other
- * has room: what starts there is paused or drained by the swap at once.
+ * Picks the candidate with room that is expected to finish the request first. A candidate that is about to swap
+ * weights is picked only if no other has room, because the swap pauses or drains an attempt that starts there.
  */
 export const pickLeastFinish: SamplerPicker = (candidates, request) => {
     const available = candidates.filter(candidate => candidate.room > 0);
--- a/packages/selection/src/pickLeastReported.ts
+++ b/packages/selection/src/pickLeastReported.ts
@@ -4,7 +4,7 @@
 const reportedLoad = (candidate: Candidate): number =>
     candidate.view.report.running + candidate.view.report.waiting;
 
-/** Baseline: the least load as last reported, uncorrected; ties by a draw. */
+/** Baseline: the candidate with the lowest reported load, without correction; ties are broken at random. */
 export const pickLeastReported: SamplerPicker = (candidates, _request, random) => {
     const available = candidates.filter(candidate => candidate.room > 0);
     if (available.length === 0) {
--- a/packages/selection/src/pickRandom.ts
+++ b/packages/selection/src/pickRandom.ts
@@ -1,6 +1,6 @@
 import type { SamplerPicker } from "./SamplerPicker.js";
 
-/** Baseline: any candidate with equal probability. */
+/** Baseline: a candidate with room, with equal probability. */
 export const pickRandom: SamplerPicker = (candidates, _request, random) => {
     const available = candidates.filter(candidate => candidate.room > 0);
     if (available.length === 0) {
--- a/packages/selection/src/pickRoundRobin.ts
+++ b/packages/selection/src/pickRoundRobin.ts
@@ -5,7 +5,7 @@
     a.lastSentOrder < b.lastSentOrder
     || (a.lastSentOrder === b.lastSentOrder && a.view.report.sampler < b.view.report.sampler);
 
-/** Baseline: the candidate that was sent to the longest time ago. */
+/** Baseline: the candidate with room that was used least recently. */
 export const pickRoundRobin: SamplerPicker = candidates => {
     const available = candidates.filter(candidate => candidate.room > 0);
     const first = available[0];
--- a/packages/selection/src/pickTwoChoices.ts
+++ b/packages/selection/src/pickTwoChoices.ts
@@ -1,6 +1,6 @@
 import type { SamplerPicker } from "./SamplerPicker.js";
 
-/** Baseline: of two candidates drawn at random, the one with fewer attempts of ours outstanding. */
+/** Baseline: of two random candidates with room, the one with the lower load. */
 export const pickTwoChoices: SamplerPicker = (candidates, _request, random) => {
     const available = candidates.filter(candidate => candidate.room > 0);
     if (available.length === 0) {
--- a/packages/selection/src/pickers.test.ts
+++ b/packages/selection/src/pickers.test.ts
@@ -26,7 +26,7 @@
             .map((name, index) => [name, pickers[index]!(candidates, request, createRandom(7))]),
     );
 
-test("each picker among a busy, an idle and a fast sampler", () => {
+test("each picker chooses as documented among a busy, an idle and a fast sampler", () => {
     const candidates = [
         createTestCandidate("busy", { room: 2, outstanding: 6, lastSentOrder: 9 }, { running: 6 }),
         createTestCandidate("idle", { lastSentOrder: 8 }),
@@ -88,7 +88,7 @@
     `);
 });
 
-test("nothing is picked where there is no room", () => {
+test("nothing is picked if no sampler has room", () => {
     const candidates = [createTestCandidate("a", { room: 0 }), createTestCandidate("b", { room: 0 })];
     for (const picker of pickers) {
         expect(picker(candidates, createTestRequest(), createRandom(1))).toMatchObject({
@@ -98,8 +98,8 @@
     }
 });
 
-test("a burst after one report is spread, not piled on the sampler that looked idle in it", () => {
-    // Guards against: queues swing from one sampler to the next at the rhythm of the reports.
+test("a burst after one report is spread instead of sent to the one sampler that was idle in it", () => {
+    // Guards against queues that oscillate between samplers at the interval of the reports.
     const candidates = [
         createTestCandidate("a", {}, { running: 0 }),
         createTestCandidate("b", { room: 4 }, { running: 4 }),
@@ -115,8 +115,8 @@
     expect(sent.join("")).toMatchInlineSnapshot(`"aaaaabababab"`);
 });
 
-test("a long sample waits for the fast sampler, a short one takes the slow one at once", () => {
-    // Guards against: one sample on the slow sampler holds up the step.
+test("a long sample waits for the fast sampler, a short one goes to the slow one at once", () => {
+    // Guards against a step delayed by one long sample on a slow sampler.
     const candidates = [
         createTestCandidate("slow", { observedTokensPerSecond: 40 }),
         createTestCandidate("fast", {
@@ -134,7 +134,7 @@
     expect(decide(10)).toMatchObject({ kind: "picked", sampler: "slow" });
 });
 
-test("a sampler about to swap is taken only if no other has a place", () => {
+test("a sampler that is about to swap is picked only if no other has room", () => {
     const swapping = createTestCandidate("a", { aboutToSwap: true });
     const decide = (other: Candidate): unknown =>
         pickEarliestFinish([swapping, other], createTestRequest(), createRandom(1));
@@ -144,7 +144,7 @@
     expect(decide(createTestCandidate("b", { room: 0 }, { running: 8 }))).toMatchObject({ sampler: "a" });
 });
 
-test("a cached prompt outweighs a little load, not a long queue", () => {
+test("a cached prompt outweighs a small load but not a long queue", () => {
     const request = createTestRequest({ promptTokens: 6_000, expectedTokens: 200 });
     const cached = (load: number): Candidate =>
         createTestCandidate(
--- a/packages/selection/src/selectCandidates.test.ts
+++ b/packages/selection/src/selectCandidates.test.ts
@@ -7,7 +7,7 @@
 const namesOf = (candidates: ReturnType<typeof selectCandidates>): string[] =>
     candidates.map(({ view }) => view.report.sampler);
 
-test("only ready samplers that serve the policy at the least version or above", () => {
+test("only ready samplers that serve the policy at the minimum version or above are selected", () => {
     const candidates = [
         createTestCandidate("good"),
         createTestCandidate("newer", {}, { served: [{ policy: "plume", version: 4 }] }),
@@ -20,7 +20,7 @@
     expect(namesOf(selectCandidates(candidates, createTestRequest()))).toEqual(["good", "newer"]);
 });
 
-test("suspicion, avoidance and suspects narrow the choice and never empty it", () => {
+test("suspicion, avoidance and suspects narrow the selection and never empty it", () => {
     const sampler = fc.record({
         suspected: fc.boolean(),
         avoided: fc.boolean(),
@@ -45,8 +45,8 @@
     }));
 });
 
-test("two suspects of one death do not meet on a sampler again", () => {
-    // Guards against: a harmless prompt is refused everywhere.
+test("a suspect of an engine crash is not sent to a sampler that runs another suspect", () => {
+    // Guards against refusing a harmless prompt everywhere after it ran beside a crash-inducing one twice.
     const candidates = [
         createTestCandidate("holds", {}, { suspects: [{ digest: "other", deaths: [] }] }),
         createTestCandidate("clean"),
--- a/packages/selection/src/selectCandidates.ts
+++ b/packages/selection/src/selectCandidates.ts
@@ -10,17 +10,17 @@
 const hasOtherSuspect = (candidate: Candidate, request: PickRequest): boolean =>
     candidate.view.report.suspects.some(suspect => suspect.digest !== request.digest);
 
-/** Keeps the preferred ones if there are any, else all. */
+/** Returns the preferred candidates if there are any, else all. */
 const prefer = (candidates: Candidate[], isPreferred: (candidate: Candidate) => boolean): Candidate[] => {
     const preferred = candidates.filter(isPreferred);
     return preferred.length > 0 ? preferred : candidates;
 };
 
 /**
- * The candidates that are able to run the request, without those to be avoided as long as others are left.
- * Suspects of a death are kept off samplers that hold another suspect: if two of them ran together and the
- * engine died again, the innocent one would look guilty of two deaths and its content would be refused
- * everywhere. A bad signal cannot empty the list: suspicion and avoidance only ever narrow it.
+ * Selects the candidates that can run the request, without those to avoid as long as others are left. A suspect of
+ * an engine crash is not sent to a sampler that runs another suspect: if the engine crashed again, the harmless one
+ * would be linked to two crashes and its content refused everywhere. Suspicion and avoidance narrow the selection
+ * but never empty it, so a wrong signal can't block all samplers.
  */
 export function selectCandidates(candidates: Candidate[], request: PickRequest): Candidate[] {
     let eligible = candidates.filter(candidate => isEligible(candidate, request));
--- a/packages/selection/src/testing/createTestCandidate.ts
+++ b/packages/selection/src/testing/createTestCandidate.ts
@@ -1,7 +1,7 @@
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { Candidate } from "../Candidate.js";
 
-/** A ready candidate that serves `plume@3` with eight places, changed by the arguments; for tests. */
+/** Creates a ready candidate that serves `plume@3` with room for eight attempts, modified by the arguments. */
 export function createTestCandidate(
     sampler: string,
     changes: Partial<Candidate> = {},
--- a/packages/selection/src/testing/createTestRequest.ts
+++ b/packages/selection/src/testing/createTestRequest.ts
@@ -1,6 +1,6 @@
 import type { PickRequest } from "../PickRequest.js";
 
-/** A request for 200 tokens of `plume` at version 3, changed by the argument; for tests. */
+/** Creates a request for 200 tokens of `plume` at version 3 or above, modified by the argument. */
 export function createTestRequest(changes: Partial<Record<keyof PickRequest, unknown>> = {}): PickRequest {
     return {
         policy: "plume",
