--- a/packages/routing/src/Caller.ts
+++ b/packages/routing/src/Caller.ts
@@ -1,4 +1,4 @@
 import type { Team } from "./Team.js";
 
-/** Who calls: a team by its key, or nobody that is known, where none has to be. */
+/** The caller of a request: a team identified by its key, or anonymous where no key is required. */
 export type Caller = { kind: "team"; team: Team; } | { kind: "anonymous"; };
--- a/packages/routing/src/ClientLimits.ts
+++ b/packages/routing/src/ClientLimits.ts
@@ -1,4 +1,4 @@
-/** Bounds of what a client may send, and of how long it may take. */
+/** Limits on the size and the duration of a client's request. */
 export interface ClientLimits {
     maxHeaderBytes: number;
     maxBodyBytes: number;
--- a/packages/routing/src/ConfigurationFault.ts
+++ b/packages/routing/src/ConfigurationFault.ts
@@ -1,6 +1,6 @@
-/** A part of a configuration that is left out because it can't be understood; the rest is in force. */
+/** A part of a configuration that is ignored because it is invalid; the other parts are in effect. */
 export interface ConfigurationFault {
-    /** Where it stands, such as `tenants.3`. It never shows a key. */
+    /** Path of the part, such as `tenants.3`; never contains a key. */
     field: string;
     fault: string;
 }
--- a/packages/routing/src/Credential.ts
+++ b/packages/routing/src/Credential.ts
@@ -1,8 +1,8 @@
 import type { KeyDigest } from "@auburnarch/types/KeyDigest";
 
-/** What a caller sent to say who it is. */
+/** The credential that a caller sent. */
 export type Credential =
     | { kind: "none"; }
-    /** It can't be a key of anybody; `fault` says why without showing it. */
+    /** Malformed; `fault` says why without containing the credential. */
     | { kind: "unusable"; fault: string; }
     | { kind: "key"; digest: KeyDigest; };
--- a/packages/routing/src/RouteKind.ts
+++ b/packages/routing/src/RouteKind.ts
@@ -1,5 +1,5 @@
 /**
- * What a route's requests are: `idempotent` ones may run more than once, `nonIdempotent` ones at most once, `stream`
- * is answered by events as they are made, `rollout` takes batch jobs.
+ * The kind of a route's requests: `idempotent` ones may run more than once, `nonIdempotent` ones at most once,
+ * `stream` is answered with a stream of events, `rollout` accepts batch jobs.
  */
 export type RouteKind = "idempotent" | "nonIdempotent" | "stream" | "rollout";
--- a/packages/routing/src/RoutingTable.ts
+++ b/packages/routing/src/RoutingTable.ts
@@ -13,8 +13,8 @@
     routes: Route[];
     services: Map<ServiceId, ServiceLimits>;
     clientLimits: ClientLimits;
-    /** Teams by the digest of each of their keys; undefined where callers need no key. */
+    /** Teams by the digest of each of their keys; undefined if callers need no key. */
     teams: ReadonlyMap<KeyDigest, Team> | undefined;
-    /** What was left out. */
+    /** The parts of the configuration that were ignored. */
     faults: ConfigurationFault[];
 }
--- a/packages/routing/src/ServiceLimits.ts
+++ b/packages/routing/src/ServiceLimits.ts
@@ -1,15 +1,15 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 
-/** What the configuration says of a service. */
+/** Configuration of a service. */
 export interface ServiceLimits {
     service: ServiceId;
-    /** Connections that one sampler accepts from all callers together. */
+    /** Maximum number of connections to one sampler from all callers together. */
     maxConnections: number;
     /** Policies whose weights the service's engines can load; empty for a plain service. */
     policies: PolicyId[];
-    /** Tokens that its engines put into one event of a stream. */
+    /** Number of tokens in one event of a stream. */
     tokensPerEvent: number;
-    /** The operator wants its samplers ordered by need, which is not done here. */
+    /** The operator requests autoscaling of its samplers, which is not supported. */
     wantsOrderedSamplers: boolean;
 }
--- a/packages/routing/src/Team.ts
+++ b/packages/routing/src/Team.ts
@@ -1,8 +1,8 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 
-/** A team of the configuration. */
+/** A team as configured. */
 export interface Team {
     team: TeamId;
-    /** Rank of its requests, 0 first; it goes before the rank of a route. Undefined where the operator sets none. */
+    /** Priority of its requests, 0 is the highest; overrides that of a route. Undefined if the operator sets none. */
     priority: number | undefined;
 }
--- a/packages/routing/src/findRoute.ts
+++ b/packages/routing/src/findRoute.ts
@@ -2,7 +2,7 @@
 import type { Route } from "./Route.js";
 import type { RoutingTable } from "./RoutingTable.js";
 
-/** The route of a request: among those of its host, the one with the longest prefix that begins the path. */
+/** Finds the route of a request: among the routes of its host, the one with the longest matching path prefix. */
 export function findRoute(table: RoutingTable, host: string, path: string): Route | undefined {
     let best: Route | undefined;
     for (const route of table.routes) {
--- a/packages/routing/src/identifyCaller.ts
+++ b/packages/routing/src/identifyCaller.ts
@@ -2,15 +2,15 @@
 import type { Credential } from "./Credential.js";
 import type { RoutingTable } from "./RoutingTable.js";
 
-/** Whom a credential names: undefined if the configuration has teams and it is no key of theirs. */
+/** The team that a credential belongs to; undefined if it is no key of a configured team. */
 function findTeamCaller({ teams }: RoutingTable, credential: Credential): Caller | undefined {
     const team = credential.kind === "key" ? teams?.get(credential.digest) : undefined;
     return team === undefined ? undefined : { kind: "team", team };
 }
 
 /**
- * Tells who calls; undefined if the call needs a key and brings none that counts. Without teams in the configuration
- * nobody needs one.
+ * Identifies the caller; undefined if the call requires a key and has no valid one. No key is required if the
+ * configuration has no teams.
  */
 export function identifyCaller(
     table: RoutingTable,
--- a/packages/routing/src/routing.test.ts
+++ b/packages/routing/src/routing.test.ts
@@ -39,7 +39,7 @@
     faults: [],
 };
 
-test("the longest prefix of the host wins, and another host's routes never do", () => {
+test("the longest matching prefix of the host is chosen, and never a route of another host", () => {
     const found = [["a.example", "/tiles/7"], ["A.example:8080", "/tilesx"], ["b.example", "/tiles/7"], [
         "b.example",
         "/x/",
@@ -48,7 +48,7 @@
     expect(found).toEqual(["tiles", "all", undefined, "b"]);
 });
 
-test("a split route is drawn by its weights", () => {
+test("requests of a route with several services are split by their weights", () => {
     const random = createRandom(3);
     const drawn = Array.from({ length: 2_000 }, () => chooseService(table.routes[0]!, random));
     const share = drawn.filter(service => service === "new-tiles").length / drawn.length;
