--- a/packages/membership/src/EntryRegistry.ts
+++ b/packages/membership/src/EntryRegistry.ts
@@ -4,24 +4,24 @@
 import type { Heartbeat } from "./Heartbeat.js";
 import type { RecordRow } from "./RecordRow.js";
 
-/** Other entries, with the newest that is known of each. */
+/** The latest known heartbeat and record of each other entry. */
 export interface EntryRegistry {
-    /** Takes what another entry tells, if it is newer or refutes or confirms a suspicion. */
+    /** Applies a received heartbeat if it is newer, refutes a suspicion or confirms one. */
     applyHeartbeat(beat: Heartbeat): void;
     applyRecord(row: RecordRow): void;
-    /** Probes of an entry failed, from here and through others. */
+    /** Marks an entry as suspected after direct and indirect probes of it failed. */
     suspect(entry: EntryId): void;
     beat(entry: EntryId): Heartbeat | undefined;
-    /** Changes that are still to be told, each as often as it takes to reach all. */
+    /** Takes the next changes to gossip; each is repeated often enough to reach all entries. */
     nextBroadcasts(count: number): Heartbeat[];
     beats(): Heartbeat[];
-    /** Its record; undefined while that of its present generation is not known. */
+    /** The entry's record; undefined until the record of its current generation is known. */
     record(entry: EntryId): RecordRow | undefined;
-    /** Entries that heartbeats name and whose record is not known. */
+    /** Entries known from heartbeats whose record has not arrived yet. */
     listWithoutRecord(count: number): EntryId[];
     list(): EntryView[];
-    /** Drops entries that are suspected for long and that `isListed` does not know. */
+    /** Removes entries that have been suspected for `forgetAfterMs` and are not `isListed`. */
     prune(isListed: (record: EntryRecord) => boolean): void;
-    /** Grows whenever `list` may have changed. */
+    /** Increases whenever the result of `list` may have changed. */
     revision(): number;
 }
--- a/packages/membership/src/EntryTarget.ts
+++ b/packages/membership/src/EntryTarget.ts
@@ -1,6 +1,6 @@
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 
-/** An entry that reports can go to. */
+/** An entry that a sidecar can report to. */
 export interface EntryTarget {
     /** `http://ip:port`. */
     address: string;
--- a/packages/membership/src/EntryView.ts
+++ b/packages/membership/src/EntryView.ts
@@ -1,6 +1,6 @@
 import type { EntryRecord } from "@auburnarch/types/EntryRecord";
 
-/** An entry as this one sees it. */
+/** Another entry as seen by this one. */
 export interface EntryView {
     record: EntryRecord;
     ageMs: number;
--- a/packages/membership/src/FailureDetector.ts
+++ b/packages/membership/src/FailureDetector.ts
@@ -1,18 +1,18 @@
-/** What is known of one subject's silence. */
+/** The detector's judgement of one subject. */
 interface Verdict {
     ageMs: number;
     suspected: boolean;
-    /** Silent, or unreachable, or neither. */
+    /** Why the subject is or is not suspected; `spared` if the ratio limit lifted the suspicion. */
     reason: "heard" | "silent" | "unreachable" | "spared";
 }
 
-/** Judges who of a set of subjects is down, from when each was last heard. */
+/** Decides which subjects are down, from the time of the last sign of life of each. */
 export interface FailureDetector {
-    /** Fresh evidence that a subject lives; it promised the next sign within about `expectedGapMs`. */
+    /** Records a sign of life; the subject announced the next one within about `expectedGapMs`. */
     recordAlive(subject: string, expectedGapMs?: number): void;
-    /** A connection to it failed just now. */
+    /** Records that a connection to the subject just failed. */
     recordFailedConnection(subject: string): void;
     forget(subject: string): void;
-    /** Judges all subjects as of now. */
+    /** Judges all subjects at the current time. */
     judge(): ReadonlyMap<string, Verdict>;
 }
--- a/packages/membership/src/Gossip.ts
+++ b/packages/membership/src/Gossip.ts
@@ -1,8 +1,8 @@
 import type { GossipMessage } from "./GossipMessage.js";
 
-/** Probes between entries and the changes they carry. */
+/** Probes between entries, which also carry membership changes. */
 export interface Gossip {
-    /** Probes an entry drawn at random; suspects it if it can be reached neither from here nor through others. */
+    /** Probes a random entry; suspects it if neither direct nor indirect probes reach it. */
     probeOnce(listedAddresses: () => string[]): Promise<void>;
     receive(message: unknown): Promise<GossipMessage>;
     beginLeaving(): void;
--- a/packages/membership/src/GossipMessage.ts
+++ b/packages/membership/src/GossipMessage.ts
@@ -3,8 +3,8 @@
 import type { RecordRow } from "./RecordRow.js";
 
 /**
- * One message between entries, the same in both directions. Every exchange is a probe of the receiver; what it
- * carries beside are changes, so that its size does not depend on the number of entries.
+ * One message between entries, with the same shape in both directions. Every exchange probes the receiver. Beyond
+ * that it carries only changes, so its size does not depend on the number of entries.
  */
 export interface GossipMessage {
     from: EntryId;
@@ -12,8 +12,8 @@
     records: RecordRow[];
     /** Entries whose record the sender lacks. */
     wanted: EntryId[];
-    /** Asks the receiver to probe this address for the sender, who got no answer from there. */
+    /** Address that the receiver is to probe on behalf of the sender, who got no answer from it. */
     probe?: string;
-    /** Answer to `probe`. */
+    /** Result of the probe that was asked for with `probe`. */
     reached?: boolean;
 }
--- a/packages/membership/src/Heartbeat.ts
+++ b/packages/membership/src/Heartbeat.ts
@@ -1,14 +1,14 @@
 import type { EntryId } from "@auburnarch/types/EntryId";
 
-/** What is known of an entry's life, as entries tell each other. */
+/** Liveness of one entry, as gossiped between entries. */
 export interface Heartbeat {
     entry: EntryId;
-    /** Wall time of the entry's start, raised where an earlier run of it is known with a higher one. */
+    /** Wall time of the entry's start, raised if peers know an earlier run with a higher value. */
     generation: number;
-    /** Grows by one with each exchange the entry starts. */
+    /** Incremented with each exchange that the entry starts. */
     counter: number;
-    /** The entry takes no new work. */
+    /** The entry accepts no new work. */
     leaving?: boolean;
-    /** Since `counter` it did not answer. A higher counter refutes this, by whomever it is brought. */
+    /** The entry has not answered since `counter`. A higher counter from any sender refutes this. */
     suspected?: boolean;
 }
--- a/packages/membership/src/Membership.ts
+++ b/packages/membership/src/Membership.ts
@@ -6,24 +6,24 @@
 import type { ReportMessage } from "./ReportMessage.js";
 import type { ReportView } from "./ReportView.js";
 
-/** Who is there, as one entry knows it. */
+/** The entries and samplers that one entry knows. */
 export interface Membership {
     start(): void;
     stop(): void;
-    /** Tells peers that this entry takes no new work. */
+    /** Announces to peers that this entry accepts no new work. */
     beginLeaving(): void;
-    /** Answers a peer's message, unchecked as it came. Rejects with `badRequest` if it is malformed. */
+    /** Validates and answers a peer's message. Rejects with `badRequest` if it is malformed. */
     receiveGossip(message: unknown): Promise<GossipMessage>;
-    /** Takes a sidecar's report, unchecked as it came. Throws `badRequest` if it is malformed. */
+    /** Validates and applies a sidecar's report. Throws `badRequest` if it is malformed. */
     receiveReport(message: unknown): ReportAnswer;
-    /** Takes a report that came beside an answer. */
+    /** Applies a report that arrived with a sidecar's answer. */
     acceptReport(report: ReportMessage["report"]): void;
-    /** Other entries, suspected ones too. */
+    /** Other entries, including suspected ones. */
     listEntries(): EntryView[];
-    /** Other entries neither suspected nor leaving. */
+    /** Other entries that are neither suspected nor leaving. */
     listPeers(): EntryTarget[];
     listReports(): ReportView[];
-    /** Evidence from a call to a sampler: whether a connection came about. */
+    /** Records whether a call to a sampler could connect. */
     recordSamplerContact(sampler: SamplerId, reached: boolean): void;
     /** True while this entry is among the few that watch the object API. */
     isRelay(): boolean;
--- a/packages/membership/src/MembershipDeps.ts
+++ b/packages/membership/src/MembershipDeps.ts
@@ -8,22 +8,22 @@
 import type { GossipMessage } from "./GossipMessage.js";
 import type { MembershipTiming } from "./MembershipTiming.js";
 
-/** What membership is built from. */
+/** Dependencies of `createMembership`. */
 export interface MembershipDeps {
     self: EntryRecord;
     clock: Clock;
     random: Random;
     logger: Logger;
     vmList: VmList;
-    /** Addresses of entries to ask first, beside those of the VM list. */
+    /** Addresses of entries to contact first, in addition to those of the VM list. */
     seeds: string[];
-    /** Sends a message to an entry and resolves with its answer; rejects if there is none. */
+    /** Sends a message to an entry and resolves with its answer; rejects without one. */
     exchange: (address: string, message: GossipMessage) => Promise<unknown>;
-    /** Documents newer than a sidecar's. */
+    /** Documents that are newer here than the versions in a sidecar's digest. */
     newerDocuments: (theirs: DocumentDigest) => DocumentTransfer[];
-    /** Names of the documents of `theirs` of which this entry has no version. */
+    /** Names of documents in `theirs` of which this entry has no version. */
     absentDocuments: (theirs: DocumentDigest) => string[];
-    /** Documents that a sidecar sent because they are absent here. */
+    /** Applies documents that a sidecar sent because this entry has none. */
     acceptDocuments: (documents: DocumentTransfer[]) => void;
     timing?: Partial<MembershipTiming>;
 }
--- a/packages/membership/src/MembershipTiming.ts
+++ b/packages/membership/src/MembershipTiming.ts
@@ -1,28 +1,28 @@
-/** Times and sizes of membership. None needs tuning; tests and benches vary them. */
+/** Intervals and limits of membership. Not operator settings; tests and benches override them. */
 export interface MembershipTiming {
     /** Time between two probes that an entry starts. */
     gossipIntervalMs: number;
     gossipTimeoutMs: number;
-    /** Changes in one message, beside the sender's and the receiver's own heartbeat. */
+    /** Changes in one message, in addition to the heartbeats of the sender and the receiver. */
     heartbeatsPerMessage: number;
     /** Full records in one message. */
     recordsPerMessage: number;
-    /** A silence shorter than this never suspects. */
+    /** A silence shorter than this never causes suspicion. */
     minSuspectMs: number;
-    /** A silence longer than this always does. */
+    /** A silence longer than this always causes suspicion. */
     maxSuspectMs: number;
-    /** At most this part of the subjects is suspected at once. */
+    /** Largest share of the subjects suspected at the same time. */
     maxSuspectedRatio: number;
-    /** Silent this long and absent from the VM list: forgotten. */
+    /** A subject that is silent for this long and absent from the VM list is removed. */
     forgetAfterMs: number;
     vmListIntervalMs: number;
-    /** Entries that a sidecar reports to. */
+    /** Number of entries that a sidecar reports to. */
     reportTargets: number;
     minReportIntervalMs: number;
     maxReportIntervalMs: number;
-    /** Bytes a second that an entry wants to spend on receiving reports; intervals grow to keep to it. */
+    /** Bandwidth budget of an entry for receiving reports; report intervals grow to stay within it. */
     reportBytesPerSecond: number;
     reportTimeoutMs: number;
-    /** Entries that watch the object API. */
+    /** Number of entries that watch the object API. */
     relayCount: number;
 }
--- a/packages/membership/src/RecordRow.ts
+++ b/packages/membership/src/RecordRow.ts
@@ -1,8 +1,8 @@
 import type { EntryRecord } from "@auburnarch/types/EntryRecord";
 
-/** The record of one run of an entry. */
+/** An entry's record together with the generation that published it. */
 export interface RecordRow {
     record: EntryRecord;
-    /** A record of an earlier generation is dropped: the entry may have come back under another address. */
+    /** Records of earlier generations are ignored: the entry may have restarted with another address. */
     generation: number;
 }
--- a/packages/membership/src/ReportAnswer.ts
+++ b/packages/membership/src/ReportAnswer.ts
@@ -3,14 +3,14 @@
 
 /** An entry's answer to a report. */
 export interface ReportAnswer {
-    /** Documents newer than the sidecar's. */
+    /** Documents that are newer than the sidecar's. */
     documents: DocumentTransfer[];
-    /** Documents that the entry has no version of; the next report is to bring them. */
+    /** Documents that the entry does not have; the sidecar sends them with its next report. */
     wanted?: string[];
-    /** When this entry wants the next report. */
+    /** Time until this entry expects the next report. */
     nextReportMs: number;
-    /** Other entries, while the sidecar knows few. */
+    /** Other entries, sent while the sidecar knows few. */
     entries: EntryTarget[];
-    /** True if the VM list says that the sidecar's VM is leaving. */
+    /** True if the VM list marks the sidecar's VM as leaving. */
     leaving: boolean;
 }
--- a/packages/membership/src/ReportMessage.ts
+++ b/packages/membership/src/ReportMessage.ts
@@ -5,10 +5,10 @@
 /** A sidecar's report to an entry. */
 export interface ReportMessage {
     report: SamplerReport;
-    /** Documents the sidecar follows, with the versions it holds. */
+    /** Documents that the sidecar follows, with the versions it has. */
     digest: DocumentDigest;
-    /** Entries it knows of; while these are few, the answer names more. */
+    /** Number of entries that the sidecar knows; while they are few, the answer names more. */
     knownEntries: number;
-    /** Documents that the entry's last answer asked for, whole. */
+    /** Full documents that the entry's last answer asked for. */
     documents?: DocumentTransfer[];
 }
--- a/packages/membership/src/Reporter.ts
+++ b/packages/membership/src/Reporter.ts
@@ -1,9 +1,9 @@
-/** Reports a sidecar to a few entries. */
+/** Sends a sidecar's reports to a few entries. */
 export interface Reporter {
     start(): void;
     stop(): void;
-    /** Reports at once, after a change of state. */
+    /** Reports immediately, after a change of state. */
     reportNow(): void;
-    /** Addresses reported to at present. */
+    /** Addresses of the entries currently reported to. */
     targets(): string[];
 }
--- a/packages/membership/src/ReporterDeps.ts
+++ b/packages/membership/src/ReporterDeps.ts
@@ -9,27 +9,27 @@
 import type { MembershipTiming } from "./MembershipTiming.js";
 import type { ReportMessage } from "./ReportMessage.js";
 
-/** What a reporter is built from. */
+/** Dependencies of `createReporter`. */
 export interface ReporterDeps {
     sampler: SamplerId;
     clock: Clock;
     random: Random;
     logger: Logger;
-    /** The report as of now, with a new sequence. */
+    /** Builds the current report, with a new sequence number. */
     report: () => SamplerReport;
-    /** Versions of the documents that the sidecar follows; 0 for one it lacks. */
+    /** Versions of the documents that the sidecar follows; 0 for one it does not have. */
     digest: () => DocumentDigest;
-    /** Those of the named documents that are held, whole. */
+    /** The named documents that this sidecar has, in full. */
     wholeDocuments: (names: string[]) => DocumentTransfer[];
-    /** Documents of an answer, to be taken if newer. */
+    /** Receives the documents of an answer, to be applied if newer. */
     onDocuments: (documents: DocumentTransfer[]) => void;
-    /** The VM list says that this VM is leaving. */
+    /** Called when the VM list marks this VM as leaving. */
     onLeaving: () => void;
-    /** Read at the start and while too few entries answer. */
+    /** Read at start and while too few entries answer. */
     vmList: VmList;
-    /** Entries beside those of the VM list. */
+    /** Addresses of entries in addition to those of the VM list. */
     seeds: string[];
-    /** Sends a report to an entry and resolves with its answer; rejects if there is none. */
+    /** Sends a report to an entry and resolves with its answer; rejects without one. */
     exchange: (address: string, message: ReportMessage) => Promise<unknown>;
     timing?: Partial<MembershipTiming>;
 }
--- a/packages/membership/src/chooseOverDomains.ts
+++ b/packages/membership/src/chooseOverDomains.ts
@@ -7,8 +7,8 @@
 }
 
 /**
- * The first `count` candidates for `key` by rendezvous hash, from as many failure domains as there are, so that
- * the loss of one domain leaves the others. `weights` keeps the hashes of one key between calls.
+ * Chooses `count` candidates for `key` by rendezvous hash, spread over as many failure domains as possible, so that
+ * the loss of one domain leaves the others. `weights` caches the hashes of one key between calls.
  */
 export function chooseOverDomains<T extends Candidate>(
     key: string,
--- a/packages/membership/src/createAwakeTime.ts
+++ b/packages/membership/src/createAwakeTime.ts
@@ -1,20 +1,20 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
-/** Time in which a process was able to hear others. */
+/** Running time of a process, without the time in which it was paused. */
 interface AwakeTime {
-    /** To be called regularly, every `tickMs` or so. */
+    /** Must be called about every `tickMs`. */
     tick(): void;
     nowMs(): number;
-    /** Stretches so far in which the process stood still. */
+    /** Number of pauses of the process so far. */
     pauses(): number;
 }
 
-/** A tick this many times late means that the process stood still in between. */
+/** A gap between ticks of more than this many intervals counts as a pause of the process. */
 const lateFactor = 3;
 
 /**
- * Counts monotonic time without the stretches in which this process stood still (paused VM, long collection).
- * Without this, a process that wakes finds everybody silent for as long as it slept and suspects them all.
+ * Counts monotonic time, excluding pauses of this process (paused VM, long garbage collection). Otherwise a resumed
+ * process would count its own pause as silence of every other process and suspect them all.
  */
 export function createAwakeTime(clock: Clock, tickMs: number): AwakeTime {
     const limitMs = tickMs * lateFactor;
--- a/packages/membership/src/createBroadcastQueue.ts
+++ b/packages/membership/src/createBroadcastQueue.ts
@@ -1,17 +1,17 @@
 import type { EntryId } from "@auburnarch/types/EntryId";
 
-/** Changes that are still to be told. */
+/** Changes that still have to be gossiped. */
 interface BroadcastQueue {
-    /** Tells of an entry from now on, among `known` entries. */
+    /** Queues an entry's change for gossip among `known` entries. */
     enqueue(entry: EntryId, known: number): void;
-    /** The next ones to tell, those told least so far first. */
+    /** Takes the next entries to gossip, those with the most transmissions left first. */
     next(count: number): EntryId[];
 }
 
-/** Tellings beyond one for each doubling of the entries; few enough miss a change for the repair to reach them. */
+/** Transmissions beyond log2 of the entry count; random repair reaches the few entries that still miss a change. */
 const extraTransmissions = 2;
 
-/** Makes the list of changes to tell. */
+/** Creates the queue of changes to gossip, each sent a limited number of times. */
 export function createBroadcastQueue(): BroadcastQueue {
     const transmissionsLeft = new Map<EntryId, number>();
     return {
--- a/packages/membership/src/createEntryDirectory.ts
+++ b/packages/membership/src/createEntryDirectory.ts
@@ -1,14 +1,14 @@
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { EntryTarget } from "./EntryTarget.js";
 
-/** Entries that a sidecar knows, and which of them fail. */
+/** Entries that a sidecar knows, with their recent failures. */
 interface EntryDirectory {
     add(targets: EntryTarget[]): void;
     recordSuccess(address: string): void;
     recordFailure(address: string): void;
-    /** Those not to be left alone after a failure; all of them where none is left. */
+    /** Entries that are not backing off after a failure; all entries if every one is. */
     listUsable(): EntryTarget[];
-    /** How many are usable; 0 where all fail. */
+    /** Number of entries that are not backing off; 0 if all are. */
     countUsable(): number;
 }
 
@@ -24,7 +24,7 @@
 const maxEntries = 512;
 const unknownDomain = "" as FailureDomain;
 
-/** Makes a sidecar's directory of entries. Seeds have no known failure domain until an answer names them. */
+/** Creates a sidecar's directory of entries. A seed's failure domain is unknown until an answer names it. */
 export function createEntryDirectory(nowMs: () => number, seeds: string[]): EntryDirectory {
     const rows = new Map<string, Row>();
 
--- a/packages/membership/src/createEntryRegistry.ts
+++ b/packages/membership/src/createEntryRegistry.ts
@@ -17,7 +17,7 @@
     suspicionChangedAtMs: number;
 }
 
-/** Evidence younger than this outweighs a suspicion with a lower counter: that one was on its way meanwhile. */
+/** A sign of life younger than this outweighs a suspicion with a lower counter, which may have been delayed. */
 const freshEvidenceMs = 3_000;
 
 const isNewer = (beat: Heartbeat, known: Heartbeat): boolean =>
@@ -46,7 +46,7 @@
     });
 }
 
-/** Makes the book of entries. */
+/** Creates the registry of other entries. */
 export function createEntryRegistry(
     nowMs: () => number,
     timing: MembershipTiming,
@@ -116,7 +116,7 @@
             setHeartbeat(row, { ...row.beat, suspected: true });
         }
         else {
-            // It has shown life since: tell so, before the suspicion goes round.
+            // The entry has shown life since; gossip that before the suspicion spreads.
             announce(row);
         }
     }
--- a/packages/membership/src/createFailureDetector.test.ts
+++ b/packages/membership/src/createFailureDetector.test.ts
@@ -23,7 +23,7 @@
     return { clock, detector, hear, suspected };
 }
 
-test("a subject that falls silent while the others go on is suspected within seconds, and trusted on return", async () => {
+test("a subject that falls silent alone is suspected within seconds and trusted again when it returns", async () => {
     const { hear, suspected } = await build();
     await hear(4, subjects.slice(1));
     expect(suspected()).toEqual([]);
@@ -33,8 +33,8 @@
     expect(suspected()).toEqual([]);
 });
 
-test("a process that was paused suspects nobody", async () => {
-    // Guards against: after a pause of minutes all samplers are ejected at once and every request is refused.
+test("a process that was paused suspects no subject", async () => {
+    // Guards against suspecting all samplers, and refusing every request, after the process was paused for minutes.
     const { clock, suspected, hear } = await build();
     await clock.advance(300_000);
     expect(suspected()).toEqual([]);
@@ -42,14 +42,14 @@
     expect(suspected()).toEqual([]);
 });
 
-test("when most fall silent at once, silence suspects nobody", async () => {
-    // Guards against: a failed switch port of this entry makes it eject the whole fleet.
+test("silence suspects no subject when most subjects fall silent at once", async () => {
+    // Guards against an entry suspecting the whole fleet because its own network link failed.
     const { hear, suspected } = await build();
     await hear(60, subjects.slice(0, 2));
     expect(suspected()).toEqual([]);
 });
 
-test("failed connections suspect at most half, the longest silent first", async () => {
+test("failed connections suspect at most half of the subjects, the longest silent first", async () => {
     const { hear, detector, suspected } = await build();
     await hear(2, subjects.slice(0, 7));
     subjects.forEach(name => [1, 2].forEach(() => detector.recordFailedConnection(name)));
@@ -57,7 +57,7 @@
     expect(suspected()).toEqual(expect.arrayContaining(subjects.slice(7)));
 });
 
-test("a slow link that always answers late is not suspected", async () => {
+test("a subject whose signs of life always arrive late is not suspected", async () => {
     const { hear, detector, suspected, clock } = await build();
     for (let round = 0; round < 12; round++) {
         await hear(6, subjects.slice(1));
@@ -68,7 +68,7 @@
     expect(suspected()).toEqual([]);
 });
 
-test("a rack with two of ten subjects is suspected whole", async () => {
+test("two of ten subjects that fall silent together are both suspected", async () => {
     const { hear, suspected } = await build();
     await hear(10, subjects.slice(2));
     expect(suspected()).toEqual(["sampler-0", "sampler-1"]);
--- a/packages/membership/src/createFailureDetector.ts
+++ b/packages/membership/src/createFailureDetector.ts
@@ -3,29 +3,29 @@
 
 interface Subject {
     lastAliveAtMs: number;
-    /** Mean gap between two signs of life, and mean deviation from it. */
+    /** Running mean of the gap between two signs of life, and of the deviation from it. */
     meanGapMs: number;
     deviationMs: number;
     expectedGapMs: number;
     failedConnections: number;
 }
 
-/** Weight of a new gap in the running means. */
+/** Weight of the latest gap in the running means. */
 const gapWeight = 0.2;
-/** Deviations above the mean after which a silence is no longer ordinary. */
+/** Mean deviations above the usual gap that a silence may last without suspicion. */
 const deviationsAllowed = 4;
 const gapsAllowed = 3;
-/** Failed connections since the last sign of life that count as proof without waiting for the silence. */
+/** Failed connections since the last sign of life that cause suspicion regardless of the silence. */
 const failedConnectionsToSuspect = 2;
 
 type Verdict = ReturnType<FailureDetector["judge"]> extends ReadonlyMap<string, infer V> ? V : never;
 
 /**
- * Makes a failure detector that learns each subject's usual gaps.
+ * Creates a failure detector that learns the usual gap between signs of life of each subject.
  *
- * If more than `maxSuspectedRatio` of the subjects fell silent, it is far likelier that this process is cut off
- * than that they all died; suspecting them would leave nobody to work with. Then silence alone suspects nobody,
- * and failed connections suspect only up to that ratio, the longest silent first.
+ * If more than `maxSuspectedRatio` of the subjects fall silent, this process is more likely disconnected than all of
+ * them are down, and suspecting them would leave no subject to work with. In that case silence alone suspects no
+ * subject, and failed connections suspect only up to that ratio, starting with the longest silent.
  */
 export function createFailureDetector(nowMs: () => number, timing: MembershipTiming): FailureDetector {
     const subjects = new Map<string, Subject>();
--- a/packages/membership/src/createForgottenEntries.ts
+++ b/packages/membership/src/createForgottenEntries.ts
@@ -1,18 +1,18 @@
 import type { EntryId } from "@auburnarch/types/EntryId";
 import type { Heartbeat } from "./Heartbeat.js";
 
-/** Last heartbeats of entries that were forgotten. */
+/** Last heartbeats of entries that were removed from the registry. */
 interface ForgottenEntries {
     add(beat: Heartbeat): void;
-    /** Its last heartbeat, while it is remembered. */
+    /** Last heartbeat of a removed entry, until it is pruned. */
     lastHeartbeat(entry: EntryId): Heartbeat | undefined;
     remove(entry: EntryId): void;
     prune(): void;
 }
 
 /**
- * Makes the memory of forgotten entries, kept for `keptMs`. Without it, the gossip of a peer that has not forgotten
- * yet would bring a dead entry back as a new one.
+ * Creates the list of removed entries, each kept for `retentionMs`. Without it, gossip from a peer that still has a
+ * crashed entry would add it again as a new one.
  */
 export function createForgottenEntries(nowMs: () => number, retentionMs: number): ForgottenEntries {
     const forgotten = new Map<EntryId, { beat: Heartbeat; atMs: number; }>();
--- a/packages/membership/src/createGossip.ts
+++ b/packages/membership/src/createGossip.ts
@@ -14,24 +14,24 @@
 import type { MembershipDeps } from "./MembershipDeps.js";
 import type { MembershipTiming } from "./MembershipTiming.js";
 
-/** Part of the probes that go to a suspected entry, so that two halves find each other again after a cut. */
+/** Share of probes sent to suspected entries, so that two partitions find each other again once reconnected. */
 const suspectedProbeRatio = 0.1;
-/** Part of the probes that go to an address of the VM list or the seeds whose entry is not known yet. */
+/** Share of probes sent to addresses of the VM list or the seeds whose entry is not known yet. */
 const undiscoveredProbeRatio = 0.5;
-/** Entries asked to probe one that did not answer: a broken link between two must not look like a death. */
+/** Entries asked to probe one that did not answer, so that one broken link does not look like a crash. */
 const indirectProbes = 2;
-/** A helper needs its own timeout on top of the way there and back. */
+/** An indirect probe takes the helper's own probe timeout in addition to the round trip to the helper. */
 const indirectProbeTimeoutFactor = 2.5;
-/** With fewer peers than these, failing probes say nothing about which side is at fault. */
+/** With fewer peers, failing probes do not show which side is at fault. */
 const minPeersForHealth = 4;
 
-/** Where a probe goes; the entry is not known for an address that only the VM list names. */
+/** Target of a probe; the entry is unknown for an address that only the VM list or the seeds name. */
 interface Target {
     address: string;
     entry: EntryId | undefined;
 }
 
-/** Makes the probing of entries. Messages are of bounded size whatever the number of entries. */
+/** Creates the probing of entries. Message size is bounded regardless of the number of entries. */
 export function createGossip(
     deps: Pick<MembershipDeps, "self" | "clock" | "random" | "logger" | "exchange">,
     registry: EntryRegistry,
@@ -75,7 +75,7 @@
         return outcome?.answer;
     }
 
-    /** One exchange, with a second where a record is owed on either side; true if answered. */
+    /** Runs one exchange, and a second one if either side lacks records; true if answered. */
     async function probe(target: Target): Promise<boolean> {
         const answer = await send(target.address, buildMessage(target.entry, []));
         if (answer === undefined) {
--- a/packages/membership/src/createGossipMessages.ts
+++ b/packages/membership/src/createGossipMessages.ts
@@ -7,14 +7,14 @@
 import type { MembershipTiming } from "./MembershipTiming.js";
 import type { RecordRow } from "./RecordRow.js";
 
-/** Builds and takes the messages between entries. */
+/** Builds and applies the messages between entries. */
 interface GossipMessages {
     applyMessage(message: GossipMessage): void;
     buildMessage(to: EntryId | undefined, wanted: EntryId[]): GossipMessage;
     recordsFor(wanted: EntryId[]): RecordRow[];
 }
 
-/** Makes the building and taking of messages; `own` is this entry's heartbeat. */
+/** Creates the builder of gossip messages; `ownHeartbeat` is the heartbeat of this entry. */
 export function createGossipMessages(
     deps: Pick<MembershipDeps, "self" | "random" | "logger">,
     ownHeartbeat: Heartbeat,
@@ -24,8 +24,8 @@
     const { self } = deps;
 
     /**
-     * Another run of this entry is known with a higher generation: the wall clock went back between the two.
-     * Peers would drop all our heartbeats as old and take us for dead.
+     * Raises the own generation above that of an earlier run, which is higher if the wall clock was set back between
+     * the two. Otherwise peers would drop all heartbeats of this run as outdated and suspect this entry.
      */
     function raiseGeneration(beat: Heartbeat): void {
         const isAhead = beat.generation > ownHeartbeat.generation
@@ -57,9 +57,9 @@
     }
 
     function buildMessage(to: EntryId | undefined, wanted: EntryId[]): GossipMessage {
-        // The receiver's own beat goes along, so that it can raise its generation over an earlier run of itself.
+        // Includes the receiver's own heartbeat, so that it can raise its generation above an earlier run.
         const receiver = to === undefined ? undefined : registry.beat(to);
-        // A row at random repairs what the news missed.
+        // A random heartbeat repairs changes that the broadcasts did not deliver.
         const repair = drawOne(registry.beats(), deps.random);
         const beats = new Map<EntryId, Heartbeat>();
         for (
--- a/packages/membership/src/createMembership.test.ts
+++ b/packages/membership/src/createMembership.test.ts
@@ -41,7 +41,7 @@
     const clock = createFakeClock();
     const random = createRandom(5);
     const nodes = new Map<string, Membership>();
-    /** Timers of entries that stand still, run when these go on. */
+    /** Timers of paused entries, run when the entries resume. */
     const pausedTimers = new Map<number, (() => void)[]>();
     const createPausableClock = (at: number): Clock => {
         const startTimer: Clock["startTimer"] = (delayMs, run) =>
@@ -76,7 +76,7 @@
                 await clock.sleep(1);
                 const target = nodes.get(address);
                 if (pausedTimers.has(Number(address.split(".")[3]!.split(":")[0]))) {
-                    // A process that stands still takes messages and answers none.
+                    // A paused process accepts messages and answers none.
                     return new Promise(() => undefined);
                 }
                 if (target === undefined || !net.connected(at, address)) {
@@ -104,7 +104,7 @@
     return { clock, nodes, net, vms, start, all, kill, pause, everybodyKnows };
 }
 
-test("entries find each other from the VM list and choose the same relays, in different failure domains", async () => {
+test("entries discover each other from the VM list and choose the same relays in different failure domains", async () => {
     const fleet = build(24);
     expect(await fleet.clock.runUntil(fleet.everybodyKnows(24), 30_000)).toBe(true);
     const relays = fleet.all.flatMap((node, at) => node.isRelay() ? [recordOf(at, 1).failureDomain] : []);
@@ -112,14 +112,14 @@
     expect(new Set(relays).size).toBe(3);
 });
 
-test("each region has relays of its own", async () => {
+test("each region has its own relays", async () => {
     const fleet = build(24, 2);
     expect(await fleet.clock.runUntil(fleet.everybodyKnows(24), 30_000)).toBe(true);
     const regions = fleet.all.flatMap((node, at) => node.isRelay() ? [recordOf(at, 2).region] : []);
     expect(regions.sort()).toEqual(["region-0", "region-0", "region-1", "region-1"]);
 });
 
-test("dead entries are suspected everywhere although the VM list still calls them live", async () => {
+test("crashed entries are suspected everywhere although the VM list still shows them as live", async () => {
     const fleet = build(12);
     await fleet.clock.advance(30_000);
     fleet.kill(3);
@@ -127,7 +127,7 @@
     expect(await fleet.clock.runUntil(fleet.everybodyKnows(10), 60_000)).toBe(true);
 });
 
-test("a failure domain that dies at once is dropped whole, and the rest go on", async () => {
+test("all entries of a crashed failure domain are suspected, and the others continue", async () => {
     const fleet = build(24);
     await fleet.clock.advance(30_000);
     const doomed = Array.from({ length: 24 }, (_, at) => at).filter(at => at % 3 === 0);
@@ -136,8 +136,8 @@
     expect([...fleet.nodes.values()].filter(node => node.isRelay()).length).toBeGreaterThanOrEqual(2);
 });
 
-test("entries restarted one after the other all know each other at the end", async () => {
-    // Guards against: after a rolling restart some entries are taken for dead although they answer.
+test("all entries know each other after a rolling restart", async () => {
+    // Guards against entries that answer but stay suspected after a rolling restart.
     const fleet = build(12);
     await fleet.clock.advance(20_000);
     for (let at = 0; at < 12; at++) {
@@ -149,8 +149,8 @@
     expect(await fleet.clock.runUntil(fleet.everybodyKnows(12), 60_000)).toBe(true);
 });
 
-test("an entry that is alive stays known although the VM list has lost it", async () => {
-    // Guards against: a working entry gets no reports and no documents.
+test("a live entry stays known although the VM list no longer contains it", async () => {
+    // Guards against a working entry that gets no reports and no documents.
     const fleet = build(6);
     await fleet.clock.advance(20_000);
     fleet.vms.list = fleet.vms.list.slice(1);
@@ -158,8 +158,8 @@
     expect(fleet.everybodyKnows(6)()).toBe(true);
 });
 
-test("a link that works one way only makes nobody a suspect", async () => {
-    // Guards against: entry 0 is ejected by some and trusted by others, in turns.
+test("a link that works in one direction only does not cause suspicion", async () => {
+    // Guards against entry 0 being alternately suspected and trusted by its peers.
     const fleet = build(12);
     await fleet.clock.advance(20_000);
     fleet.net.connected = (from, to) => !(from === 0 && to === recordOf(1, 1).address);
@@ -170,7 +170,7 @@
     }
 });
 
-test("two regions cut off from each other go on, and know each other again after the cut", async () => {
+test("two partitioned regions continue and know each other again after the partition", async () => {
     const fleet = build(12, 2);
     await fleet.clock.advance(30_000);
     fleet.net.connected = (from, to) => from % 2 === Number(to.split(".")[3]!.split(":")[0]) % 2;
@@ -182,8 +182,8 @@
     expect(await fleet.clock.runUntil(fleet.everybodyKnows(12), 120_000)).toBe(true);
 });
 
-test("an entry restarted with its wall clock set back is known again", async () => {
-    // Guards against: a restarted entry is taken for dead although it answers.
+test("an entry that restarts with its wall clock set back is trusted again", async () => {
+    // Guards against a restarted entry that stays suspected although it answers.
     const fleet = build(6);
     await fleet.clock.advance(20_000);
     fleet.kill(2);
@@ -192,8 +192,8 @@
     expect(await fleet.clock.runUntil(fleet.everybodyKnows(6), 60_000)).toBe(true);
 });
 
-test("an entry that comes back under another address is reached there", async () => {
-    // Guards against: reports and documents go to an address where nobody listens any more.
+test("an entry that restarts with another address is reached at the new address", async () => {
+    // Guards against reports and documents sent to an address that is no longer in use.
     const fleet = build(8);
     await fleet.clock.advance(20_000);
     fleet.kill(2);
@@ -206,8 +206,8 @@
     expect(await fleet.clock.runUntil(known, 60_000)).toBe(true);
 });
 
-test("an entry that was paused for minutes accuses nobody when it wakes, and is trusted again", async () => {
-    // Guards against: after one VM stood still, the fleet takes healthy entries for dead.
+test("an entry that was paused for minutes suspects no other entry and is trusted again", async () => {
+    // Guards against the fleet suspecting healthy entries after one VM was paused.
     const fleet = build(12);
     await fleet.clock.advance(20_000);
     const suspicionsOfOthers = (): number =>
@@ -253,7 +253,7 @@
     knownEntries: 1,
 });
 
-test("reports that were overtaken, or of a dead incarnation, do not replace newer ones", async () => {
+test("reports that arrive out of order or from an earlier incarnation do not replace newer ones", async () => {
     const [node] = build(1).all as [Membership];
     const running = (): number | undefined => node.listReports()[0]?.report.running;
     node.receiveReport(reportOf("s1", 2, { running: 2 }));
@@ -265,7 +265,7 @@
     expect(running()).toBe(7);
 });
 
-test("a VM that the list calls leaving is excluded at once, and its sidecar is told", async () => {
+test("a sampler whose VM is listed as leaving is reported as leaving, and its sidecar is notified", async () => {
     const fleet = build(2);
     const [node] = fleet.all as [Membership, Membership];
     await fleet.clock.advance(1_000);
@@ -282,7 +282,7 @@
     expect(node.receiveReport(reportOf("s1", 2)).leaving).toBe(true);
 });
 
-test("the interval between reports grows with their number", () => {
+test("the interval between reports grows with the number of reporters", () => {
     const [node] = build(1).all as [Membership];
     const intervals = [1, 10, 30, 200].map(count => {
         for (let at = 0; at < count; at++) {
@@ -295,7 +295,7 @@
     expect(intervals[3]).toBe(12_000);
 });
 
-test("malformed messages are refused with badRequest and change nothing", async () => {
+test("malformed messages are rejected with badRequest and change nothing", async () => {
     const [node] = build(1).all as [Membership];
     expect(() => node.receiveReport({ report: {} })).toThrow("badRequest");
     expect(() => node.receiveReport(reportOf("s1", -1))).toThrow("badRequest");
--- a/packages/membership/src/createMembership.ts
+++ b/packages/membership/src/createMembership.ts
@@ -20,15 +20,15 @@
 
 const relayKey = "relay";
 const usableCacheMs = 1_000;
-/** Relays of each region, however many regions there are: one may die while the other goes on. */
+/** Minimum of relays per region for any number of regions: one may crash while the other continues. */
 const minRelaysPerRegion = 2;
-/** A sidecar that knows fewer entries than this many times its targets is told of more. */
+/** A sidecar that knows fewer entries than this multiple of its targets is sent more. */
 const enoughEntriesFactor = 4;
 const entriesPerAnswer = 4;
-/** Part of the answers that name an entry all the same, so that new entries become known. */
+/** Share of the other answers that name an entry too, so that sidecars learn of new entries. */
 const unsolicitedEntryRatio = 0.1;
 
-/** Makes the membership of an entry: heartbeats with other entries, reports of sidecars, the VM list. */
+/** Creates the membership of an entry from gossip between entries, sidecar reports and the VM list. */
 export function createMembership(deps: MembershipDeps): Membership {
     const timing: MembershipTiming = { ...defaultMembershipTiming, ...deps.timing };
     const { self, clock, random, logger } = deps;
@@ -45,7 +45,7 @@
             awake.tick();
             entries.prune(record => vmView.isListed(record.vm));
             reports.prune(report => vmView.isListed(report.vm));
-            // Not awaited: a slow peer does not delay the heartbeat.
+            // Not awaited, so that a slow peer does not delay the next probe.
             void gossip.probeOnce(() => [...deps.seeds, ...vmView.listEntryAddresses()]);
             await clock.sleep(timing.gossipIntervalMs * (0.8 + 0.4 * random.nextUnit()), stopped.signal);
         }
@@ -60,7 +60,7 @@
 
     let usableCache: { views: EntryView[]; revision: number; untilMs: number; } | undefined;
 
-    /** Entries neither suspected nor leaving; kept for a moment, since every message asks for them. */
+    /** Entries neither suspected nor leaving; cached for a second, since every message needs them. */
     function listUsable(): EntryView[] {
         const nowMs = clock.monotonicMs();
         if (
@@ -83,7 +83,7 @@
         const regions = new Set([self, ...records].map(record => record.region)).size;
         const count = Math.max(minRelaysPerRegion, Math.ceil(timing.relayCount / regions));
         const sameRegion = records.filter(record => record.region === self.region);
-        // Each region has relays of its own, so that one that is cut off needs no election to go on.
+        // Each region has its own relays, so that a disconnected region continues without an election.
         const chosen = chooseOverDomains(`${relayKey}/${self.region}`, [self, ...sameRegion], count);
         return chosen.includes(self);
     }
@@ -91,7 +91,7 @@
     let relayStatus: { isRelay: boolean; among: string; } | undefined;
 
     function isRelay(): boolean {
-        // Hashing all entries at each question would cost more than all the rest.
+        // Hashing all entries on each call would dominate the cost; recompute only if the peers changed.
         const among = listUsable().map(view => view.record.address).join(" ");
         if (relayStatus?.among !== among) {
             const before = relayStatus?.isRelay ?? false;
--- a/packages/membership/src/createProbeHealth.ts
+++ b/packages/membership/src/createProbeHealth.ts
@@ -1,4 +1,4 @@
-/** Whether this process's own probes mostly fail. */
+/** Tracks whether most of this process's own probes fail. */
 interface ProbeHealth {
     record(answered: boolean): void;
     isPoor(): boolean;
@@ -8,8 +8,8 @@
 const minFailuresForPoor = 6;
 
 /**
- * Makes the memory of a process's last probes. Where nearly all fail, the fault is most likely on this side (cut
- * off, overloaded, paused); it then accuses nobody.
+ * Creates the record of a process's latest probes. If nearly all of them fail, the fault is most likely on this side
+ * (disconnected, overloaded, paused), and the process must not suspect others.
  */
 export function createProbeHealth(): ProbeHealth {
     const outcomes: boolean[] = [];
--- a/packages/membership/src/createReportPacer.ts
+++ b/packages/membership/src/createReportPacer.ts
@@ -1,18 +1,18 @@
 import type { MembershipTiming } from "./MembershipTiming.js";
 
-/** Tells sidecars how often to report. */
+/** Decides how often sidecars report. */
 interface ReportPacer {
-    /** Sees a report; every so many are measured. */
+    /** Counts a report and measures the size of every `reportsPerMeasurement`-th one. */
     measure(message: unknown): void;
     intervalMs(reporters: number): number;
 }
 
 const initialReportBytes = 800;
-/** Headers of request and answer, and the answer itself. */
+/** Headers of request and answer, plus the answer body. */
 const envelopeBytes = 500;
 const reportsPerMeasurement = 32;
 
-/** Makes the pacing of reports: a second for a few reporters, longer for many, so that their bytes stay bounded. */
+/** Creates the pacing of reports: the interval grows with the number of reporters, to bound the bandwidth. */
 export function createReportPacer(timing: MembershipTiming): ReportPacer {
     let seen = 0;
     let messageBytes = initialReportBytes;
--- a/packages/membership/src/createReportRegistry.ts
+++ b/packages/membership/src/createReportRegistry.ts
@@ -6,20 +6,20 @@
 import type { MembershipTiming } from "./MembershipTiming.js";
 import type { ReportView } from "./ReportView.js";
 
-/** Newest report of each sampler. */
+/** Latest report of each sampler. */
 interface ReportRegistry {
-    /** Takes a report if it is newer; the next is expected within about `expectedGapMs`. */
+    /** Applies a report if it is newer; the next one is expected within about `expectedGapMs`. */
     accept(report: SamplerReport, expectedGapMs: number): boolean;
     recordContact(sampler: SamplerId, reached: boolean): void;
     list(): ReportView[];
-    /** Drops samplers that are silent for long and that `isListed` does not know. */
+    /** Removes samplers that have been silent for `forgetAfterMs` and are not `isListed`. */
     prune(isListed: (report: SamplerReport) => boolean): void;
     size(): number;
 }
 
 interface Row {
     report: SamplerReport;
-    /** Highest sequence of this and the last few incarnations. */
+    /** Highest sequence number of the current and the last few incarnations. */
     sequences: Map<IncarnationId, number>;
     suspected: boolean;
 }
@@ -27,8 +27,8 @@
 const maxIncarnations = 4;
 
 /**
- * Makes the book of reports. A report counts only if its sequence is the highest seen of its incarnation: one that
- * was overtaken on the way, or that a dead incarnation sent, would otherwise replace newer knowledge.
+ * Creates the registry of reports. A report is applied only if its sequence number is the highest of its incarnation.
+ * Otherwise one that arrives out of order, or from an earlier incarnation, would replace newer data.
  */
 export function createReportRegistry(
     nowMs: () => number,
--- a/packages/membership/src/createReporter.test.ts
+++ b/packages/membership/src/createReporter.test.ts
@@ -69,7 +69,7 @@
 
 const okAnswer = { documents: [], nextReportMs: 1_000, entries: [], leaving: false };
 
-test("an entry that has no version of a document gets the one held here with the next report, at once", async () => {
+test("an entry that lacks a document gets it with an immediate next report", async () => {
     const brought: unknown[] = [];
     const { clock, reporter } = build((_address, message) => {
         brought.push(...message.documents ?? []);
@@ -81,7 +81,7 @@
     expect(brought).toContainEqual({ kind: "whole", name: "manifest", version: 3, value: "good" });
 });
 
-test("reports go to three entries in three failure domains, about once a second", async () => {
+test("reports go to three entries in three failure domains about once a second", async () => {
     const { clock, reporter, state } = build(() => Promise.resolve(okAnswer));
     reporter.start();
     await clock.advance(10_000);
@@ -95,7 +95,7 @@
 });
 
 test("reports are spread evenly over the interval", async () => {
-    // Guards against: a change of configuration reaches some sidecars only after a whole interval.
+    // Guards against configuration changes that reach some sidecars only after a whole interval.
     const intervalOf = (address: string): number => 8_600 + 200 * Number(address.at(-3));
     const { clock, reporter, state } = build(address =>
         Promise.resolve({ ...okAnswer, nextReportMs: intervalOf(address) })
@@ -109,8 +109,8 @@
     expect(Math.max(...gapsMs)).toBeLessThan(4_100);
 });
 
-test("an entry that fails is replaced by the next in order at once", async () => {
-    // Guards against: an entry's VM is gone and the sampler is known to two entries only.
+test("a failing entry is replaced immediately by the next in hash order", async () => {
+    // Guards against a sampler known to only two entries after the VM of the third was removed.
     const down = new Set<string>();
     const { clock, reporter } = build(address =>
         down.has(address) ? Promise.reject(new Error("refused")) : Promise.resolve(okAnswer)
@@ -127,8 +127,8 @@
     expect(second).toEqual(expect.arrayContaining(first.slice(1)));
 });
 
-test("a change of state while a report is under way is reported right after it", async () => {
-    // Guards against: entries send work to a sampler that began to swap, until its next regular report.
+test("a change of state while a report is in flight is reported right after it", async () => {
+    // Guards against entries sending work to a swapping sampler until its next regular report.
     let answer: ((value: unknown) => void) | undefined;
     const { clock, reporter, state, reported } = build(() => new Promise(resolve => answer = resolve));
     reporter.start();
@@ -143,7 +143,7 @@
     reporter.stop();
 });
 
-test("a malformed answer counts as a failure and a leaving VM is noticed through the answer", async () => {
+test("a malformed answer counts as a failure, and an answer reports that the VM is leaving", async () => {
     const { clock, reporter, state } = build(address =>
         Promise.resolve(address.endsWith("1:1") ? { nonsense: true } : { ...okAnswer, leaving: true })
     );
@@ -153,8 +153,8 @@
     expect(state.leaving).toBeGreaterThan(0);
 });
 
-test("a sidecar that no entry answers learns from the VM list that its VM is leaving", async () => {
-    // Guards against: a leaving sampler cut off from its entries goes on taking work from others.
+test("a sidecar without any answering entry learns from the VM list that its VM is leaving", async () => {
+    // Guards against a leaving sampler, disconnected from its entries, that accepts work from other processes.
     const { clock, reporter, state, vms } = build(() => Promise.reject(new Error("refused")));
     reporter.start();
     await clock.advance(30_000);
@@ -165,8 +165,8 @@
     expect(state.leaving).toBeGreaterThan(0);
 });
 
-test("a fresh VM does not take its predecessor's mark for its own", async () => {
-    // Guards against: every sampler is out of work and its job stands still.
+test("a replacement VM does not take the leaving state of its predecessor for its own", async () => {
+    // Guards against all samplers treating themselves as leaving, which stalls their job.
     const { clock, reporter, state, vms } = build(() => Promise.reject(new Error("refused")));
     vms.push({ ...entryVms[0]!, ...ownRow, vm: "vm-former" as VmId });
     reporter.start();
--- a/packages/membership/src/createReporter.ts
+++ b/packages/membership/src/createReporter.ts
@@ -20,8 +20,8 @@
 const maxSleepMs = 1_000;
 
 /**
- * Makes the reporting of a sidecar to a few entries, chosen by rendezvous hash over failure domains. Each entry's
- * answer says when it wants the next report; a failing entry is replaced at once by the next in order.
+ * Creates the reporter of a sidecar. It reports to a few entries, chosen by rendezvous hash over failure domains.
+ * Each answer sets the time of the next report; a failing entry is replaced immediately by the next in hash order.
  */
 export function createReporter(deps: ReporterDeps): Reporter {
     const timing: MembershipTiming = { ...defaultMembershipTiming, ...deps.timing };
@@ -31,7 +31,7 @@
     const chooser = createTargetChooser(deps.sampler, timing.reportTargets, directory, clock);
     const dueAtMs = new Map<string, number>();
     const inFlight = new Set<string>();
-    /** Where in the interval this sidecar's second report lies, so that not all report at the same time. */
+    /** Phase of this sidecar's second report within the interval, so that sidecars do not report in unison. */
     const phase = deps.random.nextUnit();
     let vmListDueMs = 0;
     let lastAnswerAtMs = clock.monotonicMs();
@@ -83,7 +83,7 @@
             dueAtMs.set(address, nextReportAtMs(address, answer.nextReportMs));
         }
         else {
-            // A change came while the report was under way: the answer is to an older state.
+            // The state changed while the report was in flight, so the answer refers to an older state.
             void reportTo(address);
         }
         if (answer.documents.length > 0) {
@@ -95,8 +95,8 @@
     }
 
     /**
-     * The documents to ask for. One that is to come whole is asked of one entry at a time: at the start all
-     * entries chosen would send a manifest of some hundred kilobytes at once.
+     * The documents to request. A full document is requested from one entry at a time; otherwise all chosen entries
+     * would each send a manifest of some hundred kilobytes at start.
      */
     function digestToRequest(): DocumentDigest {
         const digest = deps.digest();
--- a/packages/membership/src/createTargetChooser.ts
+++ b/packages/membership/src/createTargetChooser.ts
@@ -6,15 +6,15 @@
 /** The entries that a sidecar reports to. */
 interface TargetChooser {
     choose(): EntryTarget[];
-    /** The directory has changed: choose anew. */
+    /** Discards the current choice after a change of the directory. */
     invalidate(): void;
 }
 
-/** How long a choice stands while nothing fails; hashing all entries each time would cost more. */
+/** How long a choice is cached while nothing fails, to avoid hashing all entries on each call. */
 const choiceCacheMs = 5_000;
 const maxWeights = 2_048;
 
-/** Makes the choice of `count` entries for `key` out of those that answer. */
+/** Creates the choice of `count` usable entries for `key`. */
 export function createTargetChooser(
     key: string,
     count: number,
@@ -25,7 +25,7 @@
     let chosen: { targets: EntryTarget[]; untilMs: number; } | undefined;
 
     function recomputeChoice(): EntryTarget[] {
-        // Addresses come and go for as long as the sidecar runs.
+        // Addresses keep changing while the sidecar runs, so the cache must be bounded.
         if (weights.size > maxWeights) {
             weights.clear();
         }
--- a/packages/membership/src/createVmView.ts
+++ b/packages/membership/src/createVmView.ts
@@ -5,7 +5,7 @@
 import type { VmList } from "@auburnarch/types/VmList";
 import type { VmRecord } from "@auburnarch/types/VmRecord";
 
-/** The VM list as last read. */
+/** The latest VM list that was read. */
 interface VmView {
     start(): void;
     stop(): void;
@@ -14,7 +14,7 @@
     isListed(vm: VmId): boolean;
 }
 
-/** Makes a reader of the VM list. While the list does not answer, the last one read stands. */
+/** Creates a reader of the VM list. While reads fail, the last list read stays valid. */
 export function createVmView(
     deps: { clock: Clock; logger: Logger; vmList: VmList; intervalMs: number; },
 ): VmView {
@@ -33,7 +33,7 @@
 
     async function run(): Promise<void> {
         while (!stopped.signal.aborted) {
-            // Not awaited: a read that hangs does not end the reading.
+            // Not awaited, so that a read that hangs does not stop the polling.
             void readOnce();
             await deps.clock.sleep(deps.intervalMs, stopped.signal);
         }
--- a/packages/membership/src/defaultMembershipTiming.ts
+++ b/packages/membership/src/defaultMembershipTiming.ts
@@ -1,6 +1,6 @@
 import type { MembershipTiming } from "./MembershipTiming.js";
 
-/** Times and sizes in use unless a test says otherwise. */
+/** Default intervals and limits of membership. */
 export const defaultMembershipTiming: MembershipTiming = {
     gossipIntervalMs: 1_000,
     gossipTimeoutMs: 1_500,
--- a/packages/membership/src/gossipMessageSchema.ts
+++ b/packages/membership/src/gossipMessageSchema.ts
@@ -17,7 +17,7 @@
     suspected: z.boolean().optional(),
 });
 
-/** Shape of a `GossipMessage` as it comes from another process. */
+/** Schema of a `GossipMessage` received from another process. */
 export const gossipMessageSchema = z.strictObject({
     from: name,
     beats: z.array(beat).max(maxRows),
--- a/packages/membership/src/limitSuspected.ts
+++ b/packages/membership/src/limitSuspected.ts
@@ -1,8 +1,9 @@
 import type { EntryView } from "./EntryView.js";
 
 /**
- * Takes back the suspicion of those heard last where more than `maxRatio` of all are suspected. If most others
- * seem dead, it is likelier that this process is cut off; with nobody left it could neither spread nor learn.
+ * Lifts the suspicion of the entries with the latest signs of life if more than `maxRatio` of all are suspected. If
+ * most others seem down, this process is more likely disconnected itself; without any peer it could neither send nor
+ * receive changes.
  */
 export function limitSuspected(views: EntryView[], maxRatio: number): EntryView[] {
     const allowed = Math.max(1, Math.floor(views.length * maxRatio));
--- a/packages/membership/src/planNextReportMs.ts
+++ b/packages/membership/src/planNextReportMs.ts
@@ -1,18 +1,18 @@
 interface ReportTiming {
     nowMs: number;
-    /** When reports to the other entries chosen are planned. */
+    /** Times of the planned reports to the other chosen entries. */
     plannedMs: number[];
-    /** Entries chosen, the one in question among them. */
+    /** Number of chosen entries, including this one. */
     targets: number;
-    /** What the entry asked for. */
+    /** Interval that the entry asked for. */
     intervalMs: number;
-    /** Where in the interval this sidecar's second report lies, 0 to 1, so that not all report at the same time. */
+    /** Phase of this sidecar's second report, 0 to 1, so that sidecars do not report in unison. */
     phase: number;
 }
 
 /**
- * When to report to an entry next: a part of the interval behind the last report planned. The reports to the entries
- * chosen are so spread evenly, and a new document comes that much sooner than at the end of an interval.
+ * Time of the next report to an entry: a fraction of the interval after the last planned report. This spaces the
+ * reports to the chosen entries evenly, so a new document arrives sooner than after a whole interval.
  */
 export function planNextReportMs(timing: ReportTiming): number {
     const { nowMs, plannedMs, targets, intervalMs, phase } = timing;
--- a/packages/membership/src/rankByRendezvous.ts
+++ b/packages/membership/src/rankByRendezvous.ts
@@ -2,7 +2,7 @@
 
 interface Ranked<T> {
     candidate: T;
-    /** Of equal length, so that comparing texts compares numbers. */
+    /** Hex digits of fixed length, so that string order equals numeric order. */
     weight: string;
 }
 
@@ -10,9 +10,9 @@
     createHash("sha256").update(`${key}\n${name}`).digest("hex");
 
 /**
- * Orders `candidates` by rendezvous hash for `key`, best first. All who know the same candidates agree; when one
- * comes or goes, only keys that had it among their first choices move. `weights` keeps the hashes of one key
- * between calls.
+ * Orders `candidates` by rendezvous hash for `key`, best first. All processes that know the same candidates agree.
+ * When a candidate is added or removed, only keys that rank it among their first choices move. `weights` caches the
+ * hashes of one key between calls.
  */
 export function rankByRendezvous<T>(
     key: string,
--- a/packages/membership/src/reportAnswerSchema.ts
+++ b/packages/membership/src/reportAnswerSchema.ts
@@ -3,7 +3,7 @@
 
 const maxRows = 256;
 
-/** Shape of a `ReportAnswer` as it comes from an entry. */
+/** Schema of a `ReportAnswer` received from an entry. */
 export const reportAnswerSchema = z.strictObject({
     documents: z.array(documentTransferSchema).max(maxRows),
     wanted: z.array(z.string().max(128)).max(maxRows).optional(),
--- a/packages/membership/src/reportMessageSchema.ts
+++ b/packages/membership/src/reportMessageSchema.ts
@@ -3,10 +3,10 @@
 import { z } from "zod";
 
 const version = z.int().min(0);
-/** A sidecar follows two. */
+/** A sidecar follows two documents. */
 const maxDocuments = 8;
 
-/** Shape of a `ReportMessage` as it comes from a sidecar, which may be of a later release. */
+/** Schema of a `ReportMessage` received from a sidecar, which may run a later release. */
 export const reportMessageSchema = z.object({
     report: samplerReportSchema,
     digest: z.record(z.string().max(128), version),
