--- a/packages/documents/src/DocumentFollower.ts
+++ b/packages/documents/src/DocumentFollower.ts
@@ -2,13 +2,13 @@
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import type { DocumentTransfer } from "./DocumentTransfer.js";
 
-/** The documents that a sidecar follows, as they come with the answers to its reports. */
+/** The documents that a sidecar follows, received with the answers to its reports. */
 export interface DocumentFollower {
-    /** What to ask for: the version held of each document, 0 where it is to come whole. */
+    /** Versions to report: the version this sidecar has of each document, 0 to request it in full. */
     digest(): DocumentDigest;
-    /** Takes what an entry sent, unchecked as it came; older and faulty ones are dropped. */
+    /** Validates and applies documents from an entry; older and invalid ones are dropped. */
     receive(transfers: unknown): void;
-    /** Those of the named documents that are held, for an entry that has none. */
+    /** The named documents that this sidecar has, in full, for an entry that has none. */
     wholeDocuments(names: string[]): DocumentTransfer[];
     get(name: string): SharedDocument | undefined;
 }
--- a/packages/documents/src/DocumentSet.ts
+++ b/packages/documents/src/DocumentSet.ts
@@ -2,18 +2,18 @@
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import type { DocumentTransfer } from "./DocumentTransfer.js";
 
-/** What came of an offered document. */
+/** Result of offering a document. */
 type ApplyResult = "taken" | "notNewer" | "refused" | "baseMissing";
 
-/** The documents of one process. */
+/** The shared documents that one process has. */
 export interface DocumentSet {
     get(name: string): SharedDocument | undefined;
     digest(): DocumentDigest;
     checksum(): string;
     apply(document: SharedDocument): ApplyResult;
     applyTransfer(transfer: DocumentTransfer): ApplyResult;
-    /** The document in the form that is shortest for a process that holds `baseVersion` of it. */
+    /** The document as a delta for a process that has `baseVersion`, or in full if no delta is possible. */
     transfer(name: string, baseVersion: number): DocumentTransfer | undefined;
-    /** Names whose version in `theirs` is higher and was not refused here, with the version held. */
+    /** Documents with a higher version in `theirs` that was not refused here, with the version this process has. */
     findOutdated(theirs: DocumentDigest): DocumentDigest;
 }
--- a/packages/documents/src/DocumentSyncDeps.ts
+++ b/packages/documents/src/DocumentSyncDeps.ts
@@ -10,22 +10,22 @@
 import type { PeerAddress } from "./PeerAddress.js";
 import type { SyncMessage } from "./SyncMessage.js";
 
-/** What spreading is built from. */
+/** Dependencies of `createDocumentSync`. */
 export interface DocumentSyncDeps {
     clock: Clock;
     random: Random;
     logger: Logger;
     invariants: Invariants;
     store: ObjectStore;
-    /** Whether the object API answered the latest call of this process; unknown by default. */
+    /** Whether the object API answered this process's latest call; unknown by default. */
     isStoreReachable?: () => boolean;
-    /** Entries believed alive, without this one. */
+    /** Other entries that are believed to be alive. */
     listPeers: () => PeerAddress[];
-    /** True while this process is one of the few that watch the object API. */
+    /** True while this process is one of the relays that watch the object API. */
     isRelay: () => boolean;
-    /** Sends a message to a peer and resolves with its answer; rejects if there is none. */
+    /** Sends a message to a peer and resolves with its answer; rejects without one. */
     exchange: (address: string, message: SyncMessage) => Promise<unknown>;
-    /** Faults of a document's value; a document with any is never taken. */
+    /** Faults of a document's value; a document with faults is never applied. */
     faultsOf: (document: SharedDocument) => ConfigFault[];
     guards?: DocumentSyncGuards;
     timing?: Partial<DocumentSyncTiming>;
--- a/packages/documents/src/DocumentSyncGuards.ts
+++ b/packages/documents/src/DocumentSyncGuards.ts
@@ -1,9 +1,9 @@
-/** Checks that the promises of this package rest on; replaceable so that a bench can show what they prevent. */
+/** Checks that the guarantees of this package depend on; a bench can replace them to show what they prevent. */
 export interface DocumentSyncGuards {
     /**
      * True if a document of version `offered` may replace one of version `held` (0: none). Messages arrive in any
-     * order and a replica of the object API may answer with old state; taking those would bring an old
-     * configuration back into force, seen as `status` showing a version that falls.
+     * order and a replica of the object API may return old state. Applying that would reactivate an old configuration,
+     * and `status` would show a decreasing version.
      */
     forwardOnly: (held: number, offered: number) => boolean;
 }
--- a/packages/documents/src/DocumentSyncTiming.ts
+++ b/packages/documents/src/DocumentSyncTiming.ts
@@ -1,15 +1,15 @@
-/** Times and sizes of spreading. None needs tuning; tests and benches vary them. */
+/** Intervals and limits of document synchronization. Not operator settings; tests and benches override them. */
 export interface DocumentSyncTiming {
-    /** Mean time between two exchanges that a process starts. */
+    /** Mean interval between exchanges that a process starts. */
     exchangeIntervalMs: number;
-    /** The same until the first exchange is answered: a process serves nothing before. */
+    /** The same until the first exchange is answered, before which the process serves no request. */
     startIntervalMs: number;
     exchangeTimeoutMs: number;
-    /** Changes within this time are sent on together. */
+    /** Changes within this time are pushed together. */
     pushDelayMs: number;
-    /** Peers that a fresh change is sent to at once. */
+    /** Number of peers that a new change is pushed to. */
     pushFanOut: number;
-    /** Length of one long poll at the object API. */
+    /** Duration of one long poll of the object API. */
     watchWaitMs: number;
     minBackoffMs: number;
     maxBackoffMs: number;
--- a/packages/documents/src/PeerAddress.ts
+++ b/packages/documents/src/PeerAddress.ts
@@ -1,6 +1,6 @@
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 
-/** Another entry, as far as spreading needs to know it. */
+/** Address of another entry, as needed for document synchronization. */
 export interface PeerAddress {
     address: string;
     failureDomain: FailureDomain;
--- a/packages/documents/src/SyncMessage.ts
+++ b/packages/documents/src/SyncMessage.ts
@@ -2,15 +2,15 @@
 import type { DocumentTransfer } from "./DocumentTransfer.js";
 
 /**
- * One message of an exchange, in either direction. With equal checksums both hold the same versions and nothing
- * more is said, so that the steady state costs the same whatever the number of documents.
+ * One message of an exchange, in either direction. With equal checksums both sides have the same versions and the
+ * exchange ends, so that the cost of the steady state does not depend on the number of documents.
  */
 export interface SyncMessage {
-    /** Hash over the names and versions held. */
+    /** Hash over the names and versions of the sender's documents. */
     checksum: string;
-    /** All versions held, sent once the checksums differ. */
+    /** All versions the sender has, sent once the checksums differ. */
     digest?: DocumentDigest;
     documents: DocumentTransfer[];
-    /** Documents asked for, with the version held (0 for none), from which a change may be sent. */
+    /** Requested documents, each with the version the sender has (0 for none) as the base of a delta. */
     wanted?: DocumentDigest;
 }
--- a/packages/documents/src/TextDelta.ts
+++ b/packages/documents/src/TextDelta.ts
@@ -1,4 +1,4 @@
-/** A text as a change of one stretch of an earlier text. `sha256` in hex of the result tells a wrong base. */
+/** Replaces one range of a base text. The hex `sha256` of the result detects a wrong base. */
 export interface TextDelta {
     startChars: number;
     removedChars: number;
--- a/packages/documents/src/answerMessage.ts
+++ b/packages/documents/src/answerMessage.ts
@@ -18,14 +18,14 @@
 const isEmpty = (digest: DocumentDigest): boolean => Object.keys(digest).length === 0;
 
 /**
- * Takes what a message brings and builds the message that follows. A digest is answered with what is newer here
- * and a request for what is newer there; a checksum that differs, with the digest.
+ * Applies the documents of a message and builds the answer. A digest is answered with the documents that are newer
+ * here and a request for those that are newer there; a different checksum is answered with the digest.
  */
 export function answerMessage(documents: DocumentSet, message: SyncMessage): SyncMessage {
     const wanted: DocumentDigest = {};
     for (const transfer of message.documents) {
         if (documents.applyTransfer(transfer) === "baseMissing") {
-            // The base is not held here: version 0 asks for the document whole.
+            // The base is missing here; version 0 requests the full document.
             wanted[transfer.name] = 0;
         }
     }
--- a/packages/documents/src/callWithTimeout.ts
+++ b/packages/documents/src/callWithTimeout.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
 /**
- * The answer of `call`, or undefined if it fails or takes longer than `limitMs`. A peer that takes a message and
- * never answers would otherwise hold its sender for ever.
+ * The answer of `call`, or undefined if it fails or takes longer than `limitMs`. Otherwise a peer that accepts a
+ * message and never answers would block the sender forever.
  */
 export function callWithTimeout<T>(
     clock: Clock,
--- a/packages/documents/src/createDocumentFollower.ts
+++ b/packages/documents/src/createDocumentFollower.ts
@@ -11,15 +11,15 @@
 const followedNames = ["manifest", "quarantine"];
 const transfersSchema = z.array(documentTransferSchema).max(followedNames.length);
 
-/** Makes a sidecar's set of documents; `onTaken` hears of each one taken. */
+/** Creates a sidecar's document follower; `onApplied` is called with each applied document. */
 export function createDocumentFollower(
     deps: Pick<DocumentSyncDeps, "invariants" | "logger" | "faultsOf" | "guards">,
     onApplied: (document: SharedDocument) => void,
 ): DocumentFollower {
     const documents = createDocumentSet(deps, deps.guards ?? defaultDocumentSyncGuards, onApplied);
-    /** Documents whose change did not fit what is held here: they are asked for whole. */
+    /** Documents whose delta had no matching base here; they are requested in full. */
     const wholeRequested = new Set<string>();
-    /** Versions with faults: not asked for again, else each answer would bring them. */
+    /** Versions with faults; not requested again, otherwise each answer would contain them. */
     const refusedVersions = new Map<string, number>();
 
     function digest(): DocumentDigest {
--- a/packages/documents/src/createDocumentSet.test.ts
+++ b/packages/documents/src/createDocumentSet.test.ts
@@ -15,7 +15,7 @@
     child: () => silent,
 };
 
-/** Long enough that changes are sent as deltas. */
+/** A value long enough for changes to be sent as deltas. */
 const valueOf = (name: string, version: number) => ({
     name,
     filler: "x".repeat(2_000),
@@ -45,7 +45,7 @@
     }
 }
 
-test("under any order, loss and repetition of messages no version falls, and exchanges bring all to the same", () => {
+test("no version decreases under any order, loss and repetition of messages, and exchanges converge", () => {
     const names = ["manifest", "quarantine", "owner/a"];
     const step = fc.oneof(
         fc.record({
@@ -76,7 +76,7 @@
                     sent.push(overTheWire({ checksum: set.checksum(), digest: set.digest(), documents: [] }));
                 }
                 else if (sent.length > 0) {
-                    // Any message so far may come, late or again, at anyone.
+                    // Any earlier message may arrive late or again, at any node.
                     const answer = answerMessage(nodes[one.to]!.set, sent[one.message % sent.length]!);
                     sent.push(overTheWire(answer));
                 }
@@ -100,7 +100,7 @@
     );
 });
 
-test("a change of a long document travels as a change, and whole where the base is missing", () => {
+test("a change of a long document is sent as a delta, and in full if the base is missing", () => {
     const [a, b, late] = [build().set, build().set, build().set];
     a.apply({ name: "manifest", version: 1, value: valueOf("manifest", 1) });
     exchangeWhole(a, b);
@@ -114,8 +114,8 @@
     expect(a.transfer("manifest", 0)!.kind).toBe("whole");
 });
 
-test("a document with faults is refused whole and not asked for again, and a later good one is taken", () => {
-    // Guards against: after a bad manifest came by, each exchange fetches and refuses it again, for ever.
+test("a document with faults is refused and not requested again, and a later valid one is applied", () => {
+    // Guards against fetching and refusing an invalid manifest again in every exchange.
     const { set } = build();
     set.apply({ name: "manifest", version: 1, value: "good" });
     expect(set.apply({ name: "manifest", version: 2, value: "bad" })).toBe("refused");
@@ -125,7 +125,7 @@
     expect(set.apply({ name: "manifest", version: 3, value: "good" })).toBe("taken");
 });
 
-test("without the guard an older document would replace a newer one, and the assertion reports it", () => {
+test("without the guard an older document replaces a newer one, and the invariant check reports it", () => {
     const { set, broken } = build({ forwardOnly: () => true });
     set.apply({ name: "manifest", version: 2, value: "new" });
     set.apply({ name: "manifest", version: 1, value: "old" });
--- a/packages/documents/src/createDocumentSet.ts
+++ b/packages/documents/src/createDocumentSet.ts
@@ -9,20 +9,20 @@
 import type { DocumentTransfer } from "./DocumentTransfer.js";
 import { hashText } from "./hashText.js";
 
-/** Below this length a document is sent whole: a change would hardly be shorter. */
+/** Shorter documents are sent in full: a delta would hardly be smaller. */
 const minDeltaChars = 1_024;
-/** Earlier texts kept of a long document, as bases of changes. */
+/** Recent texts kept of a long document, as bases of deltas. */
 const maxBaseTexts = 6;
 const maxLoggedFaults = 20;
 const checksumChars = 16;
 
 interface StoredEntry {
     document: SharedDocument;
-    /** Texts by version, the newest last; only for long documents. */
+    /** Texts of recent versions, the latest last; only for long documents. */
     baseTexts: { version: number; text: string; }[];
 }
 
-/** Makes the set of documents of a process; `onTaken` hears of each document taken. */
+/** Creates the document set of a process; `onApplied` is called with each applied document. */
 export function createDocumentSet(
     deps: Pick<DocumentSyncDeps, "invariants" | "logger" | "faultsOf">,
     guards: DocumentSyncGuards,
@@ -46,7 +46,7 @@
     }
 
     function refuse(document: SharedDocument, faults: { path: string; message: string; }[]): void {
-        // Without this note the document would be fetched again at each exchange.
+        // Remembered, so that the document is not fetched again in each exchange.
         refusedVersions.set(document.name, document.version);
         for (const fault of faults.slice(0, maxLoggedFaults)) {
             deps.logger.error("documentRefused", {
--- a/packages/documents/src/createDocumentSync.test.ts
+++ b/packages/documents/src/createDocumentSync.test.ts
@@ -17,9 +17,9 @@
 };
 
 interface Net {
-    /** Part of the messages that are lost. */
+    /** Share of messages that are lost. */
     loss: number;
-    /** True if a message between the two gets through. */
+    /** True if messages between the two are delivered. */
     connected: (from: number, to: number) => boolean;
 }
 
@@ -76,7 +76,7 @@
     return { clock, control, net, nodes, start, publish, inForce, versions, broken, stop };
 }
 
-test("a published manifest is in force on 40 entries within seconds although a third of the messages is lost", async () => {
+test("a published manifest is active on 40 entries within seconds although a third of the messages is lost", async () => {
     const fleet = build(40, [0, 1, 2]);
     fleet.net.loss = 0.33;
     await fleet.clock.advance(2_000);
@@ -86,7 +86,7 @@
     fleet.stop();
 });
 
-test("only relays call the object API, and rarely", async () => {
+test("only relays call the object API, and only rarely", async () => {
     const fleet = build(12, [4, 7, 9]);
     await fleet.clock.advance(300_000);
     const counts = fleet.control.calls();
@@ -96,8 +96,8 @@
     fleet.stop();
 });
 
-test("a change passes two dead relays, and a stale store takes nobody back", async () => {
-    // Guards against: some entries fall back to an older manifest after a failover of the store.
+test("a change spreads despite two crashed relays, and a stale store reverts no entry", async () => {
+    // Guards against entries that revert to an older manifest after a failover of the store.
     const fleet = build(12, [0, 1, 2]);
     await fleet.publish("A");
     const version = await fleet.publish("B");
@@ -119,7 +119,7 @@
     fleet.stop();
 });
 
-test("a part cut off for minutes goes on with what it has and takes the newest once it is back", async () => {
+test("a partition of minutes keeps its last version and applies the latest one after reconnecting", async () => {
     const fleet = build(12, [0, 1, 2]);
     const first = await fleet.publish("A");
     await fleet.clock.runUntil(fleet.inForce(first), 14_000);
@@ -133,7 +133,7 @@
     fleet.stop();
 });
 
-test("an entry that restarts while the store is down learns from its peers before it is caught up", async () => {
+test("an entry that restarts during a store outage gets the manifest from its peers before it is caught up", async () => {
     const fleet = build(4, [0]);
     const version = await fleet.publish("A");
     await fleet.clock.runUntil(fleet.inForce(version), 14_000);
@@ -146,7 +146,7 @@
     fleet.stop();
 });
 
-test("a bad manifest in the store is in force nowhere", async () => {
+test("an invalid manifest in the store becomes active on no entry", async () => {
     const fleet = build(6, [0, 1, 2]);
     const good = await fleet.publish("A");
     await fleet.clock.runUntil(fleet.inForce(good), 14_000);
@@ -156,7 +156,7 @@
     fleet.stop();
 });
 
-test("a malformed message is refused with badRequest", () => {
+test("a malformed message is rejected with badRequest", () => {
     const fleet = build(1, []);
     expect(() => fleet.nodes.get(0)!.receive({ checksum: 3 })).toThrow("badRequest");
     expect(() => fleet.nodes.get(0)!.receive({ checksum: "a", documents: [{ kind: "whole" }] })).toThrow(
@@ -165,8 +165,8 @@
     fleet.stop();
 });
 
-test("an entry that starts alone in a long outage has the manifest soon after it", async () => {
-    // Guards against: a sidecar knew no manifest three seconds after the store was back.
+test("an entry that starts alone during a long outage has the manifest soon after the outage", async () => {
+    // Guards against sidecars without a manifest three seconds after the store has recovered.
     const fleet = build(1, [0]);
     const version = await fleet.publish("good");
     await fleet.clock.advance(200);
@@ -180,8 +180,8 @@
     fleet.stop();
 });
 
-// Guards against: a manifest is not in force eight seconds after a long outage, though the entry's other calls are answered.
-test("an entry whose other calls are answered again after a long outage reads what changed soon after", async () => {
+// Guards against a manifest that is not active eight seconds after a long outage, although other calls succeed.
+test("an entry whose other calls succeed again after a long outage reads changes soon after", async () => {
     let isReachable = true;
     const fleet = build(1, [0], () => isReachable);
     await fleet.publish("before");
--- a/packages/documents/src/createDocumentSync.ts
+++ b/packages/documents/src/createDocumentSync.ts
@@ -14,8 +14,8 @@
 import { syncMessageSchema } from "./syncMessageSchema.js";
 
 /**
- * Makes the spreading of documents in one entry: a fresh change goes at once to a few peers, and an exchange with
- * a random peer every second or so brings what was lost. A few relays watch the object API for all.
+ * Creates the document synchronization of one entry. A new change is pushed to a few peers, and a regular exchange
+ * with a random peer recovers what was lost. Only a few relays watch the object API.
  */
 export function createDocumentSync(deps: DocumentSyncDeps): DocumentSync {
     const timing: DocumentSyncTiming = { ...defaultDocumentSyncTiming, ...deps.timing };
@@ -23,7 +23,7 @@
     const stopped = new AbortController();
     const documents = createDocumentSet(deps, deps.guards ?? defaultDocumentSyncGuards, onApplied);
     const exchangeWith = createPeerExchange(deps, documents, timing);
-    /** Documents to push with the next message, with the version that peers most likely have. */
+    /** Documents to push with the next message, each with the version that peers most likely have. */
     const pendingPushes = new Map<string, number>();
     const appliedVersions = new Map<string, number>();
     let hasCaughtUp = false;
@@ -34,14 +34,14 @@
     function onApplied(document: SharedDocument): void {
         listeners.forEach(listener => listener(document));
         const { name, version } = document;
-        // What a starting process catches up with is no news to its peers.
+        // While catching up after start, a process receives only documents that its peers already have.
         if (hasCaughtUp) {
             schedulePush(name, appliedVersions.get(name) ?? 0);
         }
         appliedVersions.set(name, version);
     }
 
-    /** Changes that come within a moment go out together: a takeover of many key ranges is one message, not many. */
+    /** Combines changes within `pushDelayMs`, so that a takeover of many key ranges is sent as one message. */
     function schedulePush(name: string, baseVersion: number): void {
         if (pendingPushes.size === 0) {
             deps.clock.startTimer(timing.pushDelayMs, push);
@@ -82,7 +82,7 @@
 
     async function run(): Promise<void> {
         while (!stopped.signal.aborted) {
-            // Not awaited: a slow peer does not delay the exchange with the next one.
+            // Not awaited, so that a slow peer does not delay the next exchange.
             void exchangeOnce();
             const jitter = 0.8 + 0.4 * deps.random.nextUnit();
             const intervalMs = hasCaughtUp ? timing.exchangeIntervalMs : timing.startIntervalMs;
--- a/packages/documents/src/createPeerExchange.ts
+++ b/packages/documents/src/createPeerExchange.ts
@@ -7,19 +7,19 @@
 import type { SyncMessage } from "./SyncMessage.js";
 import { syncMessageSchema } from "./syncMessageSchema.js";
 
-/** A first message, a digest and the documents asked for: more rounds than these settle nothing. */
+/** Enough for a checksum, a digest and the requested documents; further rounds would add nothing. */
 const maxRounds = 4;
 
 const needsFollowUp = (answer: SyncMessage): boolean =>
     answer.digest !== undefined || answer.wanted !== undefined;
 
-/** Makes the function that holds one whole exchange with a peer. It resolves with true if the peer answered. */
+/** Creates the function that runs one exchange with a peer; it resolves with true if the peer answered. */
 export function createPeerExchange(
     deps: Pick<DocumentSyncDeps, "clock" | "exchange">,
     documents: DocumentSet,
     timing: DocumentSyncTiming,
 ): (address: string, first: SyncMessage) => Promise<boolean> {
-    /** The peer's answer; undefined without one. Membership judges whether the peer is gone. */
+    /** The peer's answer; undefined without one. Membership decides whether the peer is down. */
     async function send(address: string, message: SyncMessage): Promise<SyncMessage | undefined> {
         const call = async (): Promise<SyncMessage> =>
             parseMessage<SyncMessage>(syncMessageSchema, await deps.exchange(address, message));
--- a/packages/documents/src/createRelay.ts
+++ b/packages/documents/src/createRelay.ts
@@ -5,20 +5,20 @@
 import type { DocumentSyncDeps } from "./DocumentSyncDeps.js";
 import type { DocumentSyncTiming } from "./DocumentSyncTiming.js";
 
-/** How long a watch may overstay before it is given up. */
+/** Time that a list, or a watch beyond its own wait, may take before it is abandoned. */
 const watchGraceMs = 5_000;
 const idleMs = 1_000;
 /**
- * A process that has listed nothing yet serves nothing, and neither do the sidecars that learn from it: it does not wait
- * out the long pauses of an outage.
+ * Longest backoff before the first successful list. Until then neither this process nor the sidecars that depend on it
+ * can serve, so it must not wait out the long backoff of an outage.
  */
 const firstListBackoffMs = 1_500;
-/** A long pause ends this often at most, if other calls of the process have been answered meanwhile. */
+/** Interval at which a backoff checks whether other calls of the process succeed again, which ends it early. */
 const reachabilityCheckMs = 1_500;
 
 interface WatchedPrefix {
     prefix: string;
-    /** Object key → name of the document; other keys are passed over. */
+    /** Object key → name of the document; other keys are ignored. */
     names: ReadonlyMap<string, string>;
 }
 
@@ -28,8 +28,8 @@
 ];
 
 /**
- * Makes the loops that follow the object API while this process is a relay. After any failure a prefix is listed
- * anew, since changes in between may be missing; answers of a stale replica are sorted out by version.
+ * Creates the loops that follow the object API while this process is a relay. After any failure a prefix is listed
+ * again, since changes in between may be missing; the version check discards answers of a stale replica.
  */
 export function createRelay(
     deps: Pick<DocumentSyncDeps, "clock" | "random" | "logger" | "store" | "isStoreReachable" | "isRelay">,
@@ -46,7 +46,7 @@
                 continue;
             }
             if (value === undefined) {
-                // A removed object is not an intent: the last good one stays in force.
+                // Removal of the object is not treated as a change of intent; the last valid version stays active.
                 deps.logger.warn("watchedObjectRemoved", { key, version });
                 continue;
             }
@@ -57,9 +57,9 @@
     async function withTimeout<T>(call: Promise<T>, limitMs: number): Promise<T> {
         const done = new AbortController();
         const expired = deps.clock.sleep(limitMs, done.signal).then(() => {
-            throw new Error("The object API overstayed.");
+            throw new Error(`The object API did not answer within ${limitMs} ms.`);
         });
-        // Its rejection is of no interest once the call has won.
+        // The rejection no longer matters once the call has settled.
         expired.catch(() => undefined);
         try {
             return await Promise.race([call, expired]);
--- a/packages/documents/src/createTextDelta.ts
+++ b/packages/documents/src/createTextDelta.ts
@@ -1,7 +1,7 @@
 import { hashText } from "./hashText.js";
 import type { TextDelta } from "./TextDelta.js";
 
-/** The one stretch in which `next` differs from `base`. */
+/** Computes the single range in which `next` differs from `base`. */
 export function createTextDelta(base: string, next: string): TextDelta {
     const shorter = Math.min(base.length, next.length);
     let start = 0;
--- a/packages/documents/src/defaultDocumentSyncGuards.ts
+++ b/packages/documents/src/defaultDocumentSyncGuards.ts
@@ -1,6 +1,6 @@
 import type { DocumentSyncGuards } from "./DocumentSyncGuards.js";
 
-/** The guards in force outside of fault benches. */
+/** The guards used everywhere except in fault benches. */
 export const defaultDocumentSyncGuards: DocumentSyncGuards = {
     forwardOnly: (held, offered) => offered > held,
 };
--- a/packages/documents/src/defaultDocumentSyncTiming.ts
+++ b/packages/documents/src/defaultDocumentSyncTiming.ts
@@ -1,6 +1,6 @@
 import type { DocumentSyncTiming } from "./DocumentSyncTiming.js";
 
-/** Times and sizes in use unless a test says otherwise. */
+/** Default intervals and limits of document synchronization. */
 export const defaultDocumentSyncTiming: DocumentSyncTiming = {
     exchangeIntervalMs: 2_000,
     startIntervalMs: 250,
--- a/packages/documents/src/documentTransferSchema.ts
+++ b/packages/documents/src/documentTransferSchema.ts
@@ -9,7 +9,7 @@
     sha256: z.string(),
 });
 
-/** Shape of a `DocumentTransfer` as it comes from another process. */
+/** Schema of a `DocumentTransfer` received from another process. */
 export const documentTransferSchema = z.discriminatedUnion("kind", [
     z.strictObject({ kind: z.literal("whole"), name: documentName, version, value: z.unknown() }),
     z.strictObject({ kind: z.literal("delta"), name: documentName, version, baseVersion: version, delta }),
--- a/packages/documents/src/drawSome.ts
+++ b/packages/documents/src/drawSome.ts
@@ -1,6 +1,6 @@
 import type { Random } from "@auburnarch/types/Random";
 
-/** Up to `count` different elements at random. */
+/** Picks up to `count` distinct elements at random. */
 export function drawSome<T>(from: readonly T[], count: number, random: Random): T[] {
     const remaining = [...from];
     const picked: T[] = [];
--- a/packages/documents/src/hashText.ts
+++ b/packages/documents/src/hashText.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 
-/** SHA-256 of a text in hex. */
+/** Hex SHA-256 of a text. */
 export function hashText(text: string): string {
     return createHash("sha256").update(text).digest("hex");
 }
--- a/packages/documents/src/parseMessage.ts
+++ b/packages/documents/src/parseMessage.ts
@@ -2,7 +2,7 @@
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { z } from "zod";
 
-/** `message` once its shape is checked; names and versions get their branded types. Throws `badRequest`. */
+/** Validates `message` and returns it with branded types. Throws `badRequest` if it does not match. */
 export function parseMessage<T>(schema: z.ZodType, message: unknown): T {
     const parsed = schema.safeParse(message);
     if (!parsed.success) {
--- a/packages/documents/src/syncMessageSchema.ts
+++ b/packages/documents/src/syncMessageSchema.ts
@@ -7,7 +7,7 @@
     `Expected at most ${maxDocuments} documents.`,
 );
 
-/** Shape of a `SpreadMessage` as it comes from another process. */
+/** Schema of a `SyncMessage` received from another process. */
 export const syncMessageSchema = z.strictObject({
     checksum: z.string().max(64),
     digest: digest.optional(),
