--- a/packages/admission/src/AnswerCacheBudget.ts
+++ b/packages/admission/src/AnswerCacheBudget.ts
@@ -1,6 +1,6 @@
-/** Bounds the bytes of answers remembered; the oldest are dropped first. */
+/** Bounds the total size of cached answers; the oldest are evicted first. */
 export interface AnswerCacheBudget {
-    /** Counts an answer; `drop` is called when it has to go. The function given back uncounts it. */
+    /** Counts an answer; `evict` is called when it must be removed. The returned function stops counting it. */
     add(bytes: number, evict: () => void): () => void;
     bytes(): number;
 }
--- a/packages/admission/src/CachedAnswer.ts
+++ b/packages/admission/src/CachedAnswer.ts
@@ -1,4 +1,4 @@
-/** A whole answer that can be given again. */
+/** A complete answer that can be replayed. */
 export interface CachedAnswer {
     status: number;
     headers: Record<string, string>;
--- a/packages/admission/src/KeyRangeDeps.ts
+++ b/packages/admission/src/KeyRangeDeps.ts
@@ -5,22 +5,22 @@
 import type { AnswerCacheBudget } from "./AnswerCacheBudget.js";
 import type { KeyRangeGuards } from "./KeyRangeGuards.js";
 
-/** What the owner of a key range is built from. */
+/** Dependencies of `createKeyRange`. */
 export interface KeyRangeDeps {
     range: number;
     lease: Pick<Lease, "isHeld">;
-    /** Wall time at which the lease was acquired; undefined if no one ever held it before. */
+    /** Wall time at which the lease was acquired; undefined if it was never held before. */
     takenOverAtMs: number | undefined;
     clock: Clock;
     logger: Logger;
     invariants: Invariants;
     /** Shared by the ranges of an entry. */
     answerBudget: AnswerCacheBudget;
-    /** For how long a key may be sent again; 10 min by default. */
+    /** Time within which a key may be sent again; 10 min by default. */
     windowMs?: number;
     /** Largest difference between any two clocks, of entries and callers; 2 s by default. */
     skewMs?: number;
-    /** Keys remembered at once; a new one beyond it is refused. */
+    /** Maximum number of recorded keys; further new keys are refused. */
     maxKeys?: number;
     maxAnswerBytes?: number;
     guards?: KeyRangeGuards;
--- a/packages/admission/src/KeyedRequest.ts
+++ b/packages/admission/src/KeyedRequest.ts
@@ -1,7 +1,7 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { TeamId } from "@auburnarch/types/TeamId";
 
-/** A non-idempotent request under its key. Keys of different teams are different keys. */
+/** A non-idempotent request with its idempotency key. Equal keys of different teams are different keys. */
 export interface KeyedRequest {
     team: TeamId;
     /** A UUIDv7. */
--- a/packages/admission/src/ReportedCrash.ts
+++ b/packages/admission/src/ReportedCrash.ts
@@ -1,11 +1,11 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { VmId } from "@auburnarch/types/VmId";
 
-/** A death as one process tells of it. */
+/** A crash as reported by one process. */
 export interface ReportedCrash {
     vm: VmId;
     bootId: string;
-    /** What was in flight at it, where that was counted; may be more than is told of. */
+    /** Number of contents in flight at the crash, if counted; may exceed the reported digests. */
     contents: number | undefined;
     digests: ContentDigest[];
 }
--- a/packages/admission/src/admission.test.ts
+++ b/packages/admission/src/admission.test.ts
@@ -29,7 +29,7 @@
     }
 }
 
-test("each token of a team proves it, during a rotation too; nothing else does", () => {
+test("each token of a team authenticates it, also during a rotation; nothing else does", () => {
     expect(authenticate("old", teams)).toBe(lugo);
     expect(authenticate("new", teams)).toBe(lugo);
     expect(authenticate("other", teams)).toBe(burgos);
@@ -41,7 +41,7 @@
     );
 });
 
-test("a team's places are bounded, freed once, and do not touch another team's", () => {
+test("a team's slots are bounded, released only once, and independent of other teams", () => {
     const limit = createTeamLimit({ maxPerTeam: () => 2 });
     const leave = limit.acquire(lugo);
     limit.acquire(lugo);
@@ -54,7 +54,7 @@
     expect(codeName(() => limit.acquire(lugo))).toBe("queueFull");
 });
 
-test("a key tells its minting time only if it is a UUIDv7", () => {
+test("a key has a creation time only if it is a UUIDv7", () => {
     fc.assert(
         fc.property(fc.integer({ min: 0, max: 2 ** 47 }), msecs => {
             expect(mintTime(v7({ msecs }))).toBe(msecs);
@@ -71,7 +71,7 @@
     expect(mintTime(v4())).toBeUndefined();
 });
 
-test("keys spread evenly over the ranges, whatever their minting time", () => {
+test("keys are distributed evenly over the ranges, regardless of their creation time", () => {
     const counts = new Array<number>(rangeCount).fill(0);
     const mean = 1_000;
     for (let n = 0; n < mean * rangeCount; n++) {
--- a/packages/admission/src/authenticate.ts
+++ b/packages/admission/src/authenticate.ts
@@ -5,8 +5,8 @@
 import { createHash, timingSafeEqual } from "node:crypto";
 
 /**
- * The team that a bearer token proves; throws `unauthenticated` for none or an unknown one. Digests are compared
- * in constant time and all of them each time, so that the answer's time tells nothing of how near a guess was.
+ * Returns the team of a bearer token; throws `unauthenticated` without a token or for an unknown one. All digests are
+ * compared, each in constant time, so that the response time reveals nothing about a guessed token.
  */
 export function authenticate(token: string | undefined, teams: TeamManifest[]): TeamId {
     const offered = createHash("sha256").update(token ?? "").digest();
--- a/packages/admission/src/bufferAnswer.ts
+++ b/packages/admission/src/bufferAnswer.ts
@@ -2,7 +2,7 @@
 import type { CachedAnswer } from "./CachedAnswer.js";
 import { replayAnswer } from "./replayAnswer.js";
 
-/** `kept` is undefined where the body is longer than what may be kept; `answer` is whole in both cases. */
+/** `cached` is undefined if the body exceeds the limit; `answer` is complete in both cases. */
 interface BufferResult {
     answer: PlainAnswer;
     cached: CachedAnswer | undefined;
@@ -19,8 +19,8 @@
 }
 
 /**
- * Reads an answer whole, up to `maxBytes`; beyond that it streams on unread and is not kept. Rejects if the body
- * breaks off while it is read.
+ * Reads an answer into memory, up to `maxBytes`; a longer one is streamed and not cached. Rejects if the body breaks
+ * off while it is read.
  */
 export async function bufferAnswer(answer: PlainAnswer, maxBytes: number): Promise<BufferResult> {
     const { status, headers } = answer;
--- a/packages/admission/src/claimCost.test.ts
+++ b/packages/admission/src/claimCost.test.ts
@@ -16,7 +16,7 @@
 import { replayAnswer } from "./replayAnswer.js";
 
 type Execute = () => Promise<AttemptOutcome<PlainAnswer>>;
-/** Admits one request under a key; true if it ran. */
+/** Admits one request with a key; true if it ran. */
 type Admit = (key: string, execute: Execute) => Promise<boolean>;
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
@@ -25,7 +25,7 @@
 const seconds = 20;
 const none = 0 as ObjectVersion;
 
-/** The way weighed against key ranges: a conditional write before the run, the answer written after it. */
+/** The alternative to key ranges: a conditional write before the run and a write of the answer after it. */
 const claimInStore = (store: ObjectStore): Admit => async (key, execute) => {
     try {
         const claim = await store.write(`claims/${key}`, { state: "running" }, none);
--- a/packages/admission/src/countCrashedVms.ts
+++ b/packages/admission/src/countCrashedVms.ts
@@ -4,16 +4,17 @@
 
 type Crash = QuarantineRecord["deaths"][number];
 
-/** From this many VMs on it no longer matters who else was there. */
+/** With crashes on this many VMs, other contents in flight no longer matter. */
 const unambiguousVms = 3;
 
 const countVms = (crashes: Crash[]): number => new Set(crashes.map(death => death.vm)).size;
 
 /**
- * VMs whose death counts against a record. A death is explained by another content that was in flight at it and has
- * died on two VMs or more itself: one of the two is a bystander, and the death does not tell which. Counting it for
- * both refuses an innocent content everywhere: one that was beside two different killers, or beside one of them and at
- * a crash of another cause. Both then stay suspects, which run apart from then on: the next death names one of them.
+ * Number of VMs whose crashes count against a record. A crash is explained by another content that was in flight and
+ * has crashes on two or more VMs itself: one of the two is a bystander, and the crash does not show which. Counting it
+ * for both would refuse a harmless content everywhere if it ran beside two different crash-inducing contents, or beside
+ * one of them and at a crash with another cause. Instead both stay suspects and run apart, so that the next crash
+ * identifies one of them.
  */
 export function countCrashedVms(
     record: QuarantineRecord,
--- a/packages/admission/src/countedCrashes.ts
+++ b/packages/admission/src/countedCrashes.ts
@@ -1,6 +1,6 @@
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 
-/** Deaths that still count against a record: those since its latest clean end or lift, until it expires. */
+/** Crashes that still count against a record: those since its latest clean finish or lift, until it expires. */
 export function countedCrashes(record: QuarantineRecord, nowMs: number): QuarantineRecord["deaths"] {
     if (record.expiresAtMs <= nowMs) {
         return [];
--- a/packages/admission/src/createAnswerCacheBudget.ts
+++ b/packages/admission/src/createAnswerCacheBudget.ts
@@ -7,7 +7,7 @@
 
 const defaultMaxBytes = 32_000_000;
 
-/** Makes the memory of answers shared by the key ranges of an entry. */
+/** Creates the size limit for cached answers, shared by the key ranges of an entry. */
 export function createAnswerCacheBudget(maxBytes = defaultMaxBytes): AnswerCacheBudget {
     const entries = new Set<CountedAnswer>();
     let totalBytes = 0;
--- a/packages/admission/src/createKeyRange.test.ts
+++ b/packages/admission/src/createKeyRange.test.ts
@@ -27,7 +27,7 @@
 const windowMs = 600_000;
 const skewMs = 2_000;
 
-/** A service that records what ran, and owners of the range as they come and go. */
+/** A service that records what ran, and successive owners of the range. */
 function createFixture() {
     const clock = createFakeClock();
     const service = createFakePlainService({ clock, latencyMs: 50 });
@@ -86,8 +86,8 @@
     return `ran ${Buffer.concat(parts).toString("utf8")}`;
 }
 
-test("19 March: a fetch sent again after a broken connection does not go out twice", async () => {
-    // Guards against: a grid-tile fetch went out twice, and a cooperative saw conflicting alerts.
+test("a request sent again after a broken connection does not run twice", async () => {
+    // Guards against a fetch that ran twice, which showed a customer conflicting alerts.
     const { service, ownerWith, send, mint } = createFixture();
     const owner = ownerWith();
     const key = mint();
@@ -98,7 +98,7 @@
     expect(service.control.runsByKey().get(key)).toBe(1);
 });
 
-test("19 March, through a new owner: a key minted before the takeover is never run again", async () => {
+test("a key created before a takeover is never run again by the new owner", async () => {
     const { clock, service, ownerWith, send, mint } = createFixture();
     const key = mint();
     service.control.breakAfterRun(1);
@@ -112,7 +112,7 @@
     expect(service.control.runsByKey().get(key)).toBe(1);
 });
 
-test("duplicates at once join one run and get the same whole answer", async () => {
+test("concurrent duplicates join one run and get the same complete answer", async () => {
     const { clock, service, ownerWith, executeOf, mint } = createFixture();
     const owner = ownerWith();
     const key = mint();
@@ -124,7 +124,7 @@
     expect(service.control.runsByKey().get(key)).toBe(1);
 });
 
-test("what truly did not run may run on the next sending", async () => {
+test("a request that certainly did not run may run when it is sent again", async () => {
     const { service, ownerWith, send, mint } = createFixture();
     const owner = ownerWith();
     const key = mint();
@@ -134,7 +134,7 @@
     expect(service.control.runsByKey().get(key)).toBe(1);
 });
 
-test("a key with other content is refused, and the same key of another team is another key", async () => {
+test("a key with different content is refused, and the same key of another team is a different key", async () => {
     const { service, ownerWith, send, mint, executeOf } = createFixture();
     const owner = ownerWith();
     const key = mint();
@@ -146,7 +146,7 @@
     expect(service.control.runsByKey().get(key)).toBe(2);
 });
 
-test("keys outside the window, of another kind, or without a lease are refused", async () => {
+test("keys outside the window, keys that are not UUIDv7, and keys without a lease are refused", async () => {
     const { clock, service, ownerWith, send, mint } = createFixture();
     const owner = ownerWith();
     expect(await send(owner, mint(-windowMs - 1))).toBe("unknown keyTooOld");
@@ -162,7 +162,7 @@
     expect(service.control.runsByKey().get(key)).toBe(1);
 });
 
-test("an owner whose lease lapsed still tells what it knows, and takes nothing new", async () => {
+test("an owner whose lease lapsed still answers repeats and accepts no new keys", async () => {
     const { service, ownerWith, send, mint } = createFixture();
     let held = true;
     const owner = ownerWith({ lease: { isHeld: () => held } });
@@ -174,8 +174,8 @@
     expect(service.control.runsByKey().size).toBe(1);
 });
 
-test("a clock set back does not make forgotten keys new", async () => {
-    // Guards against: a quote was billed twice.
+test("a clock set back does not make evicted keys acceptable again", async () => {
+    // Guards against a request that ran, and was billed, twice.
     const { clock, service, ownerWith, send, mint } = createFixture();
     let setBackMs = 0;
     const settable: Clock = { ...clock, wallMs: () => clock.wallMs() - setBackMs };
@@ -189,7 +189,7 @@
     expect(service.control.runsByKey().get(key)).toBe(1);
 });
 
-test("memory is bounded: large answers are passed on whole but not kept, old answers go first, keys never", async () => {
+test("memory is bounded: large answers are not cached, old answers are evicted first, keys never", async () => {
     const { clock, service, ownerWith, send, mint } = createFixture();
     const small = ownerWith({ maxAnswerBytes: 10 });
     const key = mint();
@@ -219,7 +219,7 @@
     ms: fc.nat(30_000),
 });
 
-/** Owners with clocks up to the allowed skew apart, one after the other; returns how often each key ran. */
+/** Replays events on successive owners with clocks within the allowed skew; returns how often each key ran. */
 async function replay(events: Event[], skews: number[], guards: KeyRangeGuards) {
     const { clock, service, invariants, ownerWith, executeOf, mint } = createFixture();
     const clockOf = (n: number): Clock => {
@@ -240,7 +240,7 @@
         send: ({ key, ms }) => {
             const text = keys.get(key) ?? mint((ms % (2 * skewMs)) - skewMs);
             keys.set(key, text);
-            // Callers reach any owner there ever was: entries learn of a takeover late.
+            // Callers may reach any former owner, since entries learn of a takeover late.
             const reached = [...past, owner][ms % (past.length + 1)]!;
             void reached.range.run({ team, key: text, digest }, executeOf(text));
         },
@@ -269,7 +269,7 @@
     fc.array(fc.integer({ min: -skewMs / 2, max: skewMs / 2 }), { minLength: 1, maxLength: 4 }),
 );
 
-test("over random sendings, faults, takeovers and clock differences no key runs twice", async () => {
+test("no key runs twice under random requests, faults, takeovers and clock differences", async () => {
     let ran = 0;
     await fc.assert(
         fc.asyncProperty(scenario, async ([events, skews]) => {
@@ -283,7 +283,7 @@
     expect(ran).toBeGreaterThan(200);
 });
 
-test("without any one of the guards a key runs twice", async () => {
+test("a key runs twice if any one of the guards is disabled", async () => {
     const open: Partial<KeyRangeGuards>[] = [
         { mayAccept: () => true },
         { isAfterTakeover: () => true },
@@ -300,7 +300,7 @@
     }
 });
 
-test("without the window a forgotten key runs again", async () => {
+test("an evicted key runs again if the window guard is disabled", async () => {
     const { clock, service, ownerWith, send, mint } = createFixture();
     const owner = ownerWith({ guards: { ...defaultKeyRangeGuards, isRemembered: () => true } });
     const key = mint();
@@ -310,7 +310,7 @@
     expect(service.control.runsByKey().get(key)).toBe(2);
 });
 
-test("a run that goes on longer than the window is not forgotten", async () => {
+test("a run that takes longer than the window keeps its record", async () => {
     const { clock, service, ownerWith, executeOf, mint } = createFixture();
     const owner = ownerWith();
     const key = mint();
--- a/packages/admission/src/createKeyRange.ts
+++ b/packages/admission/src/createKeyRange.ts
@@ -16,7 +16,7 @@
 type Outcome = AttemptOutcome<PlainAnswer>;
 type Execute = () => Promise<Outcome>;
 
-/** What became of a key, and what a repeat of it is told. `lost`: it ran, and its answer is not in memory. */
+/** Outcome of a key, which determines the answer to a repeat. `lost`: it ran, and its answer is not cached. */
 type KeyState =
     | { kind: "running"; ended: Promise<Outcome>; }
     | { kind: "answered"; answer: CachedAnswer; release: () => void; }
@@ -38,22 +38,22 @@
 const notRun = (code: ResultCode, retryAfterMs?: number): Outcome => ({ kind: "notRun", code, retryAfterMs });
 const unknown = (code: ResultCode): Outcome => ({ kind: "unknown", code });
 
-/** Makes the owner's memory of a key range; see `docs/design/04-at-most-once.md`. */
+/** Creates the owner's record of a key range; see `docs/design/04-at-most-once.md`. */
 export function createKeyRange(deps: KeyRangeDeps): KeyRange {
     const { clock, lease, logger, invariants, answerBudget, range, takenOverAtMs } = deps;
     const { windowMs = defaultWindowMs, skewMs = defaultSkewMs, maxKeys = defaultMaxKeys } = deps;
     const { maxAnswerBytes = defaultMaxAnswerBytes, guards = defaultKeyRangeGuards } = deps;
-    /** In the order of acceptance. */
+    /** In order of acceptance. */
     const entries = new Map<string, KeyEntry>();
     let latestWallMs = clock.wallMs();
 
-    /** Wall time that never goes back: a clock set back must not make keys acceptable that were forgotten. */
+    /** Wall time that never decreases: a clock set back must not make keys acceptable whose records were evicted. */
     function nonDecreasingWallMs(): number {
         latestWallMs = Math.max(latestWallMs, clock.wallMs());
         return latestWallMs;
     }
 
-    /** Forgets keys that would be refused for their age, in any case. */
+    /** Evicts keys that would now be refused for their age anyway. */
     function evictExpired(): void {
         const limitMs = nonDecreasingWallMs() - windowMs - skewMs;
         for (const [id, entry] of entries) {
@@ -62,7 +62,7 @@
             }
             entries.delete(id);
             if (entry.state.kind === "running") {
-                // Still running after the whole window: it goes to the end and is kept on.
+                // Still running after the whole window; it continues, and its record is kept.
                 entry.acceptedAtMs = nonDecreasingWallMs();
                 entries.set(id, entry);
             }
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Why a key that is not in memory may not run; undefined if it may. */
+    /** Why a key without a record may not run; undefined if it may. */
     function findRefusal(key: string): Outcome | undefined {
         const mintedAtMs = mintTime(key);
         if (mintedAtMs === undefined) {
@@ -109,7 +109,7 @@
     async function executeAndRecord(id: string, entry: KeyEntry, execute: Execute): Promise<Outcome> {
         const outcome = await execute();
         if (outcome.kind === "notRun") {
-            // It truly did not run: the key is free, and the caller may send it again.
+            // It certainly did not run, so the key is free and the caller may send it again.
             entries.delete(id);
             return outcome;
         }
@@ -125,7 +125,7 @@
     function start(id: string, request: KeyedRequest, execute: Execute): Promise<Outcome> {
         const existing = entries.get(id);
         invariants.check(resultCodes.ranTwice, existing === undefined, { range, key: request.key });
-        // Until it is known to be running it counts as unknown, so that nothing can slip in between.
+        // Counts as unknown until it is known to be running, so that no repeat can start in between.
         const state: KeyState = { kind: "unknown", code: resultCodes.internal };
         const entry: KeyEntry = { digest: request.digest, acceptedAtMs: nonDecreasingWallMs(), state };
         entries.set(id, entry);
--- a/packages/admission/src/createQuarantine.test.ts
+++ b/packages/admission/src/createQuarantine.test.ts
@@ -28,8 +28,8 @@
     suspects: digests.map(digest => ({ digest, deaths: [{ vm: vmOf(vm), bootId }] })),
 });
 
-test("content is refused everywhere after deaths on two VMs, its neighbours are not", async () => {
-    // Guards against: one request takes down one sampler after another.
+test("content is refused everywhere after crashes on two VMs, and its bystanders are not", async () => {
+    // Guards against one request that crashes one sampler after another.
     const { entry } = createFixture();
     const first = entry();
     const second = entry();
@@ -45,7 +45,7 @@
     expect([first, second].some(one => one.isRefused(bystander))).toBe(false);
 });
 
-test("one death reported by many, often, is one death, one record and one write", async () => {
+test("a crash that is reported repeatedly by many entries causes one record and few writes", async () => {
     const { clock, control, entry } = createFixture();
     const entries = [entry(), entry(), entry()];
     const abort = new AbortController();
@@ -61,8 +61,8 @@
     expect(control.calls().write).toBeLessThanOrEqual(3);
 });
 
-test("suspects are kept apart; a clean finish clears one, on every entry", async () => {
-    // Guards against: an innocent request was refused.
+test("suspects run apart, and a clean finish clears one on every entry", async () => {
+    // Guards against a harmless request that is refused.
     const { entry } = createFixture();
     const first = entry();
     const second = entry();
@@ -78,8 +78,8 @@
     expect(first.isSuspect(bystander)).toBe(false);
 });
 
-test("a refused content that finishes cleanly is refused nowhere any more", async () => {
-    // Guards against: an innocent content answers 2007 everywhere for 24 h, though it has just run through.
+test("a refused content that finishes cleanly is no longer refused on any entry", async () => {
+    // Guards against a harmless content answered with code 2007 for 24 h although it has just completed.
     const { clock, entry } = createFixture();
     const first = entry();
     const second = entry();
@@ -92,12 +92,12 @@
     expect(second.isRefused(bystander)).toBe(false);
     first.offer((await second.publish())!);
     expect(first.isRefused(bystander)).toBe(false);
-    // The sampler goes on reporting the deaths that it saw.
+    // The sampler keeps reporting the crashes it has seen.
     first.recordSuspects(reportOf("vm-2", "b2", bystander));
     expect(first.isRefused(bystander)).toBe(false);
 });
 
-test("operators lift a content durably; new deaths count anew; records expire", async () => {
+test("an operator's lift is durable, later crashes count again, and records expire", async () => {
     const { clock, control, entry } = createFixture();
     const quarantine = entry({ expiresAfterMs: 60_000 });
     quarantine.recordCrash(vmOf("vm-1"), "b1", [crashInducing]);
@@ -120,7 +120,7 @@
     expect(quarantine.list()).toEqual([]);
 });
 
-test("entries that race lose nothing of each other", async () => {
+test("entries that write concurrently lose none of each other's records", async () => {
     const { entry } = createFixture();
     const entries = [entry(), entry(), entry()];
     entries.forEach((one, n) => one.recordCrash(vmOf(`vm-${n}`), "b", [`d${n}` as ContentDigest]));
@@ -133,7 +133,7 @@
     expect(entries.every(one => one.list().length === 4)).toBe(true);
 });
 
-test("the list stays within its bound, and convicted content stays in it", () => {
+test("the list is bounded, and convicted content is not evicted", () => {
     const { clock, store } = createFixture();
     const quarantine = createQuarantine({
         store,
@@ -151,7 +151,7 @@
     expect(quarantine.isRefused(crashInducing)).toBe(true);
 });
 
-test("merging is independent of order and repeats", () => {
+test("merging is independent of order and repetition", () => {
     const record: fc.Arbitrary<QuarantineRecord> = fc.record({
         digest: fc.constantFrom("a", "b").map(name => name as ContentDigest),
         deaths: fc.array(
--- a/packages/admission/src/createQuarantine.ts
+++ b/packages/admission/src/createQuarantine.ts
@@ -13,10 +13,10 @@
 import type { ReportedCrash } from "./ReportedCrash.js";
 
 const defaultPublishWithinMs = 1_000;
-/** A death under full load has hundreds of contents; a line names this many and counts the rest. */
+/** A crash under full load involves hundreds of contents; a log line names at most this many. */
 const maxLoggedDigests = 16;
 
-/** Makes an entry's view of the quarantine; see `docs/operators/quarantine.md`. */
+/** Creates an entry's view of the quarantine; see `docs/operators/quarantine.md`. */
 export function createQuarantine(deps: QuarantineDeps): Quarantine {
     const { store, clock, random, logger, publishWithinMs = defaultPublishWithinMs } = deps;
     const records = createQuarantineRecords(deps);
@@ -77,7 +77,7 @@
                 onDocument(document);
             }
             else if (stored.hasUnpublished()) {
-                // The object API is down or busy; what is known here is in force here meanwhile.
+                // The object API is down or busy; meanwhile the records of this entry are in effect here.
                 await clock.sleep(publishWithinMs, signal);
             }
         }
--- a/packages/admission/src/createQuarantineRecords.ts
+++ b/packages/admission/src/createQuarantineRecords.ts
@@ -9,19 +9,19 @@
 import type { TrialKind } from "./TrialKind.js";
 
 interface QuarantineRecords {
-    /** Takes records in; true if any told something new. */
+    /** Merges records; true if any of them contained something new. */
     merge(offered: QuarantineRecord[]): boolean;
-    /** A death as records that tell it, without the digests for which it is known. */
+    /** Records of a crash for the digests for which it is not recorded yet. */
     newRecordsOf(death: ReportedCrash): QuarantineRecord[];
-    /** The record with its deaths so far forgiven; undefined where there is none. */
+    /** The record with its crashes so far cleared; undefined if there is none. */
     liftedRecord(digest: ContentDigest): QuarantineRecord | undefined;
     isSuspect(digest: ContentDigest): boolean;
     isRefused(digest: ContentDigest): boolean;
-    /** Wall time from which a refused content may be tried once more. */
+    /** Wall time from which a refused content may have another trial. */
     trialDueAtMs(digest: ContentDigest, kind: TrialKind): number;
-    /** The record with one more trial, begun now. */
+    /** The record with one more trial, started now. */
     withTrial(digest: ContentDigest, trial: TrialId): QuarantineRecord;
-    /** Whether the trial is known to all, as one is that stands in the list. */
+    /** Whether the trial is in the shared list, and thus known to all entries. */
     hasTrial(digest: ContentDigest, trial: TrialId): boolean;
     list(): QuarantineRecord[];
 }
@@ -30,7 +30,7 @@
 const defaultMaxRecords = 1_000;
 const maxCrashesPerVm = 16;
 
-/** The records of a quarantine in memory, bounded and expiring. */
+/** Creates the in-memory records of a quarantine, bounded in number and with expiry. */
 export function createQuarantineRecords(deps: QuarantineDeps): QuarantineRecords {
     const { clock, logger, maxRecords = defaultMaxRecords, expiresAfterMs = defaultExpiresAfterMs } = deps;
     const records = new Map<ContentDigest, QuarantineRecord>();
@@ -40,7 +40,7 @@
     const isLive = (record: QuarantineRecord): boolean => record.expiresAtMs > clock.wallMs();
     const list = (): QuarantineRecord[] => [...records.values()].filter(isLive);
 
-    /** Drops what expired, and beyond the limit the suspects that are nearest to it. */
+    /** Removes expired records and, beyond the limit, the suspects that expire next. */
     function prune(): void {
         [...records.values()].filter(record => !isLive(record)).forEach(({ digest }) =>
             records.delete(digest)
@@ -73,7 +73,7 @@
         return true;
     }
 
-    /** A death that adds nothing: told before, or one more on a VM that has many. */
+    /** Whether a crash adds nothing: it is already recorded, or its VM already has the maximum. */
     function isRecorded(digest: ContentDigest, vm: string, bootId: string): boolean {
         const crashes = (records.get(digest)?.deaths ?? []).filter(death => death.vm === vm);
         return crashes.length >= maxCrashesPerVm || crashes.some(death => death.bootId === bootId);
@@ -86,7 +86,7 @@
             return changed.includes(true);
         },
         newRecordsOf: ({ vm, bootId, contents, digests }) => {
-            // A repeated report is no news: it must neither prolong a record nor cause a write.
+            // A repeated report must neither extend a record's expiry nor cause a write.
             const atMs = clock.wallMs();
             const newRecords = digests.filter(digest => !isRecorded(digest, vm, bootId)).map(digest => ({
                 digest,
@@ -101,7 +101,7 @@
             if (record === undefined) {
                 return undefined;
             }
-            // Entries' clocks differ: what one that is ahead has told is forgiven as well.
+            // Clocks differ, so crashes and trials recorded by an entry whose clock is ahead are cleared as well.
             const recordedAtMs = [...record.deaths, ...record.trials ?? []].map(each => each.atMs);
             const liftedAtMs = Math.max(clock.wallMs(), ...recordedAtMs);
             return { ...record, liftedAtMs };
--- a/packages/admission/src/createQuarantineStore.ts
+++ b/packages/admission/src/createQuarantineStore.ts
@@ -12,20 +12,20 @@
     clock: Clock;
     logger: Logger;
     records: { merge(offered: QuarantineRecord[]): boolean; list(): QuarantineRecord[]; };
-    /** Called when there is something to write. */
+    /** Called when there are records to write. */
     onUnpublished: () => void;
 }
 
-/** The quarantine list as one object of the object API, which all entries write. */
+/** The quarantine list as a single object of the object API, written by all entries. */
 interface QuarantineStore {
-    /** Whether something known here is not known to be stored. */
+    /** Whether this entry has records that may not be stored yet. */
     hasUnpublished(): boolean;
     markUnpublished(): void;
-    /** Takes the stored list in if its version is higher; true if taken. */
+    /** Applies the stored list if its version is higher; true if applied. */
     offer(document: Pick<SharedDocument, "version" | "value">): boolean;
-    /** Writes the list with `extra` if nobody else has written meanwhile; else takes in what they wrote. */
+    /** Writes the list with `extra`; on a conflict with another writer, merges the stored list instead. */
     write(extra?: QuarantineRecord[]): Promise<SharedDocument | undefined>;
-    /** Writes what is new, merged with what others wrote; undefined if nothing was new or others kept writing. */
+    /** Writes new records, merged with those of other entries; undefined if none was new or conflicts persisted. */
     publish(): Promise<SharedDocument | undefined>;
 }
 
@@ -33,7 +33,7 @@
 const maxAttempts = 5;
 const absent = 0 as ObjectVersion;
 
-/** Makes the stored side of the quarantine; a version known here is only replaced by a higher one. */
+/** Creates the store of the quarantine list; a known version is only replaced by a higher one. */
 export function createQuarantineStore(
     { store, clock, logger, records, onUnpublished: onNews }: QuarantineStoreDeps,
 ): QuarantineStore {
@@ -45,7 +45,7 @@
         onNews();
     }
 
-    /** Takes a stored list; true if it lacks something that is known here. */
+    /** Merges a stored list; true if it lacks records known here. */
     function mergeStored(value: unknown, storedVersion: ObjectVersion): boolean {
         const stored = parseQuarantine(value) ?? [];
         version = storedVersion;
--- a/packages/admission/src/createTeamLimit.ts
+++ b/packages/admission/src/createTeamLimit.ts
@@ -3,21 +3,21 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 
 interface TeamLimitDeps {
-    /** Requests of one team that may be under way at this entry at once; read at each request. */
+    /** Maximum of concurrent requests of one team at this entry; read on each request. */
     maxPerTeam: () => number;
     retryAfterMs?: number;
 }
 
 interface TeamLimit {
-    /** Takes a place and gives the function that frees it; throws `queueFull`, and then nothing ran. */
+    /** Acquires a slot and returns the function that releases it; throws `queueFull` before anything runs. */
     acquire(team: TeamId): () => void;
-    /** Places taken by a team now. */
+    /** Slots that a team currently uses. */
     inUse(team: TeamId): number;
 }
 
 const defaultRetryAfterMs = 1_000;
 
-/** Bounds what one team may have waiting, so that its backlog fills neither memory nor the others' way in. */
+/** Limits the concurrent requests of each team, so that one team's backlog exhausts neither memory nor admission. */
 export function createTeamLimit(deps: TeamLimitDeps): TeamLimit {
     const { maxPerTeam, retryAfterMs = defaultRetryAfterMs } = deps;
     const slots = new Map<TeamId, number>();
--- a/packages/admission/src/createTrials.test.ts
+++ b/packages/admission/src/createTrials.test.ts
@@ -23,14 +23,14 @@
     );
     let boots = 0;
 
-    /** An engine dies with these contents in flight, and every entry hears of it from the sampler's report. */
+    /** Crashes an engine with these contents in flight; every entry receives the sampler's report of it. */
     function die(vm: string, ...names: ContentDigest[]): void {
         const death = { vm: vm as VmId, bootId: `boot-${boots++}`, contents: names.length };
         const suspects = names.map(digest => ({ digest, deaths: [death] }));
         entries.forEach(entry => entry.recordSuspects({ suspects }));
     }
 
-    /** What one entry wrote reaches the others. */
+    /** Distributes the stored list to all entries. */
     function spread(): void {
         const document = { version: control.revision(), value: control.peek("quarantine") };
         entries.forEach(entry => entry.offer(document));
@@ -44,8 +44,8 @@
     entry.trialDueInMs(digest, "request"),
 ];
 
-test("a refused content that was never alone at a death runs once more and is free everywhere", async () => {
-    // Guards against: a step never ends.
+test("a refused content never alone at a crash gets a trial, and its clean finish clears it everywhere", async () => {
+    // Guards against a step that never ends.
     const { clock, entries: [first, second], die, spread } = createFixture(2);
     die("vm-1", innocent, digestOf("killer"));
     die("vm-2", innocent, digestOf("other"));
@@ -56,7 +56,7 @@
     await clock.advance(5_000);
     expect(await first!.takeTrial(innocent, "sample")).toBeDefined();
     spread();
-    // One run, not one at each entry.
+    // One trial in total, not one per entry.
     expect(await second!.takeTrial(innocent, "sample")).toBeUndefined();
     await clock.advance(200);
     first!.recordCleanFinish(innocent);
@@ -65,8 +65,8 @@
     expect([first!, second!].map(entry => entry.isRefused(innocent))).toEqual([false, false]);
 });
 
-test("company that is cleared later was company all the same", async () => {
-    // Guards against: an innocent content is taken for a proven killer.
+test("a content that is cleared later still counts as company at earlier crashes", async () => {
+    // Guards against a harmless content that counts as confirmed crash-inducing.
     const { clock, entries: [entry], die } = createFixture(1);
     die("vm-1", innocent, digestOf("beside"));
     die("vm-2", innocent, digestOf("beside too"));
@@ -76,14 +76,14 @@
     expect(dueOf(entry!, innocent)).toEqual([0, 0]);
 });
 
-test("a content that was alone at two deaths waits: a sample a minute, a request an hour", () => {
+test("a content that was alone at two crashes waits a minute for a sample and an hour for a request", () => {
     const { entries: [entry], die } = createFixture(1);
     die("vm-1", innocent);
     die("vm-2", innocent);
     expect(dueOf(entry!, innocent)).toEqual([60_000, hourMs]);
 });
 
-test("entries that decide at once have one trial between them", async () => {
+test("entries that request a trial concurrently get one trial together", async () => {
     const { clock, entries, die } = createFixture(4);
     die("vm-1", innocent, digestOf("a"));
     die("vm-2", innocent, digestOf("b"));
@@ -92,7 +92,7 @@
     expect(taken.filter(trial => trial !== undefined)).toHaveLength(1);
 });
 
-test("a trial that did not run is the next request's", async () => {
+test("a trial that did not run goes to the next request", async () => {
     const { clock, entries: [entry], die } = createFixture(1);
     die("vm-1", innocent, digestOf("a"));
     die("vm-2", innocent, digestOf("b"));
@@ -104,8 +104,8 @@
     expect(await entry!.takeTrial(innocent, "request")).toBeUndefined();
 });
 
-test("the object API is down, and then the answer to the write is lost", async () => {
-    // Guards against: an innocent content waits an hour for its trial.
+test("a trial is granted and counted once after an outage of the object API and a lost answer to the write", async () => {
+    // Guards against a harmless content that waits an hour for its trial.
     const { clock, control, entries: [entry], die } = createFixture(1);
     die("vm-1", innocent, digestOf("a"));
     die("vm-2", innocent, digestOf("b"));
@@ -119,8 +119,8 @@
     expect(entry!.list().flatMap(record => record.trials ?? [])).toHaveLength(1);
 });
 
-test("a trial that told nothing is repeated after a minute", async () => {
-    // Guards against: a step never ends.
+test("a trial with unknown outcome is repeated after a minute", async () => {
+    // Guards against a step that never ends.
     const { clock, entries: [entry], die } = createFixture(1);
     die("vm-1", innocent, digestOf("a"));
     die("vm-2", innocent, digestOf("b"));
@@ -134,8 +134,8 @@
     expect(dueOf(entry!, innocent)[0]).toBeGreaterThan(3_500_000);
 });
 
-test("a clean end also settles a trial of an entry whose clock is ahead", async () => {
-    // Guards against: a content that has just proved harmless waits an hour after its next two deaths.
+test("a clean finish also clears a trial recorded by an entry whose clock is ahead", async () => {
+    // Guards against a content that just finished cleanly waiting an hour after its next two crashes.
     const { clock, entries: [entry], die } = createFixture(1);
     die("vm-1", innocent, digestOf("a"));
     die("vm-2", innocent, digestOf("b"));
@@ -149,7 +149,7 @@
     expect(dueOf(entry!, innocent)).toEqual([5_000, 5_000]);
 });
 
-/** Killers are sent again and again to each entry; counts the samplers that die in trials, by hour. */
+/** Sends crash-inducing contents repeatedly to each entry; counts the samplers that crash in trials, by hour. */
 async function countTrialCrashes(names: string[], hours: number): Promise<number[]> {
     const { clock, entries, die, spread } = createFixture(3);
     names.forEach((name, index) => {
@@ -173,22 +173,22 @@
     return crashes;
 }
 
-test("a killer whose sender never gives up costs five samplers in a day beyond the first two", async () => {
-    // The waits after trials at 0, 1, 3, 7 and 15 h end at 31 h; the record lives 24 h from its last death.
+test("a crash-inducing content retried forever crashes five more samplers in a day after the first two", async () => {
+    // Trials at 0, 1, 3, 7 and 15 h; the next would be at 31 h. The record expires 24 h after its last crash.
     const deaths = await countTrialCrashes(["killer"], 24);
     expect(deaths.map((count, hour) => count > 0 ? hour : -1).filter(hour => hour >= 0))
         .toEqual([0, 1, 3, 7, 15]);
     expect(Math.max(...deaths)).toBe(1);
 });
 
-test("many killers together cost three samplers an hour", async () => {
-    // Aim: under 1 % of the samplers' time at a site of six, each death costing a minute.
+test("many crash-inducing contents together crash three samplers an hour", async () => {
+    // Target: under 1 % of the samplers' time in a deployment of six, with each crash costing a minute.
     const deaths = await countTrialCrashes(["a", "b", "c", "d", "e", "f", "g", "h"], 6);
     expect(Math.max(...deaths)).toBe(3);
 });
 
-test("killers whose senders never give up leave a trial to a content that was never alone at a death", async () => {
-    // Guards against: a step waits an hour for its last sample.
+test("crash-inducing contents retried forever leave a trial to a content never alone at a crash", async () => {
+    // Guards against a step that waits an hour for its last sample.
     const { clock, entries: [entry], die } = createFixture(1);
     const killers = ["a", "b", "c", "d"].map(digestOf);
     killers.forEach((killer, index) => {
--- a/packages/admission/src/createTrials.ts
+++ b/packages/admission/src/createTrials.ts
@@ -11,12 +11,12 @@
     clock: Clock;
     random: Random;
     logger: Logger;
-    /** Wall time from which the content may be tried once more. */
+    /** Wall time from which the content may have another trial. */
     dueAtMs: (digest: ContentDigest, kind: TrialKind) => number;
     isDue: (dueAtMs: number, nowMs: number) => boolean;
     withTrial: (digest: ContentDigest, trial: TrialId) => QuarantineRecord;
     hasTrial: (digest: ContentDigest, trial: TrialId) => boolean;
-    /** Writes the list with this record merged in, if nobody else has written meanwhile; true if written. */
+    /** Writes the list with this record merged, unless another entry wrote meanwhile; true if written. */
     write: (record: QuarantineRecord) => Promise<boolean>;
 }
 
@@ -25,21 +25,21 @@
     untilMs: number;
 }
 
-/** A trial that was not run by then, since its caller has not come again, is forgotten. */
+/** A trial that is not run within this time, because its caller has not retried, expires. */
 const permitLifeMs = 600_000;
 const maxAttempts = 5;
 
 /**
- * Allows a refused content one run at a time. A trial counts once it stands in the shared list, written under the
- * version it was decided on, so that entries that decide at once cannot exceed the limit of the fleet together. A
- * write whose answer is lost may have taken effect: the permit is kept and valid once the list shows it.
+ * Allows a refused content one run at a time. A trial counts once it is in the shared list, written conditionally on
+ * the version it was decided on, so that entries that decide concurrently cannot exceed the fleet's limit together.
+ * A write whose answer is lost may have taken effect: its permit is kept and becomes valid once the list contains it.
  */
 export function createTrials(
     deps: TrialsDeps,
 ): Pick<Quarantine, "takeTrial" | "returnTrial" | "trialDueInMs"> {
     const { clock, logger } = deps;
     const permits = new Map<ContentDigest, Permit>();
-    /** Contents for which a trial is being asked for here: the next request of it must not ask as well. */
+    /** Contents for which this entry is requesting a trial; concurrent requests must not request another. */
     const requesting = new Set<ContentDigest>();
 
     const dueInMs = (digest: ContentDigest, kind: TrialKind): number => {
@@ -47,7 +47,7 @@
         return deps.isDue(dueAtMs, clock.wallMs()) ? 0 : Math.max(1, dueAtMs - clock.wallMs());
     };
 
-    /** The content's permit, unless it is too old. */
+    /** The content's permit, unless it has expired. */
     function permitOf(digest: ContentDigest): Permit | undefined {
         const permit = permits.get(digest);
         if (permit !== undefined && permit.untilMs <= clock.wallMs()) {
@@ -57,13 +57,13 @@
         return permit;
     }
 
-    /** A permit that stands in the list and has not been used. */
+    /** An unused permit whose trial is in the shared list. */
     function validPermit(digest: ContentDigest): Permit | undefined {
         const permit = permitOf(digest);
         return permit !== undefined && deps.hasTrial(digest, permit.trial) ? permit : undefined;
     }
 
-    /** Asks once more under the same id for what may have been written already. */
+    /** Requests a trial; retries use the same id, since an earlier write may have taken effect. */
     async function requestPermit(digest: ContentDigest, kind: TrialKind): Promise<void> {
         for (let tries = 0; tries < maxAttempts && validPermit(digest) === undefined; tries++) {
             if (dueInMs(digest, kind) > 0) {
@@ -93,7 +93,7 @@
                 await requestPermit(digest, kind);
             }
             catch {
-                // The object API is down: what is refused stays refused until a trial can be counted.
+                // The object API is down; refused contents stay refused until a trial can be counted.
                 logger.info("contentTrialNotCounted", { digest });
             }
             finally {
--- a/packages/admission/src/defaultKeyRangeGuards.ts
+++ b/packages/admission/src/defaultKeyRangeGuards.ts
@@ -1,8 +1,8 @@
 import type { KeyRangeGuards } from "./KeyRangeGuards.js";
 
 /**
- * An earlier owner took keys minted up to `skewMs` ahead of its clock, and its clock may be `skewMs` ahead of this
- * one: twice the skew after the takeover, no key can be one that it ran.
+ * The default guards. An earlier owner accepted keys created up to `skewMs` ahead of its clock, and its clock may be
+ * `skewMs` ahead of this one. So it cannot have run a key created later than twice the skew after the takeover.
  */
 export const defaultKeyRangeGuards: KeyRangeGuards = {
     mayAccept: isHeld => isHeld,
--- a/packages/admission/src/groupCrashes.ts
+++ b/packages/admission/src/groupCrashes.ts
@@ -1,7 +1,7 @@
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { ReportedCrash } from "./ReportedCrash.js";
 
-/** The deaths of a sampler's report with the contents that each is told of. */
+/** Groups the suspects of a sampler's report by crash, each with the digests reported for it. */
 export function groupCrashes(suspects: SamplerReport["suspects"]): ReportedCrash[] {
     const crashes = new Map<string, ReportedCrash>();
     for (const { digest, deaths: reported } of suspects) {
--- a/packages/admission/src/isConvicted.ts
+++ b/packages/admission/src/isConvicted.ts
@@ -4,8 +4,8 @@
 const vmsToConvict = 2;
 
 /**
- * Whether a record refuses its content now: deaths on two different VMs since it was last lifted, none of them
- * doubtful (see `countDeadVms`). Two deaths on one VM may be the VM's fault.
+ * Whether a record causes its content to be refused now: crashes on two different VMs since it was last lifted, none
+ * of them explained by another content (see `countCrashedVms`). Two crashes on one VM may be the VM's fault.
  */
 export function isConvicted(
     record: QuarantineRecord,
--- a/packages/admission/src/isTrialDue.ts
+++ b/packages/admission/src/isTrialDue.ts
@@ -1,4 +1,4 @@
-/** A trial may be had from the time on at which it is due; see `trialDueAtMs`. */
+/** A trial is available from its due time on; see `trialDueAtMs`. */
 export function isTrialDue(dueAtMs: number, nowMs: number): boolean {
     return nowMs >= dueAtMs;
 }
--- a/packages/admission/src/mergeRecords.ts
+++ b/packages/admission/src/mergeRecords.ts
@@ -7,7 +7,7 @@
 const latest = (a: number | undefined, b: number | undefined): number | undefined =>
     a === undefined ? b : Math.max(a, b ?? a);
 
-/** Each teller counts what it saw, so that the highest count is nearest to the truth. */
+/** Each process counts the contents it saw, so the highest count is the most accurate. */
 function mergeCrash(a: Crashes[number], b: Crashes[number]): Crashes[number] {
     const contents = latest(a.contents, b.contents);
     const { vm, bootId } = a;
@@ -24,7 +24,7 @@
     return merged.length === 0 ? undefined : merged;
 }
 
-/** One death told by several entries counts once, at the earliest time told. */
+/** A crash reported by several entries counts once, at the earliest time reported. */
 function mergeCrashes(crashes: Crashes): Crashes {
     const byBoot = new Map<string, Crashes[number]>();
     for (const death of crashes) {
@@ -36,8 +36,8 @@
 }
 
 /**
- * Merges lists of records. The result does not depend on the order in which entries' lists are merged, so that
- * entries that race each other agree.
+ * Merges lists of records. The result does not depend on the order of merging, so that entries that write
+ * concurrently converge.
  */
 export function mergeRecords(...lists: QuarantineRecord[][]): QuarantineRecord[] {
     const merged = new Map<ContentDigest, QuarantineRecord>();
--- a/packages/admission/src/mintTime.ts
+++ b/packages/admission/src/mintTime.ts
@@ -2,7 +2,7 @@
 
 const timeChars = 12;
 
-/** Wall time in milliseconds at which a UUIDv7 was minted; undefined for anything else. */
+/** Creation time of a UUIDv7 in milliseconds of wall time; undefined for any other text. */
 export function mintTime(key: string): number | undefined {
     if (!validate(key) || version(key) !== 7) {
         return undefined;
--- a/packages/admission/src/parseQuarantine.ts
+++ b/packages/admission/src/parseQuarantine.ts
@@ -16,7 +16,7 @@
     })),
 });
 
-/** Reads the value of the shared document `quarantine`; undefined where it is something else. */
+/** Parses the value of the shared document `quarantine`; undefined if it is invalid. */
 export function parseQuarantine(value: unknown): QuarantineRecord[] | undefined {
     const parsed = quarantineValue.safeParse(value);
     return parsed.success ? parsed.data.records as QuarantineRecord[] : undefined;
--- a/packages/admission/src/rangeCount.ts
+++ b/packages/admission/src/rangeCount.ts
@@ -1,2 +1,2 @@
-/** Ranges into which keys are divided; each is owned by one entry at a time through a lease. */
+/** Number of ranges that keys are divided into; each is owned by one entry at a time through a lease. */
 export const rangeCount = 32;
--- a/packages/admission/src/replayAnswer.ts
+++ b/packages/admission/src/replayAnswer.ts
@@ -7,7 +7,7 @@
     }
 }
 
-/** The answer as it came, from memory. */
+/** Replays a cached answer. */
 export function replayAnswer({ status, headers, body }: CachedAnswer): PlainAnswer {
     return { status, headers, body: once(body) };
 }
--- a/packages/admission/src/trialDueAtMs.ts
+++ b/packages/admission/src/trialDueAtMs.ts
@@ -7,7 +7,7 @@
 
 const vmsToConfirm = 2;
 
-/** Wall time from which one more trial keeps the whole fleet within `limit` in a window. */
+/** Wall time from which one more trial keeps the whole fleet within `limit` per window. */
 function withinLimitFromMs(records: readonly QuarantineRecord[], limit: number): number {
     const startedAtMs = records.flatMap(openTrials).map(trial => trial.atMs).sort((a, b) => b - a);
     const oldestInFullWindow = startedAtMs[limit - 1];
@@ -15,9 +15,9 @@
 }
 
 interface Evidence {
-    /** Trials after which a death of the content was told. */
+    /** Trials followed by a recorded crash of the content. */
     crashed: number;
-    /** Trials that neither cleared it nor killed. */
+    /** Trials that neither cleared the content nor ended in a crash. */
     unknown: number;
     wasAlone: boolean;
 }
@@ -36,12 +36,14 @@
 /**
  * Wall time from which a refused content may run once more, alone on a sampler.
  *
- * The number of deaths cannot tell a bystander from a killer; whether it was alone at them can, and one run alone
- * decides. Only a sidecar knows what was in flight at its engine; where one died with its VM, or alone, nobody counted.
+ * The number of crashes does not distinguish a bystander from a crash-inducing content. Whether the content was alone
+ * in flight does, and one run alone decides it. Only a sidecar knows what was in flight on its engine; if the sidecar
+ * crashed too, alone or with its VM, there is no count.
  *
- * A content that was always in company is tried soon, since its deaths have other explanations. One that was alone at
- * deaths on two VMs, or has killed in a trial, most likely kills, and each trial costs a sampler: it waits an hour, then
- * two, then four; only the first trial of a sample comes sooner. A trial that told nothing is no proof.
+ * A content that never crashed a sampler alone gets a trial soon, since its crashes have other explanations. One that
+ * was alone at crashes on two VMs, or crashed a sampler in a trial, most likely induces crashes, and each trial costs
+ * a sampler: it waits an hour, then two, then four. Only the first trial of a sample comes sooner. A trial with unknown
+ * outcome proves nothing.
  */
 export function trialDueAtMs(
     record: QuarantineRecord,
@@ -54,14 +56,14 @@
     const others = records.filter(other => other.digest !== record.digest);
     const isAlone = (death: QuarantineRecord["deaths"][number]): boolean =>
         death.contents === 1
-        // Also a content that is cleared by now was company: the death is as unexplained as before.
+        // Contents that were cleared since then count as company too: the crash remains unexplained.
         && !others.some(other => other.deaths.some(each => isSameCrash(each, death)));
     const vmsAlone = new Set(crashes.filter(isAlone).map(death => death.vm)).size;
     const crashed = trials.filter(trial => crashes.some(death => death.atMs >= trial.atMs)).length;
     const evidence = { crashed, unknown: trials.length - crashed, wasAlone: vmsAlone >= vmsToConfirm };
     const waitMs = waitBeforeTrialMs(evidence, kind);
     const latestMs = Math.max(...crashes.map(death => death.atMs), ...trials.map(trial => trial.atMs));
-    // Contents that most likely kill leave a trial to those whose deaths have other explanations.
+    // Likely crash-inducing contents leave one trial to contents whose crashes have other explanations.
     const limit = evidence.crashed > 0 || evidence.wasAlone
         ? trialLimits.maxOfLikelyCrashInducing
         : trialLimits.maxInWindow;
--- a/packages/admission/src/trialLimits.ts
+++ b/packages/admission/src/trialLimits.ts
@@ -1,19 +1,19 @@
-/** When a refused content may be tried once more. A trial that kills costs a sampler its start and a load of weights. */
+/** When a refused content may have another trial. A crash in a trial costs a sampler's restart and weight load. */
 export const trialLimits = {
-    /** After a death; the list has told it everywhere by then. */
+    /** After a crash; by then the shared list has reached every entry. */
     afterCrashMs: 5_000,
-    /** After two deaths at which it was alone, or after a trial in which its sampler died; doubled with each. */
+    /** After two crashes at which it was alone, or after a crash in a trial; doubled with each further one. */
     afterConfirmedCrashMs: 3_600_000,
     /**
-     * After a trial that told nothing: its engine came back with other weights, or its caller left. A sidecar that died
-     * with its VM is missed for so long at most.
+     * After a trial with unknown outcome: its engine restarted with other weights, or its caller left. The loss of a
+     * sidecar together with its VM is noticed within this time.
      */
     afterUnknownMs: 60_000,
-    /** The first trial of a sample after two deaths at which it was alone: its step cannot end without it. */
+    /** First trial of a sample after two crashes at which it was alone: its step cannot end without it. */
     firstSampleTrialMs: 60_000,
-    /** Trials of all contents that did not end cleanly, in any such window. */
+    /** Maximum of trials of all contents that did not end cleanly, in any window of `windowMs`. */
     maxInWindow: 3,
-    /** Of these, trials of contents that were alone at deaths on two VMs or have killed in a trial. */
+    /** Maximum of these for contents that were alone at crashes on two VMs or crashed a sampler in a trial. */
     maxOfLikelyCrashInducing: 2,
     windowMs: 3_600_000,
 } as const;
