--- a/packages/forwarding/src/BreakRegistry.ts
+++ b/packages/forwarding/src/BreakRegistry.ts
@@ -1,23 +1,23 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { BreakReport } from "./BreakReport.js";
 
-/** Contents of requests that broke off at samplers, whatever process sent them. */
+/** Contents of requests whose attempts broke off at samplers, regardless of the process that sent them. */
 export interface BreakRegistry {
-    /** How long the content must not be sent to any sampler; 0 if it may be sent now. */
+    /** Time for which the content must not be sent to any sampler; 0 if it may be sent now. */
     pauseMs(content: ContentDigest): number;
-    /** Whether it may be sent to one more sampler for the same caller. */
+    /** Whether the content may be sent to another sampler for the same caller. */
     mayRetry(content: ContentDigest): boolean;
-    /** Whether nothing is remembered, so that no digest is needed. */
+    /** Whether no content is recorded, so that no digest has to be computed. */
     isEmpty(): boolean;
-    /** An attempt starts. While a content is on trial, its pause begins anew for all other requests. */
+    /** Records the start of an attempt. If the content has a pause, the pause restarts for all other requests. */
     recordSent(content: ContentDigest): void;
     recordBreak(content: ContentDigest): void;
-    /** A sampler ran it to its end and lives: it is not the content that broke off. */
+    /** Records an attempt that completed; the content was not the cause of earlier breaks. */
     recordCompletion(content: ContentDigest): void;
-    /** What own requests showed in the last `withinMs`, the latest last. */
+    /** Reports from this process's own requests of the last `withinMs`, the latest last. */
     listOwn(withinMs: number): BreakReport[];
-    /** The same of all processes as far as known. */
+    /** The same, including reports received from other processes. */
     listAll(withinMs: number): BreakReport[];
-    /** Takes what another process tells, where it is later than what is known. */
+    /** Merges the reports of another process that are later than what is known here. */
     merge(marks: readonly BreakReport[]): void;
 }
--- a/packages/forwarding/src/BreakReport.ts
+++ b/packages/forwarding/src/BreakReport.ts
@@ -1,10 +1,10 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 
-/** What a process knows of a content that broke off at samplers, as it tells others. */
+/** Report of one process to others on a content whose attempts broke off at samplers. */
 export interface BreakReport {
     content: ContentDigest;
-    /** Attempts that broke off in a row; 0 once it has run to its end. */
+    /** Number of consecutive attempts that broke off; 0 once one has completed. */
     breaks: number;
-    /** Milliseconds since the last of them, or since it ran to its end. Ages, since clocks differ. */
+    /** Milliseconds since the last of them, or since the completion. An age, because the processes' clocks differ. */
     ageMs: number;
 }
--- a/packages/forwarding/src/CallSampler.ts
+++ b/packages/forwarding/src/CallSampler.ts
@@ -1,5 +1,5 @@
 import type { SamplerReply } from "./SamplerReply.js";
 import type { SamplerRequest } from "./SamplerRequest.js";
 
-/** Sends one request to one sampler. Never rejects; aborting the signal closes the connection. */
+/** Sends a request to one sampler. Never rejects; aborting the signal closes the connection. */
 export type CallSampler = (request: SamplerRequest, signal: AbortSignal) => Promise<SamplerReply>;
--- a/packages/forwarding/src/ContentGuard.ts
+++ b/packages/forwarding/src/ContentGuard.ts
@@ -1,8 +1,8 @@
-/** What is remembered of one request's content, asked and told by that request. */
+/** The break registry as seen by one request, for that request's content. */
 export interface ContentGuard {
-    /** How long it must not be sent to any sampler; 0 if it may be sent now. */
+    /** Time for which the content must not be sent to any sampler; 0 if it may be sent now. */
     pauseMs(): number;
-    /** Whether it may be sent to one more sampler. */
+    /** Whether the content may be sent to another sampler. */
     mayRetry(): boolean;
     recordSent(): void;
     recordBreak(): void;
--- a/packages/forwarding/src/RequestForwarder.ts
+++ b/packages/forwarding/src/RequestForwarder.ts
@@ -1,5 +1,5 @@
 import type { ForwardingOutcome } from "./ForwardingOutcome.js";
 import type { RoutedRequest } from "./RoutedRequest.js";
 
-/** Carries one request to a sampler of its route. Never rejects; aborting the signal cancels it at the samplers. */
+/** Forwards a request to a sampler of its route. Never rejects; aborting the signal cancels it at the samplers. */
 export type RequestForwarder = (request: RoutedRequest, signal: AbortSignal) => Promise<ForwardingOutcome>;
--- a/packages/forwarding/src/RequestForwarderDeps.ts
+++ b/packages/forwarding/src/RequestForwarderDeps.ts
@@ -9,7 +9,7 @@
 import type { CallSampler } from "./CallSampler.js";
 import type { RunMeter } from "./RunMeter.js";
 
-/** What a relay is built from. */
+/** Dependencies of `createRequestForwarder`. */
 export interface RequestForwarderDeps {
     callSampler: CallSampler;
     directory: SamplerDirectory;
@@ -18,10 +18,10 @@
     logger: Logger;
     metrics: Metrics;
     invariants: Invariants;
-    /** Own failure domain; samplers in it are preferred. */
+    /** Failure domain of this process; samplers in it are preferred. */
     failureDomain: FailureDomain;
-    /** Shared with other processes by whoever passes it; by default what this relay alone has seen. */
+    /** May contain reports of other processes; by default only what this forwarder has seen. */
     breaks?: BreakRegistry;
-    /** Counts the requests of teams; none where that is not asked for. */
+    /** Meters the requests of teams; undefined if they are not metered. */
     meter?: RunMeter | undefined;
 }
--- a/packages/forwarding/src/RoutedRequest.ts
+++ b/packages/forwarding/src/RoutedRequest.ts
@@ -4,7 +4,7 @@
 /** A caller's request with its route. */
 export interface RoutedRequest {
     requestId: string;
-    /** Whose request it is; undefined where callers need no key. */
+    /** The team that sent the request; undefined on routes without authentication. */
     team: TeamId | undefined;
     route: Route;
     method: string;
@@ -12,8 +12,8 @@
     path: string;
     headers: Record<string, string>;
     body: Uint8Array;
-    /** Time the caller still waits; undefined if it does not say. */
+    /** Time that the caller still waits; undefined if it did not set a deadline. */
     deadlineMs: number | undefined;
-    /** Time without an answer after which an idempotent request is tried elsewhere too; by default from its route. */
+    /** Time without an answer after which an idempotent request is hedged; by default derived from its route. */
     hedgeMs?: number;
 }
--- a/packages/forwarding/src/RunMeter.ts
+++ b/packages/forwarding/src/RunMeter.ts
@@ -1,7 +1,10 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 
-/** Hears of requests of teams that may begin to run. */
+/** Meters requests of teams. */
 export interface RunMeter {
-    /** The returned function tells the end, once: when it began to run, in monotonic time, or undefined if it did not. */
+    /**
+     * Opens a request; the returned function closes it once, with the monotonic time at which it began to run, or
+     * undefined if it did not.
+     */
     open(team: TeamId): (startedAtMs: number | undefined) => void;
 }
--- a/packages/forwarding/src/SamplerAttempts.ts
+++ b/packages/forwarding/src/SamplerAttempts.ts
@@ -3,9 +3,9 @@
 import type { RoutedRequest } from "./RoutedRequest.js";
 import type { SamplerAttemptOutcome } from "./SamplerAttemptOutcome.js";
 
-/** Single tries of requests at samplers. */
+/** Single attempts of requests at samplers. */
 export interface SamplerAttempts {
-    /** The sampler that is expected to answer first, of those not tried yet. */
+    /** The sampler that is expected to answer first, among those not tried yet. */
     pick(request: RoutedRequest, tried: ReadonlySet<IncarnationId>): KnownSampler | undefined;
     run(
         request: RoutedRequest,
--- a/packages/forwarding/src/SamplerRecord.ts
+++ b/packages/forwarding/src/SamplerRecord.ts
@@ -1,9 +1,9 @@
-/** What this process knows of a sampler from its own requests. */
+/** What this process knows about a sampler from its own requests. */
 export interface SamplerRecord {
-    /** Monotonic start times of requests under way there. */
+    /** Monotonic start times of the requests in flight at the sampler. */
     sentAtMs: Set<number>;
-    /** Smoothed time of whole answers. */
+    /** Smoothed latency of complete answers. */
     latencyMs: number | undefined;
-    /** Monotonic time of the last failure that was the sampler's. */
+    /** Monotonic time of the last attempt that failed without being cancelled here. */
     failedAtMs: number;
 }
--- a/packages/forwarding/src/crashInducingRequest.test.ts
+++ b/packages/forwarding/src/crashInducingRequest.test.ts
@@ -20,8 +20,8 @@
 const broken: SamplerReply = { kind: "unknown", code: resultCodes.connectionBroken, detail: "reset" };
 const notConnected: SamplerReply = { kind: "notRun", code: resultCodes.connectFailed, detail: "refused" };
 
-test("a request that kills samplers is retried at most three times after the third, whatever gateway it comes to", async () => {
-    // Guards against: one request that its client sends again takes down two samplers more each time.
+test("a crash-inducing request is retried at most three times after the third crash, at any gateway", async () => {
+    // Guards against a request that crashes two more samplers each time its client sends it again.
     const clock = createFakeClock();
     const upAtMs = new Map<string, number>();
     let crashes = 0;
--- a/packages/forwarding/src/createBreakRegistry.test.ts
+++ b/packages/forwarding/src/createBreakRegistry.test.ts
@@ -32,11 +32,11 @@
 
 const restartMs = 3_000;
 const workMs = 25;
-/** Every gateway asks one runner for changes, each question waiting so long, and tells it what broke off. */
+/** Wait of one feed query to the runner; each gateway reports breaks with its query. */
 const exchangeIntervalMs = 800;
 const reportWindowMs = 3_000;
 
-/** Gateways that tell each other through one runner, and samplers that a body of "killer" ends. */
+/** Gateways that exchange reports through one runner, and samplers that the body "killer" crashes. */
 function createFleet(
     { gateways, samplers, isSharing }: { gateways: number; samplers: number; isSharing: boolean; },
 ) {
@@ -112,12 +112,12 @@
     return { kills: crashes.length, paused: ends.filter(end => end === "contentPaused").length, harmless };
 }
 
-test("a request that kills samplers is known at 58 gateways within the time of one question", async () => {
+test("a crash-inducing request is known at 58 gateways within the time of one feed query", async () => {
     expect(await sendCrashInducing(false)).toEqual({ kills: 41, paused: 0, harmless: 27 });
     expect(await sendCrashInducing(true)).toEqual({ kills: 5, paused: 32, harmless: 40 });
 });
 
-test("the refusal of such a request says when it may run again, and it runs then", async () => {
+test("the refusal of a crash-inducing request contains the time of the next attempt, and it runs then", async () => {
     const { clock, kills, send } = createFleet({ gateways: 1, samplers: 4, isSharing: false });
     for (let at = 0; at < 2; at++) {
         void send(at, "killer");
@@ -135,8 +135,8 @@
     expect(kills.length - before).toBe(1);
 });
 
-test("a content that broke off beside others is cleared by its first run to the end, everywhere", async () => {
-    // Guards against: a harmless request is held up since its samplers were killed by another.
+test("a content that broke off beside others is cleared everywhere by its first completed attempt", async () => {
+    // Guards against a harmless request that stays paused because another one crashed its samplers.
     const clock = createFakeClock();
     const here = createBreakRegistry(clock);
     const there = createBreakRegistry(clock);
@@ -151,7 +151,7 @@
     expect([here.pauseMs(content), here.mayRetry(content)]).toEqual([0, true]);
 });
 
-test("what is told late or twice changes nothing", async () => {
+test("reports that arrive late or twice change nothing", async () => {
     const clock = createFakeClock();
     const here = createBreakRegistry(clock);
     here.recordBreak(content);
@@ -165,7 +165,7 @@
     expect(here.listAll(reportWindowMs)).toEqual([{ content, breaks: 0, ageMs: 0 }]);
 });
 
-test("two processes that count beside each other do not undo each other's count", async () => {
+test("processes that count concurrently do not reset each other's count", async () => {
     const clock = createFakeClock();
     const here = createBreakRegistry(clock);
     const there = createBreakRegistry(clock);
@@ -177,7 +177,7 @@
     expect(here.mayRetry(content)).toBe(false);
 });
 
-test("the memory is bounded, and forgets in time", async () => {
+test("the registry is bounded and its records expire", async () => {
     const clock = createFakeClock();
     const memory = createBreakRegistry(clock);
     memory.recordBreak(content);
--- a/packages/forwarding/src/createBreakRegistry.ts
+++ b/packages/forwarding/src/createBreakRegistry.ts
@@ -8,25 +8,26 @@
     breaks: number;
     /** Monotonic time of the last change. */
     atMs: number;
-    /** Whether own requests showed it. */
+    /** Whether requests of this process caused the record. */
     isOwn: boolean;
 }
 
-/** A sampler may crash or be cut off while a harmless request runs there; at two in a row one cause is likelier. */
+/** One break may be a crash or a lost connection during a harmless request; two in a row likely have one cause. */
 const maxBreaksWithRetry = 1;
-/** Contents remembered; the one that changed longest ago goes first. */
+/** Maximum of recorded contents; the least recently changed one is evicted first. */
 const maxRecords = 1_024;
-/** As long as the longest pause. */
+/** Equal to the longest pause. */
 const retentionMs = 3_600_000;
-/** Told at once; bounds a message where many samplers end together. */
+/** Maximum of reports in one message, which bounds its size when many samplers stop together. */
 const maxReports = 32;
 
 /**
- * Makes the memory of one process. A request that kills samplers comes again at other processes, each of which would
- * try it at as many samplers as its route allows; so what broke off is told from process to process and counted as one.
+ * Creates the break registry of one process. A request that crashes samplers is sent again to other processes, each of
+ * which would try it on as many samplers as its route allows. So the processes exchange their reports and count them
+ * together.
  */
 export function createBreakRegistry(clock: Clock): BreakRegistry {
-    /** In the order of their last change, the latest last. */
+    /** Ordered by their last change, the latest last. */
     const records = new Map<ContentDigest, BreakRecord>();
 
     function set(content: ContentDigest, record: BreakRecord): void {
@@ -66,7 +67,7 @@
         if (present !== undefined && present.atMs >= atMs) {
             return;
         }
-        // Two processes may have counted beside each other; only a run to the end sets the count back.
+        // Two processes may have counted concurrently; only a completed attempt resets the count.
         const counted = breaks === 0 ? 0 : Math.max(breaks, present?.breaks ?? 0);
         set(content, { breaks: counted, atMs, isOwn: false });
     }
--- a/packages/forwarding/src/createContentGuard.ts
+++ b/packages/forwarding/src/createContentGuard.ts
@@ -4,7 +4,7 @@
 import type { ContentGuard } from "./ContentGuard.js";
 import type { RoutedRequest } from "./RoutedRequest.js";
 
-/** Makes the guard of one request. While nothing has broken off anywhere its content is not digested. */
+/** Creates the guard of one request. Its content is digested only once some content has been recorded. */
 export function createContentGuard(
     breaks: BreakRegistry,
     { host, method, path, body }: Pick<RoutedRequest, "host" | "method" | "path" | "body">,
--- a/packages/forwarding/src/createRequestForwarder.test.ts
+++ b/packages/forwarding/src/createRequestForwarder.test.ts
@@ -27,7 +27,7 @@
 const notRun: SamplerReply = { kind: "notRun", code: resultCodes.overloaded, detail: "full" };
 const unknown: SamplerReply = { kind: "unknown", code: resultCodes.connectionBroken, detail: "reset" };
 
-/** How each sampler answers: after a delay, with a reply; `never` answers only when it is cancelled. */
+/** Scripted replies of each sampler, with their delays; `never` ends only when it is cancelled. */
 type Script = Record<string, { afterMs: number; reply: SamplerReply | "never"; }[]>;
 
 function createFixture(script: Script, samplers = Object.keys(script).map(name => createTestSampler(name))) {
@@ -78,8 +78,8 @@
         ? "open"
         : `${outcome.kind === "answered" ? outcome.status : outcome.code.name} @${atMs}`;
 
-test("an idempotent request is tried elsewhere after a cut answer, a reset, a refusal and a failure", async () => {
-    // Guards against: clients got broken or failed answers while other samplers were well.
+test("an idempotent request is retried elsewhere after a truncated answer, a reset, a refusal and a failure", async () => {
+    // Guards against clients that get truncated or failed answers while other samplers are healthy.
     const replies = [answered(200, "half", true), unknown, notRun, answered(500)];
     const shown = [];
     for (const reply of replies) {
@@ -94,7 +94,7 @@
     expect(shown).toEqual(["200 @20", "200 @20", "200 @20", "200 @20"]);
 });
 
-test("a late try gets a second one beside it, and the loser is cancelled after a while", async () => {
+test("a late attempt is hedged, and the slower attempt is cancelled after a grace period", async () => {
     const { clock, sent, cancelled, ask } = createFixture({ a: [{ afterMs: 0, reply: "never" }], b: [] });
     const { settled } = ask("idempotent");
     await clock.advance(2_000);
@@ -103,8 +103,8 @@
     expect(cancelled).toEqual(["a@350"]);
 });
 
-test("a request that may run once is tried again only if it has certainly not run", async () => {
-    // Guards against: an alert went out twice.
+test("a non-idempotent request is retried only if it has certainly not run", async () => {
+    // Guards against a request, such as sending an alert, that runs twice.
     const refused = createFixture({ a: [{ afterMs: 5, reply: notRun }], b: [] });
     const broken = createFixture({ a: [{ afterMs: 5, reply: unknown }], b: [] });
     const first = refused.ask("nonIdempotent");
@@ -115,7 +115,7 @@
     expect([show(second.settled), broken.sent.length]).toEqual(["connectionBroken @5", 1]);
 });
 
-test("a refusal is a promise only if no try may have run", async () => {
+test("a request is refused as not run only if no attempt may have run", async () => {
     const full = createFixture({ a: [{ afterMs: 5, reply: notRun }], b: [{ afterMs: 5, reply: notRun }] });
     const mixed = createFixture({ a: [{ afterMs: 5, reply: unknown }], b: [{ afterMs: 5, reply: notRun }] });
     const none = createFixture({});
@@ -130,7 +130,7 @@
     ]);
 });
 
-test("the route's time limit ends a request at once, and what still runs is cancelled", async () => {
+test("the route's time limit ends a request immediately and cancels its attempts in flight", async () => {
     const never = { afterMs: 0, reply: "never" as const };
     const { clock, cancelled, ask } = createFixture({ a: [never], b: [never], c: [never] });
     const { settled } = ask("idempotent", { timeoutMs: 400 });
@@ -139,7 +139,7 @@
     expect(cancelled.every(entry => entry.endsWith("@400"))).toBe(true);
 });
 
-test("a request is cancelled at its sampler when the caller leaves", async () => {
+test("a request is cancelled at its sampler when the caller disconnects", async () => {
     const { clock, cancelled, ask } = createFixture({ a: [{ afterMs: 0, reply: "never" }] });
     const { caller, settled } = ask("nonIdempotent");
     await clock.advance(50);
@@ -148,7 +148,7 @@
     expect([show(settled), cancelled]).toEqual(["cancelled @50", ["a@50"]]);
 });
 
-test("no more samplers are tried than the route allows", async () => {
+test("at most as many samplers are tried as the route allows", async () => {
     const bad = () => [{ afterMs: 5, reply: unknown }];
     const { clock, sent, ask } = createFixture({ a: bad(), b: bad(), c: bad(), d: bad() });
     const { settled } = ask("idempotent", { maxAttempts: 2 });
@@ -156,7 +156,7 @@
     expect([sent.length, show(settled)]).toEqual([2, "connectionBroken @10"]);
 });
 
-test("a sampler in the own failure domain is taken unless it is slower by more than its bytes cost", async () => {
+test("a sampler in the forwarder's own failure domain is preferred over an equally fast one elsewhere", async () => {
     const samplers = [
         createTestSampler("far", { failureDomain: "burgos" as FailureDomain }),
         createTestSampler("near"),
--- a/packages/forwarding/src/createRequestForwarder.ts
+++ b/packages/forwarding/src/createRequestForwarder.ts
@@ -7,9 +7,9 @@
 import { startForwarding } from "./startForwarding.js";
 
 /**
- * Makes the relay of plain requests. An idempotent request is tried at other samplers after a failure, and beside a
- * try that is late, and its answer is checked to be whole before a byte goes on. Any other request is tried again
- * only if it has certainly not run. A content that broke off wherever it ran is refused until it may be tried again.
+ * Creates the forwarder of plain requests. An idempotent request is retried on other samplers after a failure, and
+ * hedged if an attempt is late; its answer is read completely before any byte is forwarded. Any other request is
+ * retried only if it has certainly not run. A content whose attempts broke off is refused until its pause ends.
  */
 export function createRequestForwarder(deps: RequestForwarderDeps): RequestForwarder {
     const tries = createSamplerAttempts(deps);
--- a/packages/forwarding/src/createRunStartTracker.ts
+++ b/packages/forwarding/src/createRunStartTracker.ts
@@ -4,15 +4,15 @@
 import type { RunMeter } from "./RunMeter.js";
 import type { SamplerAttemptOutcome } from "./SamplerAttemptOutcome.js";
 
-/** When a request began to run, from the tries that ran or may have. */
+/** Determines when a request started to run, from the attempts that ran or may have run. */
 interface RunStartTracker {
     recordSent(sampler: IncarnationId): void;
     recordEnd(sampler: IncarnationId, outcome: SamplerAttemptOutcome): void;
-    /** Tells the meter; tries still out count as running. */
+    /** Reports to the meter; attempts still in flight count as running. */
     close(): void;
 }
 
-/** Makes the watch of one request. A request that ran at two samplers counts once, from the first. */
+/** Creates the tracker of one request. A request that ran on two samplers counts once, from the earlier start. */
 export function createRunStartTracker(
     clock: Clock,
     meter: RunMeter | undefined,
--- a/packages/forwarding/src/createSamplerAttempts.ts
+++ b/packages/forwarding/src/createSamplerAttempts.ts
@@ -22,7 +22,7 @@
     },
 });
 
-/** Reads an answer to its end, so that one that breaks off can be asked for elsewhere before a byte goes on. */
+/** Reads an answer completely, so that one that breaks off can be retried before any byte is forwarded. */
 async function readAnswer(answer: Answered): Promise<SamplerAttemptOutcome> {
     try {
         const whole = await readWhole(answer.body, maxAnswerBytes);
@@ -34,7 +34,7 @@
     }
 }
 
-/** Notes a start; distinct even for two requests of one millisecond, since the clock counts fractions. */
+/** Records a start time, made unique by adding fractions of a millisecond where two are equal. */
 function recordStart(record: SamplerRecord, nowMs: number): number {
     let sentAtMs = nowMs;
     while (record.sentAtMs.has(sentAtMs)) {
@@ -44,7 +44,7 @@
     return sentAtMs;
 }
 
-/** Makes the tries of one process; what it learns of a sampler serves all its requests. */
+/** Creates the attempts of one process; what it learns about a sampler applies to all its requests. */
 export function createSamplerAttempts(deps: RequestForwarderDeps): SamplerAttempts {
     const { clock, random, logger, metrics, directory } = deps;
     const recordOf = createSamplerRecords();
--- a/packages/forwarding/src/createSamplerRecords.ts
+++ b/packages/forwarding/src/createSamplerRecords.ts
@@ -1,10 +1,10 @@
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { SamplerRecord } from "./SamplerRecord.js";
 
-/** Records kept at most; the oldest go first. Samplers that left are never asked for again. */
+/** Maximum of records; the oldest are evicted first. Records of removed samplers are never used again. */
 const maxRecords = 4_096;
 
-/** Makes the memory of samplers by incarnation. */
+/** Creates the store of sampler records, keyed by incarnation. */
 export function createSamplerRecords(): (incarnation: IncarnationId) => SamplerRecord {
     const records = new Map<IncarnationId, SamplerRecord>();
     return incarnation => {
--- a/packages/forwarding/src/estimateWaitMs.ts
+++ b/packages/forwarding/src/estimateWaitMs.ts
@@ -2,17 +2,17 @@
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { SamplerRecord } from "./SamplerRecord.js";
 
-/** Assumed until a sampler has answered; about a plain service's mean time. */
+/** Assumed until a sampler has answered; about the mean latency of a plain service. */
 const assumedLatencyMs = 40;
-/** What a sampler in another failure domain has to be faster by; its bytes are charged and the way there is longer. */
+/** Penalty for a sampler in another failure domain: its traffic is charged and its network path is longer. */
 const otherDomainMs = 20;
-/** A sampler that failed is last choice for this long, so that a dead one costs one request a second at most. */
+/** A failed sampler is the last choice for this long, so that a crashed one costs at most one request a second. */
 const failureMemoryMs = 1_000;
 const failurePenaltyMs = 1_000;
 
 /**
- * Expected time of one more request at a sampler. Requests that have been out for longer than the sampler usually
- * takes count with their age: one that has gone dark answers nothing that could be counted as a failure.
+ * Expected time of one more request at a sampler. Requests in flight for longer than the sampler usually takes count
+ * with their age: an unresponsive sampler sends nothing that could be counted as a failure.
  */
 export function estimateWaitMs(
     sampler: KnownSampler,
--- a/packages/forwarding/src/logForwardingOutcome.ts
+++ b/packages/forwarding/src/logForwardingOutcome.ts
@@ -2,19 +2,19 @@
 import type { ForwardingOutcome } from "./ForwardingOutcome.js";
 import type { RoutedRequest } from "./RoutedRequest.js";
 
-/** What led to an outcome. */
+/** How a request reached its outcome. */
 interface ForwardingCourse {
-    /** Samplers in the order in which their tries ended, each with how. */
+    /** Samplers in the order in which their attempts ended, each with the result. */
     tries: string;
     underWay: number;
     mayHaveRun: boolean;
     tookMs: number;
     limitMs: number;
-    /** Since the list of samplers was confirmed, as the request ends. */
+    /** Time since the list of samplers was confirmed, at the end of the request. */
     samplersAgeMs: number;
 }
 
-/** Writes the one line that tells of a plain request. */
+/** Logs the single line for a plain request. */
 export function logForwardingOutcome(
     logger: Logger,
     { requestId, route }: RoutedRequest,
--- a/packages/forwarding/src/startForwarding.ts
+++ b/packages/forwarding/src/startForwarding.ts
@@ -10,17 +10,17 @@
 import type { SamplerAttemptOutcome } from "./SamplerAttemptOutcome.js";
 import type { SamplerAttempts } from "./SamplerAttempts.js";
 
-/** Used where neither caller nor route bounds the time. */
+/** Used if neither the caller nor the route limits the time. */
 const defaultBudgetMs = 10_000;
-/** A second try of an idempotent request starts after this part of the target latency without an answer. */
+/** A hedge of an idempotent request starts after this fraction of the target latency without an answer. */
 const hedgeRatio = 0.45;
 const minHedgeMs = 60;
 const defaultTargetMs = 200;
-/** Less than this is not worth sending: no sampler answers in it. */
+/** With less time left no attempt is started, since no sampler answers that fast. */
 const minBudgetMs = 5;
-/** A try that lost to another is cancelled after this time; until then its connection stays useful. */
+/** An attempt whose answer is no longer needed is cancelled after this time; until then its connection stays useful. */
 const unusedAttemptGraceMs = 250;
-/** When a refused caller should come back; about the time in which a queued request of another ends. */
+/** Suggested retry delay for a refused caller; about the time in which a queued request completes. */
 const retryAfterMs = 100;
 
 const describeAttempt = (sampler: IncarnationId, tried: SamplerAttemptOutcome): string =>
@@ -35,7 +35,7 @@
     detail: "the caller left",
 };
 
-/** Runs one request to its outcome: `settle` is called exactly once. */
+/** Runs one request to its outcome; calls `settle` exactly once. */
 export function startForwarding(
     deps: Pick<RequestForwarderDeps, "clock" | "directory" | "logger" | "invariants" | "meter">,
     samplers: SamplerAttempts,
@@ -65,7 +65,7 @@
     const cancelTimeout = clock.startTimer(limitMs, onTimeLimit);
     signal.addEventListener("abort", cancelAll, { once: true });
 
-    /** A promise that nothing ran holds only while no try is out or of unknown outcome. */
+    /** Reports that nothing ran only if no attempt is in flight or ended with unknown outcome. */
     function failure(notRun: ResultCode, detail: string): ForwardingOutcome {
         if (!mayHaveRun && underWay === 0) {
             return { kind: "failed", code: notRun, detail, retryAfterMs };
@@ -110,7 +110,7 @@
         }
     }
 
-    /** A content that breaks off wherever it runs may kill what runs it, so only the first try is left to it. */
+    /** A content whose attempts keep breaking off may crash the samplers, so it gets only the first attempt. */
     const mayTry = (): boolean => tried.size === 0 || (tried.size < route.maxAttempts && content.mayRetry());
 
     async function start(): Promise<void> {
@@ -140,7 +140,7 @@
         handleOutcome(outcome);
     }
 
-    /** What was cancelled here, or ended with its time, broke off for no reason of its own. */
+    /** An attempt that was cancelled here, or ran out of time, does not count as a break of its content. */
     function recordEnd(outcome: SamplerAttemptOutcome): void {
         if (outcome.kind === "done") {
             content.recordCompletion();
--- a/packages/forwarding/src/testing/createTestForwarder.ts
+++ b/packages/forwarding/src/testing/createTestForwarder.ts
@@ -21,7 +21,7 @@
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 
-/** A relay before the given samplers, in their failure domain; a broken promise throws. */
+/** Creates a forwarder to the given samplers, in their failure domain; a violated invariant throws. */
 export function createTestForwarder({ seed = 1, samplers, ...deps }: TestForwarderOptions): RequestForwarder {
     return createRequestForwarder({
         ...deps,
