--- a/packages/feeds/src/FeedAnswer.ts
+++ b/packages/feeds/src/FeedAnswer.ts
@@ -3,13 +3,13 @@
 import type { StoredObject } from "@auburnarch/types/StoredObject";
 
 interface OutageReport {
-    /** Milliseconds since the latest outage of the store, or 0 while it lasts; absent if the runner knows of none. */
+    /** Milliseconds since the latest outage of the store, 0 during an outage; absent if the runner knows of none. */
     sinceOutageMs?: number;
 }
 
 /**
- * What a runner says of the store's objects under a prefix: all of them, what changed, that another runner is to be
- * asked, or that its own view of the store may be out of date.
+ * A runner's answer on the store's objects under a prefix: all of them, their changes, a redirect to another runner,
+ * or that its own view of the store may be out of date.
  */
 export type FeedAnswer =
     | { kind: "listed"; objects: StoredObject[]; revision: ObjectVersion; } & OutageReport
--- a/packages/feeds/src/FeedQuery.ts
+++ b/packages/feeds/src/FeedQuery.ts
@@ -1,12 +1,12 @@
 import type { ObjectVersion } from "@auburnarch/types/ObjectVersion";
 
-/** Asks a runner for the store's objects under a prefix. */
+/** A query to a runner for the store's objects under a prefix. */
 export interface FeedQuery {
     prefix: string;
-    /** Changes after this revision; undefined asks for all objects. */
+    /** Requests changes after this revision; undefined requests all objects. */
     since?: ObjectVersion;
-    /** Runners that did not answer the asking process, or could not tell; another one is to answer for them. */
+    /** Runners that did not answer the querying process or were unsure; another one is to answer in their place. */
     avoided?: string[];
-    /** How long to wait for the first change. */
+    /** Time to wait for the first change. */
     waitMs: number;
 }
--- a/packages/feeds/src/OutageTracker.ts
+++ b/packages/feeds/src/OutageTracker.ts
@@ -1,9 +1,9 @@
-/** What a process knows of outages of the store, as told from the times at which only it was cut off. */
+/** Tracks outages of the store, as distinct from times at which only this process was disconnected from it. */
 export interface OutageTracker {
-    /** Milliseconds since the latest outage, or 0 while it lasts; infinite if no runner told of one. */
+    /** Milliseconds since the latest outage, 0 during an outage; infinite if no runner reported one. */
     sinceOutageMs(): number;
-    /** A runner tells of an outage that ended this long ago, or lasts. */
+    /** Records a runner's report of an outage that ended this long ago, or continues if 0. */
     recordOutage(sinceOutageMs: number): void;
-    /** A runner has had the store all the while. */
+    /** Records a runner's report that it had no outage. */
     recordStoreUp(): void;
 }
--- a/packages/feeds/src/RunnerRedirect.ts
+++ b/packages/feeds/src/RunnerRedirect.ts
@@ -1,4 +1,4 @@
-/** An answer that names the runner to ask instead. */
+/** An answer that redirects the query to another runner. */
 export interface RunnerRedirect {
     kind: "elsewhere";
     runner: string;
--- a/packages/feeds/src/createFeedBackedStore.ts
+++ b/packages/feeds/src/createFeedBackedStore.ts
@@ -16,11 +16,11 @@
     /** The hub of this process; none in a gateway. */
     hub: () => Pick<FeedHub, "answer"> | undefined;
     caller: RunnerCaller;
-    /** Rejects if the runner does not answer in time. */
+    /** Sends a query to a runner; rejects if it does not answer in time. */
     send: (address: RunnerAddress, query: FeedQuery, timeoutMs: number) => Promise<FeedAnswer>;
-    /** Resolves once calls to the store succeed, or have failed for long: true if they failed at first. */
+    /** Resolves once calls to the store succeed or have failed for long; true if they failed at first. */
     waitForStore: () => Promise<boolean>;
-    /** Hears what runners tell of outages. */
+    /** Receives the runners' reports on outages. */
     outages: Pick<OutageTracker, "recordOutage" | "recordStoreUp">;
     clock: Clock;
 }
@@ -28,32 +28,32 @@
 type DataAnswer = Extract<FeedAnswer, { kind: "listed" | "changed"; }>;
 
 /**
- * Longest wait of one question. A runner that falls silent hides changes for this long and the slack; they are due
- * within two seconds.
+ * Longest wait of one query. A runner that stops answering hides changes for this time plus `answerSlackMs`, and
+ * changes are due within two seconds.
  */
 const maxWaitMs = 800;
-/** Longest wait of a question to a second runner after the first fell silent, within the same two seconds. */
+/** Longest wait of a query to a second runner after the first did not answer, within the same two seconds. */
 const secondWaitMs = 200;
-/** Beyond the wait; an answer takes a few milliseconds between failure domains. */
+/** Timeout of a query beyond its wait; an answer takes a few milliseconds between failure domains. */
 const answerSlackMs = 300;
-/** Without a runner that can tell, runners are asked again after this time, and the store if they still can't. */
+/** If no runner can answer, runners are asked again after this time, and then the store. */
 const retryDelayMs = 600;
-/** Longest wait of a watch at the store itself. */
+/** Longest wait of a watch on the store itself. */
 const directWaitMs = 1_000;
-/** A runner that could not tell is passed over for this long. */
+/** A runner that was unsure is avoided for this long. */
 const unsureMs = 1_000;
-/** The store is back for all processes within this time of the first; the runner that feeds has to hear it first. */
+/** All processes reach a recovered store within this time of the first; the feeding runner needs an answer first. */
 const recoveryDelayMs = 400;
-/** Prefixes that are followed at the store itself for now; more than there are kinds. */
+/** Maximum of prefixes currently followed at the store itself; larger than the number of kinds. */
 const maxDirect = 64;
 
 const isDataAnswer = (answer: FeedAnswer | undefined): answer is DataAnswer =>
     answer?.kind === "listed" || answer?.kind === "changed";
 
 /**
- * The store, with lists and watches answered by the runner that follows it for all, or by a second one where that is
- * silent or can't tell. If every process turned to the store instead, each hiccup of one runner and each outage would
- * cost as many calls as there are processes and kinds.
+ * Creates an object store whose lists and watches are answered by the runner that follows the store for all processes,
+ * or by a second runner if that one does not answer or is unsure. If every process called the store instead, each short
+ * failure of a runner and each outage would cost as many calls as there are processes and kinds.
  */
 export function createFeedBackedStore(deps: FeedBackedStoreDeps): ObjectStore {
     const { inner, clock, caller, self, outages } = deps;
@@ -68,7 +68,7 @@
         return [...new Set([...caller.listSilent(), ...unsure])];
     }
 
-    /** A runner that has the store knows better than one that has lost it whether there was an outage. */
+    /** A runner that reaches the store is better informed about outages than one that does not. */
     function recordOutages(answer: Exclude<FeedAnswer, { kind: "elsewhere"; }>): void {
         if (answer.sinceOutageMs !== undefined) {
             outages.recordOutage(answer.sinceOutageMs);
@@ -91,8 +91,8 @@
     }
 
     /**
-     * A runner that has just lost the store names another, which may not know of it yet and would name it back: so who
-     * declined is avoided by those asked after it.
+     * A runner that has just lost the store redirects to another one, which may not know that yet and redirect back.
+     * So each runner that redirected is listed as avoided in the queries after it.
      */
     async function askRunners(query: FeedQuery): Promise<DataAnswer | undefined> {
         const avoided = [...query.avoided ?? []];
@@ -123,7 +123,7 @@
         return handleAnswer(self, ownAnswer);
     }
 
-    /** What has failed just now is tried shortly, so that changes are not hidden for longer than they are due. */
+    /** The second query waits only briefly, so that changes are not hidden beyond the time at which they are due. */
     async function askTwoRunners(query: FeedQuery): Promise<DataAnswer | undefined> {
         const short = { ...query, waitMs: Math.min(query.waitMs, secondWaitMs) };
         const answer = direct.has(query.prefix) ? undefined : await askOnce(query);
@@ -158,8 +158,8 @@
     }
 
     /**
-     * Runners fall silent on the store where it forgets its history, and a watch on an old revision may then hear
-     * nothing for its whole wait. So the first look at the store itself is a list, and the watches after it are short.
+     * Runners become unsure if the store drops its history, and a watch on an old revision may then receive nothing for
+     * its whole wait. So the first call to the store itself is a list, and the watches after it are short.
      */
     async function watchStore(
         prefix: string,
@@ -186,7 +186,7 @@
             return found;
         },
         watch: async (prefix, since, waitMs) => {
-            // What was listed just now is as good as a watch until runners can be asked again.
+            // Until runners can be asked again, the latest list is recent enough.
             await clock.sleep(Math.max(0, nextAskAtMs - clock.monotonicMs()));
             const answer = await ask({ prefix, since, waitMs: Math.min(waitMs, maxWaitMs) });
             if (answer === undefined) {
--- a/packages/feeds/src/createFeedHub.test.ts
+++ b/packages/feeds/src/createFeedHub.test.ts
@@ -12,7 +12,7 @@
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 
-/** One runner that feeds and one process that is fed, each with its own way to the same store. */
+/** One feeding runner and one process that it feeds, each with its own connection to the same store. */
 function createFixture() {
     const clock = createFakeClock();
     const { store, control } = createFakeObjectStore({ clock, random: createRandom(4), latencyMs: 2 });
@@ -26,7 +26,7 @@
         fed: 0,
     };
 
-    /** A cut-off runner hears nothing of the store, and its calls hang. */
+    /** While the runner is disconnected from the store, its calls hang. */
     async function callUnlessCutOff<T>(call: () => Promise<T>): Promise<T> {
         const found = await call();
         if (state.isCutOff) {
@@ -43,7 +43,7 @@
         self: "r1",
         feeder: (avoided = []) => avoided.includes(state.feeder) ? "r1" : state.feeder,
         store: runnerStore,
-        // The process touches the store twice a second.
+        // While connected, a process calls the store twice a second, so its last answer is always recent.
         gatherMsOf: () => 100,
         sinceStoreAnswerMs: () => state.isCutOff ? clock.monotonicMs() - state.storeHeardAtMs : 0,
         sinceOutageMs: () => undefined,
@@ -110,8 +110,8 @@
     return { clock, control, state, hub, fed, follow, put, remove };
 }
 
-test("a process that is fed sees every change and asks the store nothing", async () => {
-    // 3,000 of 5,754 calls of a calm day with 34 processes were lists and watches, one each for every change.
+test("a fed process sees every change without calling the store", async () => {
+    // Without a feed, 3,000 of 5,754 calls of a calm day with 34 processes were lists and watches, one each per change.
     const { clock, state, hub, follow, put, remove } = createFixture();
     await put("servers/a");
     const { watch, names } = follow();
@@ -129,8 +129,8 @@
     hub.stop();
 });
 
-test("a change is seen within two seconds though the runner that feeds has lost the store", async () => {
-    // Guards against: a sampler that drained got new requests for three seconds.
+test("a change is seen within two seconds although the feeding runner has lost the store", async () => {
+    // Guards against a draining sampler that gets new requests for three seconds.
     const { clock, state, hub, follow, put } = createFixture();
     await put("servers/a");
     const { watch, names } = follow();
@@ -147,8 +147,8 @@
     hub.stop();
 });
 
-test("a change is seen within two seconds though the runner that feeds is gone without a word", async () => {
-    // Guards against: a question that hangs.
+test("a change is seen within two seconds although the feeding runner stops answering", async () => {
+    // Guards against a query that hangs.
     const { clock, state, hub, follow, put } = createFixture();
     await put("servers/a");
     const { watch, names } = follow();
@@ -161,8 +161,8 @@
     hub.stop();
 });
 
-test("a change is seen within two seconds though the store forgets its history as the runner falls silent on it", async () => {
-    // Guards against: a route was refused as unknown 4.2 s after the configuration that added it was acknowledged.
+test("a change is seen within two seconds although the store drops its history as the runner loses the store", async () => {
+    // Guards against a route refused as unknown 4.2 s after the configuration that added it was acknowledged.
     const { clock, state, hub, follow, put } = createFixture();
     await put("servers/a");
     const { watch, names } = follow();
@@ -176,8 +176,8 @@
     hub.stop();
 });
 
-test("a copy that is ahead of the runner that feeds is not taken back", async () => {
-    // Guards against: a removed sampler got requests again.
+test("a process that is ahead of the feeding runner does not go back", async () => {
+    // Guards against a removed sampler that gets requests again.
     const { clock, hub, fed, put } = createFixture();
     await put("servers/a");
     const [listed] = await Promise.all([fed.list("servers/"), clock.advance(100)]);
@@ -187,7 +187,7 @@
     hub.stop();
 });
 
-test("who is far behind gets all objects, and only those asked for", async () => {
+test("a process that is far behind gets all objects of its prefix, and no others", async () => {
     const { clock, hub, fed, put } = createFixture();
     await put("servers/a");
     await put("servers/ab");
@@ -200,7 +200,7 @@
     hub.stop();
 });
 
-test("a runner that does not feed names the one that does, and says nothing of its own", async () => {
+test("a runner that does not feed redirects to the one that does, and a stopped one is unsure", async () => {
     const { state, hub } = createFixture();
     state.feeder = "r2";
     expect(await hub.answer({ prefix: "servers/", waitMs: 0 })).toEqual({ kind: "elsewhere", runner: "r2" });
@@ -209,8 +209,8 @@
     expect(await hub.answer({ prefix: "servers/", waitMs: 0 })).toEqual({ kind: "unsure" });
 });
 
-test("a runner stands in for one that the asker can't use, and stops following once nobody asks so", async () => {
-    // Guards against: all runners followed the store for seconds after each start.
+test("a runner answers in place of an avoided one, and stops following once such queries end", async () => {
+    // Guards against all runners following the store for seconds after each start.
     const { clock, control, state, hub, put } = createFixture();
     await put("servers/a");
     const query = { prefix: "servers/", waitMs: 100 };
@@ -218,7 +218,7 @@
         const [answer] = await Promise.all([hub.answer({ ...query, avoided }), clock.advance(200)]);
         return answer.kind;
     };
-    /** A copy that is followed asks again after each change. */
+    /** A followed copy watches again after each change. */
     const isFollowing = async (): Promise<boolean> => {
         const before = control.calls().watch;
         await put("servers/a", control.calls());
--- a/packages/feeds/src/createFeedHub.ts
+++ b/packages/feeds/src/createFeedHub.ts
@@ -9,10 +9,10 @@
 
 interface FeedHubDeps {
     self: string;
-    /** The runner that hands changes on now to who can't use those named, as this one believes; undefined if none can. */
+    /** The runner that this one believes to feed processes that can't use the `avoided` ones; undefined without one. */
     feeder: (avoided?: readonly string[]) => string | undefined;
     store: Pick<ObjectStore, "list" | "watch">;
-    /** Pause after a change of a kind, so that changes close together cost one call to the store. */
+    /** Delay after a change of a kind, so that changes close together cost one call to the store. */
     gatherMsOf: (prefix: string) => number;
     /** Longest wait of a watch of a kind; by default `followWaitMs`. */
     waitMsOf?: (prefix: string) => number | undefined;
@@ -28,31 +28,31 @@
     copy: KindCopy;
     waitMs: number;
     lastQueryAtMs: number;
-    /** Until then it is followed though another runner feeds. */
+    /** Time until which the kind is followed although another runner feeds. */
     followedUntilMs: number;
 }
 
-/** Longest wait of a watch; a silent connection is noticed once a watch is overdue. As for a process on its own. */
+/** Longest wait of a watch, as without a feed; a broken connection is noticed once a watch is overdue. */
 const followWaitMs = 3_500;
-/** What a watch may be late by before its kind counts as out of date. */
+/** Delay of a watch beyond its wait after which its kind counts as out of date. */
 const overdueMs = 1_000;
 /**
- * A store that has not answered for this long may have changed without this process knowing. Changes are due at all
- * machines two seconds after the store took them; half of it is left for those who then ask the store themselves.
+ * A store that has not answered for this long may have changed without this process knowing. Changes are due on all
+ * machines two seconds after the store accepted them; half of that is left for processes that then ask the store.
  */
 const maxStoreSilenceMs = 1_000;
 const checkMs = 200;
-/** A kind that nobody asks for is followed for this long: longer than any wait of those who ask. */
+/** A kind without queries is followed for this long, which exceeds any wait of a query. */
 const idleFollowMs = 15_000;
-/** The same where another runner feeds and only those ask that can't reach it; some of their questions. */
+/** The same if another runner feeds and only processes that can't reach it ask here; covers several queries. */
 const substituteFollowMs = 3_000;
 
 const kindOf = (prefix: string): string => prefix.slice(0, prefix.indexOf("/") + 1);
 
 /**
- * Makes the hub of a runner. One process follows the store and the others follow that one, so that calls to the store do
- * not grow with the number of processes. Nothing is told once the store has been silent for a second: those who ask then
- * turn to another runner or to the store, so that a hub that is cut off hides no change for long.
+ * Creates the feed hub of a runner. One process follows the store and the others follow that process, so that calls to
+ * the store do not grow with the number of processes. Once the store has not answered for a second, the hub is unsure
+ * and processes query another runner or the store, so that a disconnected hub does not hide changes for long.
  */
 export function createFeedHub(deps: FeedHubDeps): FeedHub {
     const { clock, logger, self, store } = deps;
@@ -84,7 +84,7 @@
         logger.info("feedEnded", { kind: prefix });
     }
 
-    /** Ends what nobody asks for, and lets waiting calls go once what is here may be out of date. */
+    /** Stops following kinds without queries, and ends waiting queries once a copy may be out of date. */
     function check(): void {
         const nowMs = clock.monotonicMs();
         const isFeeding = deps.feeder() === self;
@@ -104,7 +104,7 @@
 
     let cancelCheck = clock.startTimer(checkMs, check);
 
-    /** Changes may be of other objects of the kind; the revision moves on all the same. */
+    /** A change may concern other objects of the kind; the query ends anyway, since the revision advances. */
     async function waitForChange(kind: FollowedKind, { since, waitMs }: FeedQuery): Promise<void> {
         const { copy } = kind;
         const untilMs = clock.monotonicMs() + waitMs;
--- a/packages/feeds/src/createKindCopy.ts
+++ b/packages/feeds/src/createKindCopy.ts
@@ -13,7 +13,7 @@
     prefix: string;
     /** Longest wait of one watch. */
     waitMs: number;
-    /** Pause after a change, so that changes close together cost one call to the store. */
+    /** Delay after a change, so that changes close together cost one call to the store. */
     gatherMs: number;
 }
 
@@ -22,14 +22,14 @@
     changes: StoredChange[];
 }
 
-/** Changes kept for those who are behind; who is further behind gets all objects. */
+/** Maximum of change batches kept; a process that is further behind gets all objects. */
 const maxBatches = 200;
 
-/** Follows a kind and keeps what it needs to hand the changes on. */
+/** Creates a copy that follows a kind and keeps its recent changes. */
 export function createKindCopy({ store, clock, prefix, waitMs, gatherMs }: KindCopyOptions): KindCopy {
     let objects = new Map<string, StoredObject>();
     let revision: ObjectVersion | undefined;
-    /** Oldest first; all changes after `keptSince`. */
+    /** Oldest first; all changes after `changesSince`. */
     let batches: ChangeBatch[] = [];
     let changesSince = 0 as ObjectVersion;
     let confirmedAtMs = clock.monotonicMs();
@@ -80,7 +80,7 @@
         gatherMs: () => gatherMs,
         onListed: applyList,
         onChanged: applyChanges,
-        // Logged and counted where calls are counted; the age of the copy says the rest.
+        // Failures are logged and counted with the store's calls, and show here in the age of the copy.
         onFailed: () => undefined,
     });
 
@@ -99,7 +99,7 @@
                 .filter(batch => batch.revision > since)
                 .flatMap(batch => batch.changes)
                 .filter(({ key }) => key.startsWith(query.prefix));
-            // One that was told by another process may be ahead of this copy: it must not go back.
+            // A process that was fed by another runner may be ahead of this copy; its revision must not go back.
             return { kind: "changed", changes, revision: revision > since ? revision : since };
         },
         ageMs: () => clock.monotonicMs() - confirmedAtMs,
--- a/packages/feeds/src/createOutageTracker.test.ts
+++ b/packages/feeds/src/createOutageTracker.test.ts
@@ -23,7 +23,7 @@
     return { clock, evidence, lose, regain };
 }
 
-test("what this process lost alone is no outage", async () => {
+test("a loss of the store by this process alone is not an outage", async () => {
     const { clock, evidence, lose, regain } = createFixture();
     lose();
     await clock.advance(10_000);
@@ -31,7 +31,7 @@
     expect(evidence.sinceOutageMs()).toBe(Infinity);
 });
 
-test("an outage that a runner told of lasts until this process has the store again", async () => {
+test("an outage reported by a runner lasts until this process reaches the store again", async () => {
     const { clock, evidence, lose, regain } = createFixture();
     lose();
     evidence.recordOutage(0);
@@ -47,7 +47,7 @@
     ]);
 });
 
-test("a runner that had the store all the while is believed, one that lost it is not where this process has it", async () => {
+test("a report of no outage is accepted, and a report of an outage is not while this process reaches the store", async () => {
     const { clock, evidence, lose, regain } = createFixture();
     lose();
     evidence.recordOutage(0);
@@ -60,7 +60,7 @@
     expect([toldUpMs, evidence.sinceOutageMs()]).toEqual([Infinity, 4_000]);
 });
 
-test("the word on the store crosses between processes, and is missing from those of an earlier version", () => {
+test("the outage field is parsed from answers, and is absent in those of an earlier version", () => {
     const listed = { kind: "listed" as const, objects: [], revision: 7, sinceOutageMs: 40 };
     const { sinceOutageMs: _unsaid, ...earlier } = listed;
     expect([
--- a/packages/feeds/src/createOutageTracker.ts
+++ b/packages/feeds/src/createOutageTracker.ts
@@ -2,24 +2,24 @@
 import type { OutageTracker } from "./OutageTracker.js";
 
 interface OutageTrackerDeps {
-    /** Milliseconds since the first of the calls of this process that have all failed since; 0 while calls succeed. */
+    /** Milliseconds since this process's calls began to fail without any success since; 0 while calls succeed. */
     storeSilentMs: () => number;
-    /** Milliseconds since calls of this process began to succeed again after failures; infinite if none failed yet. */
+    /** Milliseconds since this process's calls began to succeed again after failures; infinite if none has failed. */
     storeRegainedMs: () => number;
     clock: Clock;
 }
 
 const checkMs = 200;
-/** Processes notice an outage within this time of each other. */
+/** Longest time between two processes' detection of the same outage. */
 const maxDetectionGapMs = 1_000;
 
-/** Makes the evidence of one process. */
+/** Creates the outage tracker of one process. */
 export function createOutageTracker(
     { storeSilentMs, storeRegainedMs, clock }: OutageTrackerDeps,
 ): OutageTracker {
     let outageAtMs = -Infinity;
 
-    /** An outage that runners told of lasts for as long as this process can't use the store either. */
+    /** An outage that runners reported lasts for as long as this process can't use the store either. */
     function check(): void {
         const silentMs = storeSilentMs();
         const nowMs = clock.monotonicMs();
@@ -31,7 +31,7 @@
 
     clock.startTimer(checkMs, check);
     return {
-        // A store that this process uses is up, whatever runners that have lost it say.
+        // If this process reaches the store, the store is up, regardless of reports from runners that do not.
         sinceOutageMs: () =>
             Math.max(clock.monotonicMs() - outageAtMs, storeSilentMs() > 0 ? 0 : storeRegainedMs()),
         recordOutage: sinceOutageMs => {
--- a/packages/feeds/src/createRunnerCaller.ts
+++ b/packages/feeds/src/createRunnerCaller.ts
@@ -6,7 +6,7 @@
 import type { RunnerRedirect } from "./RunnerRedirect.js";
 
 interface RunnerCallerDeps {
-    /** Own name: processes spread their questions over the runners by it, and ask themselves nothing. */
+    /** Name of this process, which is never asked itself; it also distributes the processes over the runners. */
     self: string;
     runners: () => ReadonlyMap<string, RunnerAddress> | undefined;
     clock: Clock;
@@ -14,18 +14,18 @@
 }
 
 /**
- * A runner that did not answer is passed over for this long: about the time in which its peers notice its death and
- * take its jobs over.
+ * A runner that did not answer is avoided for this long, about the time in which its peers notice a crash and take over
+ * its jobs.
  */
 const avoidMs = 2_000;
-/** The runner asked first, the one that it names, and one more if things have just moved on. */
+/** The first runner, the one it redirects to, and another one if the feeding runner has just changed. */
 const maxHops = 3;
 
 function isRedirect<T extends { kind: string; }>(answer: T): answer is Extract<T, RunnerRedirect> {
     return answer.kind === "elsewhere";
 }
 
-/** Makes the caller of one process; who did not answer is remembered for all questions. */
+/** Creates the caller of one process; a runner that did not answer is avoided for all queries. */
 export function createRunnerCaller(deps: RunnerCallerDeps): RunnerCaller {
     const { clock, logger, self } = deps;
     const avoidedUntilMs = new Map<string, number>();
--- a/packages/feeds/src/feedSchemas.ts
+++ b/packages/feeds/src/feedSchemas.ts
@@ -13,7 +13,7 @@
     ageMs: z.number().nonnegative(),
 });
 
-/** How `FeedQuery` and `FeedAnswer` go between processes. */
+/** Wire schemas of `FeedQuery` and `FeedAnswer`. */
 export const feedSchemas = {
     query: z.object({
         prefix: z.string(),
@@ -27,6 +27,6 @@
         z.object({ kind: z.literal("elsewhere"), runner: z.string() }),
         z.object({ kind: z.literal("unsure"), sinceOutageMs }),
     ]),
-    /** Beside a query or an answer; a process of an earlier version sends none. */
+    /** Sent along with a query or an answer; a process of an earlier version sends none. */
     breaks: z.object({ breaks: z.array(breakMark).default([]) }),
 };
