--- a/packages/entry/src/AttemptObserver.ts
+++ b/packages/entry/src/AttemptObserver.ts
@@ -1,11 +1,11 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 
-/** Hears how the attempts at one sampler end. */
+/** Receives the results of attempts at one sampler. */
 export interface AttemptObserver {
-    /** Whether the sidecar was reached. */
+    /** Reports whether an attempt reached the sidecar. */
     recordContact(isReachable: boolean): void;
-    /** A sample of this content ended whole. */
+    /** A sample with this content completed. */
     recordCleanFinish(digest: ContentDigest): void;
-    /** An attempt of this content broke off without an answer. */
+    /** The connection broke before an attempt with this content was answered. */
     recordInterrupted(digest: ContentDigest): void;
 }
--- a/packages/entry/src/BodyBudget.ts
+++ b/packages/entry/src/BodyBudget.ts
@@ -1,7 +1,7 @@
-/** What one request may take of the memory for bodies. */
+/** One request's share of the memory for request bodies. */
 export interface BodyBudget {
-    /** Throws `overloaded` where all requests together would hold too much. */
+    /** Throws `overloaded` if the bodies of all requests would exceed the limit. */
     reserve(bodyBytes: number): void;
-    /** Gives everything back that this request took. */
+    /** Returns everything that this request has reserved. */
     release(): void;
 }
--- a/packages/entry/src/DecisionStore.ts
+++ b/packages/entry/src/DecisionStore.ts
@@ -1,9 +1,9 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { OperatorExplain } from "@auburnarch/types/OperatorExplain";
 
-/** Keeps the latest decisions, so that an operator can ask why something went where it did. */
+/** Stores the latest decisions, so that an operator can ask why a request or sample was sent where it was. */
 export interface DecisionStore {
-    /** Writes to the logger it was made from and keeps events that name a sample, attempt or request. */
+    /** Writes to the underlying logger and records events that name a sample, attempt, request or key. */
     logger: Logger;
     explain(id: string): OperatorExplain;
 }
--- a/packages/entry/src/EntryDeps.ts
+++ b/packages/entry/src/EntryDeps.ts
@@ -16,7 +16,7 @@
 import type { PeerCall } from "./PeerCall.js";
 import type { StartSnapshot } from "./StartSnapshot.js";
 
-/** What an entry is built from. */
+/** Dependencies of an entry. */
 export interface EntryDeps {
     self: EntryRecord;
     clock: Clock;
@@ -29,15 +29,15 @@
     scoring: ScoringPort;
     groupStore: GroupKeep | undefined;
     cursorKey: string;
-    /** Addresses of entries to ask first. */
+    /** Addresses of the entries to contact first. */
     seeds: string[];
     leaseTtlMs: number;
     connectSidecar: (report: SamplerReport) => SidecarPort;
     callPeer: PeerCall;
     forwardPlain: ForwardPlain;
-    /** Text of the manifest file to publish whenever it changes; undefined where there is none. */
+    /** Reads the manifest file, which is published whenever it changes; undefined if there is none. */
     readManifestFile: (() => Promise<string>) | undefined;
-    /** What the last run of this entry kept, and where to keep it again; for entries with a data folder. */
+    /** Snapshot of this entry's previous run, and the function that saves the next one; only with a data folder. */
     startSnapshot?: StartSnapshot;
     saveSnapshot?: (snapshot: StartSnapshot) => Promise<void>;
     guards?: EntryGuards;
--- a/packages/entry/src/EntryRoute.ts
+++ b/packages/entry/src/EntryRoute.ts
@@ -2,7 +2,7 @@
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { StepNumber } from "@auburnarch/types/StepNumber";
 
-/** What an HTTP request to an entry asks for, told by method and path alone. */
+/** The operation that an HTTP request to an entry asks for, derived from its method and path only. */
 export type EntryRoute =
     | { kind: "service"; service: ServiceId; path: string; }
     | { kind: "openStep"; job: JobId; }
--- a/packages/entry/src/Fleet.ts
+++ b/packages/entry/src/Fleet.ts
@@ -4,13 +4,13 @@
 import type { ManifestView } from "./ManifestView.js";
 import type { SamplerViews } from "./SamplerViews.js";
 
-/** What an entry knows of the others: who is there, what all share, what each sampler is doing. */
+/** An entry's view of the fleet: membership, shared documents, the manifest and the state of each sampler. */
 export interface Fleet {
     membership: Membership;
     spread: DocumentSync;
     manifest: ManifestView;
     views: SamplerViews;
-    /** Entries believed alive and staying, this one included. */
+    /** Entries that are neither suspected nor leaving, including this one. */
     listLiveEntries(): EntryId[];
     start(): void;
     stop(): void;
--- a/packages/entry/src/ForwardPlain.ts
+++ b/packages/entry/src/ForwardPlain.ts
@@ -2,7 +2,7 @@
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
 import type { CallerRequest } from "./CallerRequest.js";
 
-/** Passes a request on to the entry that owns its key's range. Never rejects: faults become outcomes. */
+/** Forwards a request to the entry that owns the range of its key. Never rejects: errors become outcomes. */
 export type ForwardPlain = (
     address: string,
     request: CallerRequest,
--- a/packages/entry/src/GroupStoreHost.ts
+++ b/packages/entry/src/GroupStoreHost.ts
@@ -1,4 +1,4 @@
-/** An entry with a data folder that keeps groups for all. */
+/** An entry with a data folder, which stores finished groups for all entries. */
 export interface GroupStoreHost {
     entry: string;
     address: string;
--- a/packages/entry/src/JobOwnership.ts
+++ b/packages/entry/src/JobOwnership.ts
@@ -6,6 +6,6 @@
     start(): void;
     get(job: JobId): OwnedJob | undefined;
     list(): OwnedJob[];
-    /** Stops every owner and gives its lease up, so that another entry takes over at once. */
+    /** Stops every owner and releases its lease, so that another entry can take over immediately. */
     release(): Promise<void>;
 }
--- a/packages/entry/src/ManifestConflictError.ts
+++ b/packages/entry/src/ManifestConflictError.ts
@@ -2,7 +2,7 @@
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { StoredObject } from "@auburnarch/types/StoredObject";
 
-/** A manifest that lost against another change, with what stands published now. */
+/** A manifest was not published because another change came first; carries the published object. */
 export class ManifestConflictError extends ResultError {
     readonly current: StoredObject | undefined;
 
--- a/packages/entry/src/ManifestInvalidError.ts
+++ b/packages/entry/src/ManifestInvalidError.ts
@@ -2,7 +2,7 @@
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { ConfigFault } from "@auburnarch/types/ConfigFault";
 
-/** A manifest refused whole, with every fault named. */
+/** An invalid manifest, with all its faults; nothing of it was applied. */
 export class ManifestInvalidError extends ResultError {
     readonly faults: ConfigFault[];
 
--- a/packages/entry/src/ManifestView.ts
+++ b/packages/entry/src/ManifestView.ts
@@ -1,4 +1,4 @@
 import type { VersionedManifest } from "@auburnarch/types/VersionedManifest";
 
-/** The manifest in force, undefined before the first one is known. */
+/** Returns the active manifest, or undefined until the first one is known. */
 export type ManifestView = () => VersionedManifest | undefined;
--- a/packages/entry/src/MonitoredStore.ts
+++ b/packages/entry/src/MonitoredStore.ts
@@ -1,8 +1,8 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 
-/** A store, and whether it answers. */
+/** A store with its reachability. */
 export interface MonitoredStore {
     store: ObjectStore;
-    /** False while the last call that ended did so without an answer. */
+    /** False if the last completed call received no answer. */
     isReachable: () => boolean;
 }
--- a/packages/entry/src/PeerCall.ts
+++ b/packages/entry/src/PeerCall.ts
@@ -1,4 +1,4 @@
-/** Calls a method of another process of the system; rejects with a `ResultError`. */
+/** Calls a method of another process of the system; rejects with a `ResultError` on failure. */
 export type PeerCall = (
     address: string,
     method: string,
--- a/packages/entry/src/RangeOwnership.ts
+++ b/packages/entry/src/RangeOwnership.ts
@@ -4,7 +4,8 @@
 export interface RangeOwnership {
     start(): void;
     stop(): void;
-    /** The range's memory, undefined where this entry does not own it. */
+    /** Returns the answer memory of a range, or undefined if this entry does not own it. */
     get(range: number): KeyRange | undefined;
+    /** Number of owned ranges. */
     owned(): number;
 }
--- a/packages/entry/src/SamplerViews.ts
+++ b/packages/entry/src/SamplerViews.ts
@@ -3,14 +3,14 @@
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 
-/** What this entry knows of samplers, reports and its own sends taken together. */
+/** This entry's view of the samplers: their reports combined with its own sends. */
 export interface SamplerViews {
-    /** Samplers of a service that may get work; leaving ones are left out. */
+    /** Samplers of a service that can receive work; those that are leaving are excluded. */
     list(service: ServiceId): SamplerView[];
-    /** All samplers, leaving ones too, for operators. */
+    /** All samplers, including those that are leaving, for operators. */
     listAll(): SamplerView[];
-    /** A sidecar whose sends are counted into the views. */
+    /** Returns the sampler's sidecar; sends to it are counted in the views. */
     sidecar(sampler: SamplerId): SidecarPort;
-    /** Attempts of this entry that are in flight anywhere. */
+    /** Number of this entry's attempts in flight at all samplers. */
     inFlight(): number;
 }
--- a/packages/entry/src/SamplerViewsDeps.ts
+++ b/packages/entry/src/SamplerViewsDeps.ts
@@ -5,18 +5,18 @@
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { ReportedSampler } from "./ReportedSampler.js";
 
-/** What the views of samplers are built from. */
+/** Dependencies of the sampler views. */
 export interface SamplerViewsDeps {
     clock: Clock;
     listReports: () => ReportedSampler[];
-    /** Connects to the sidecar that made a report. */
+    /** Connects to the sidecar that sent a report. */
     connect: (report: SamplerReport) => SidecarPort;
-    /** Evidence of an attempt: whether the sidecar was reached. */
+    /** Reports whether an attempt reached the sidecar. */
     recordSamplerContact: (sampler: SamplerId, isReachable: boolean) => void;
-    /** Wraps a sidecar with what is asked of every attempt. */
+    /** Wraps a sidecar with checks that apply to every attempt. */
     wrapSidecar: (port: SidecarPort) => SidecarPort;
-    /** A sample of this content ended cleanly. */
+    /** A sample with this content completed. */
     noteCleanFinish: (digest: ContentDigest) => void;
-    /** An attempt of this content broke off at the incarnation that made the report. */
+    /** An attempt with this content was interrupted at the incarnation that sent the report. */
     noteLost: (report: SamplerReport, digest: ContentDigest) => void;
 }
--- a/packages/entry/src/SendCounter.ts
+++ b/packages/entry/src/SendCounter.ts
@@ -1,8 +1,8 @@
-/** Sends of this entry to one sampler. */
+/** Counts this entry's sends to one sampler. */
 export interface SendCounter {
     attempts(): number;
     tokens(): number;
-    /** Sends of the last `ageMs`. */
+    /** Number of sends in the last `ageMs` milliseconds. */
     sentWithin(ageMs: number): number;
     begin(expectedTokens: number): { progress(tokens: number): void; end(): void; };
 }
--- a/packages/entry/src/StartSnapshot.ts
+++ b/packages/entry/src/StartSnapshot.ts
@@ -1,6 +1,6 @@
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 
-/** What an entry with a data folder keeps for its next start. */
+/** State that an entry with a data folder saves for its next start. */
 export interface StartSnapshot {
     documents: SharedDocument[];
     /** Addresses of other entries. */
--- a/packages/entry/src/TrainerCall.ts
+++ b/packages/entry/src/TrainerCall.ts
@@ -3,7 +3,7 @@
 import type { StepNumber } from "@auburnarch/types/StepNumber";
 import type { StepSpec } from "@auburnarch/types/StepSpec";
 
-/** What a trainer may ask of the owner of its job. */
+/** A call from a trainer to the owner of its job. */
 export type TrainerCall =
     | { kind: "openStep"; job: JobId; spec: StepSpec; }
     | { kind: "publishWeights"; job: JobId; weights: PublishedWeights; }
--- a/packages/entry/src/UsageCollector.ts
+++ b/packages/entry/src/UsageCollector.ts
@@ -1,15 +1,15 @@
 import type { UsageCounter } from "@auburnarch/types/UsageCounter";
 
-/** Gathers the cumulative counters of the samplers this entry is the collector of, and keeps them durable. */
+/** Collects the cumulative usage counters of the samplers assigned to this entry and stores them durably. */
 export interface UsageCollector {
     start(): void;
     stop(): void;
-    /** Reads the samplers now; resolves with those that did not answer. */
+    /** Reads the counters from all assigned samplers now; resolves with the samplers that did not answer. */
     collect(): Promise<string[]>;
-    /** Writes what was gathered, if it changed. */
+    /** Writes the collected counters if they have changed. */
     flush(): Promise<void>;
-    /** Every entry's durable counters merged with the latest of this one; rejects while the object API is down. */
+    /** Merges the stored counters of all entries with this entry's latest; rejects while the object API is down. */
     readAll(): Promise<UsageCounter[]>;
-    /** What this entry has gathered itself. */
+    /** Returns the counters that this entry has collected. */
     listCollected(): UsageCounter[];
 }
--- a/packages/entry/src/answerClientErrors.ts
+++ b/packages/entry/src/answerClientErrors.ts
@@ -19,16 +19,17 @@
     response: ServerResponse;
 }
 
-/** True while `readBody` waits for more of the body, so that nothing of the request can have been run. */
+/** True while `readBody` is waiting for more of the body; the request cannot have run at that point. */
 function isUnread({ request, response }: Exchange): boolean {
     return !response.headersSent && !request.complete && request.listenerCount("readable") > 0;
 }
 
 /**
- * Answers what Node's parser refuses (malformed or too large heads, requests that do not arrive in time) with a
- * numbered code as well; by itself Node sends a bare status, which tells a caller neither the code nor the outcome.
- * The connection is closed behind the answer. Where an earlier request of the connection is running or being answered,
- * it is cut instead: the refusal would pass for that request's answer, and say "not run" of one that runs.
+ * Sends a numbered result code for requests that Node's parser rejects (malformed or oversized headers, requests that
+ * do not arrive in time). By default Node sends only a status, which states neither the code nor the outcome. The
+ * connection is closed after the answer. If an earlier request on the connection is still running or being answered,
+ * the connection is destroyed without an answer: the caller would take the error for the answer to that request and
+ * conclude "not run" although it runs.
  */
 export function answerClientErrors(server: Server): void {
     const exchanges = new WeakMap<Duplex, Exchange>();
--- a/packages/entry/src/choosePlainSampler.test.ts
+++ b/packages/entry/src/choosePlainSampler.test.ts
@@ -32,7 +32,7 @@
 const choose = (views: SamplerView[], tried: string[] = [], draw = 0.5) =>
     choosePlainSampler(views, tried as SamplerId[], lugo, () => draw);
 
-test("the least loaded goes first, counted with what was sent since its report", () => {
+test("chooses the least loaded sampler, including sends since its report", () => {
     const lagging = view("lagging", { running: 1, sent: 6 });
     expect(choose([lagging, view("busy", { running: 4 })])).toMatchInlineSnapshot(`
       {
@@ -44,13 +44,13 @@
     `);
 });
 
-test("load counts against the sampler's own limit, and among equals the near one is taken", () => {
+test("compares load relative to each sampler's limit and prefers the same failure domain in a tie", () => {
     const large = view("large", { running: 8, limit: 80, domain: "Bilbao" });
     expect(choose([view("small", { running: 2, limit: 4 }), large])?.sampler).toBe("large");
     expect(choose([view("far", { domain: "Bilbao" }), view("near")])?.reason).toBe("leastLoadNearby");
 });
 
-test("leaving, down and tried samplers are left out, suspected ones come last", () => {
+test("excludes leaving, down and tried samplers and uses suspected ones last", () => {
     const views = [
         view("leaving", { state: "leaving" }),
         view("down", { state: "engineDown" }),
--- a/packages/entry/src/choosePlainSampler.ts
+++ b/packages/entry/src/choosePlainSampler.ts
@@ -6,19 +6,20 @@
     sampler: SamplerId;
     candidates: number;
     reason: "leastLoad" | "leastLoadNearby";
-    /** Running and waiting work as a part of the sampler's limit. */
+    /** Running and waiting requests divided by the sampler's limit. */
     loadRatio: number;
 }
 
-/** Work there as far as known: what the report counted, and what was sent too late for it to count. */
+/** Estimates the load from the sampler's report and from sends that are too recent to be included in it. */
 function loadRatio({ report, sentAttempts, sentSinceReport }: SamplerView): number {
     const known = Math.max(report.running + report.waiting + sentSinceReport, sentAttempts);
     return known / Math.max(1, report.limit);
 }
 
 /**
- * Chooses the sampler of a plain or interactive request: the least loaded one that is able and not tried yet, among
- * equals one in the same failure domain, then in the order of `draw` (uniform in [0, 1)). Suspected ones come last.
+ * Chooses the sampler for a plain or interactive request: the least loaded one that is ready or swapping and has not
+ * been tried yet. Ties are broken in favour of the same failure domain, then by `draw` (uniform in [0, 1)). Suspected
+ * samplers are used only if there is no other.
  */
 export function choosePlainSampler(
     views: readonly SamplerView[],
--- a/packages/entry/src/createAdmission.ts
+++ b/packages/entry/src/createAdmission.ts
@@ -17,7 +17,10 @@
 
 const defaultMaxQueued = 100;
 const reportPollMs = 500;
-/** 32 leases renewed three times a term: at 10 s 10 writes a second for the whole fleet, whoever holds them. */
+/**
+ * Each of the 32 leases is renewed three times per TTL: with a TTL of 10 s that is 10 writes per second for the whole
+ * fleet, regardless of the number of entries.
+ */
 const minRangeTtlMs = 10_000;
 const rangePrefix = "leases/range/";
 
@@ -35,14 +38,14 @@
     quarantine: Quarantine;
     acquireTeamSlot(team: TeamId): () => void;
     runKeyed: ReturnType<typeof createKeyedRequestHandler>;
-    /** An attempt of this content broke off at the incarnation that made the report. */
+    /** An attempt with this content was interrupted at the incarnation that sent the report. */
     recordInterrupted(report: SamplerReport, digest: ContentDigest): void;
     ownedRanges(): number;
-    /** Gives the key ranges up, so that other entries take them over at once. */
+    /** Releases the key ranges, so that other entries can take them over immediately. */
     release(): Promise<void>;
 }
 
-/** Makes what decides on a request before any work: the team's place, the quarantine, at most once by key. */
+/** Creates the checks before a request runs: the team's queue limit, the quarantine and at most one run per key. */
 export function createAdmission({ deps, fleet, directory, logger, store }: AdmissionDeps): Admission {
     const { clock, random, self } = deps;
     const { spread } = fleet;
--- a/packages/entry/src/createBodyPool.ts
+++ b/packages/entry/src/createBodyPool.ts
@@ -5,8 +5,8 @@
 const retryAfterMs = 1_000;
 
 /**
- * Bounds the memory that the bodies of all requests in flight take together, and what one owner of requests may take
- * of it. Each body has its own bound, but a few hundred large ones at once would end the process.
+ * Limits the memory used by the bodies of all requests in flight, in total and for each owner of requests. Each body
+ * has its own limit, but a few hundred large bodies at once would exhaust the memory of the process.
  */
 export function createBodyPool(maxBytes: number, maxOwnerBytes: number): (owner: string) => BodyBudget {
     const bytesByOwner = new Map<string, number>();
--- a/packages/entry/src/createCountedSidecar.ts
+++ b/packages/entry/src/createCountedSidecar.ts
@@ -13,7 +13,7 @@
     resultCodes.incarnationChanged.number,
 ]);
 
-/** Only a missing connection is sure to have sent nothing; any other fault leaves it open whether it ran. */
+/** Nothing was sent only if there was no connection; after any other error the request may have run. */
 function toFailedOutcome(error: unknown): AttemptOutcome<never> {
     const code = codeOf(error);
     return code === resultCodes.sidecarUnreachable
@@ -22,8 +22,8 @@
 }
 
 /**
- * Wraps a sidecar so that its sends are counted and `observer` hears how they end. `connect` gives the present
- * connection and throws `sidecarUnreachable` where there is none.
+ * Wraps a sidecar so that its sends are counted and their results are reported to `observer`. `connect` returns the
+ * current connection and throws `sidecarUnreachable` if there is none.
  */
 export function createCountedSidecar(
     counter: SendCounter,
--- a/packages/entry/src/createDecisionStore.test.ts
+++ b/packages/entry/src/createDecisionStore.test.ts
@@ -2,7 +2,7 @@
 import { createDecisionStore } from "./createDecisionStore.js";
 import { createTestBench } from "./testing/createTestBench.js";
 
-test("a sample leads to its attempts and back, through bound fields too", () => {
+test("explains a sample with the events of its attempts and vice versa, including bound fields", () => {
     const { logger, clock, lines } = createTestBench();
     const book = createDecisionStore(logger, clock);
     const bound = book.logger.child({ sample: "forecast/1/0/0" });
@@ -18,7 +18,7 @@
     expect(book.explain("forecast").decisions).toEqual([]);
 });
 
-test("only the latest events are kept", () => {
+test("stores only the latest events", () => {
     const { clock } = createTestBench();
     const silent = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
     const book = createDecisionStore(silent, clock);
--- a/packages/entry/src/createDecisionStore.ts
+++ b/packages/entry/src/createDecisionStore.ts
@@ -4,7 +4,7 @@
 import type { OperatorExplain } from "@auburnarch/types/OperatorExplain";
 import type { DecisionStore } from "./DecisionStore.js";
 
-/** Bounds the memory: an event takes about 400 bytes, all kept ones under 4 MB. */
+/** Limits the memory to less than 4 MB: an event takes about 400 bytes. */
 const maxEvents = 8_192;
 const idFields = ["sample", "attempt", "request", "key"] as const;
 
@@ -13,7 +13,10 @@
 const idsOf = (fields: LogFields): string[] =>
     idFields.map(name => fields[name]).filter((value): value is string => typeof value === "string");
 
-/** Makes a book over `sink`. Attempts lead to their sample: asking for one also finds what names the other. */
+/**
+ * Creates a decision store that forwards events to `sink`. Events that name both a sample and its attempt link the
+ * two: a query for one also finds the events of the other.
+ */
 export function createDecisionStore(sink: Logger, clock: Clock): DecisionStore {
     const ring: (Decision | undefined)[] = new Array<Decision | undefined>(maxEvents).fill(undefined);
     let next = 0;
--- a/packages/entry/src/createDrainer.ts
+++ b/packages/entry/src/createDrainer.ts
@@ -5,14 +5,15 @@
 
 interface DrainerDeps {
     sidecar: (sampler: SamplerId) => SidecarPort;
-    /** Takes a report that came beside the usual ones. */
+    /** Accepts a report that was read outside the regular reporting interval. */
     takeReport: (report: SamplerReport) => void;
     logger: Logger;
 }
 
 /**
- * Makes the order that takes a sampler out of work: its sidecar refuses from then on, running work goes on. Its
- * report is read at once, so that this entry sends nothing there until the next one. Resolves with what runs there.
+ * Creates the function that drains a sampler: its sidecar refuses new work, running work continues. The sampler's
+ * report is read immediately, so that this entry stops sending to it before the next regular report arrives. Resolves
+ * with the number of running requests.
  */
 export function createDrainer(deps: DrainerDeps): (sampler: SamplerId) => Promise<number> {
     return async sampler => {
--- a/packages/entry/src/createEntry.ts
+++ b/packages/entry/src/createEntry.ts
@@ -25,7 +25,10 @@
 const defaultMaxBodyBytes = 1_048_576;
 const notReadyRetryMs = 1_000;
 
-/** Makes an entry. Its loops start at once; it is ready once it knows a manifest and has caught up with its peers. */
+/**
+ * Creates an entry and starts its loops. It is ready when it knows a manifest and its shared documents are up to date,
+ * or when it may serve from its snapshot.
+ */
 export function createEntry(deps: EntryDeps): Entry {
     const { self, clock, random, metrics, callPeer } = deps;
     const decisionStore = createDecisionStore(deps.logger, clock);
--- a/packages/entry/src/createFleet.ts
+++ b/packages/entry/src/createFleet.ts
@@ -11,7 +11,7 @@
 
 const exchangeTimeoutMs = 1_500;
 
-/** Makes an entry's knowledge of the fleet; nothing runs before `start`. */
+/** Creates an entry's view of the fleet; nothing runs before `start`. */
 export function createFleet(
     deps: EntryDeps,
     logger: Logger,
--- a/packages/entry/src/createForwardPlain.ts
+++ b/packages/entry/src/createForwardPlain.ts
@@ -16,7 +16,7 @@
 const maxRefusalBytes = 65_536;
 const maxIdleConnections = 16;
 const defaultBudgetMs = 60_000;
-/** The owner answers at the deadline at the latest; its answer may take this much longer to arrive. */
+/** The owner answers by the deadline; this is the additional time for its answer to arrive. */
 const answerGraceMs = 1_000;
 
 interface Refusal {
@@ -25,7 +25,7 @@
     retryAfterMs?: number;
 }
 
-/** Makes the client that passes a request on to the entry which owns its key's range. */
+/** Creates the client that forwards a request to the entry that owns the range of its key. */
 export function createForwardPlain(
     clusterToken: string,
     clock: Clock,
@@ -52,7 +52,7 @@
         return headers;
     }
 
-    /** An answer that is not the owner's word on the request leaves it open whether it ran. */
+    /** If the answer does not come from the owner's handling of the request, it is unknown whether the request ran. */
     async function readRefusal(body: AsyncIterable<Uint8Array>): Promise<AttemptOutcome<PlainAnswer>> {
         const unknownOutcome = { kind: "unknown", code: resultCodes.connectionBroken } as const;
         try {
--- a/packages/entry/src/createGauges.ts
+++ b/packages/entry/src/createGauges.ts
@@ -12,7 +12,7 @@
     isReady: () => boolean;
 }
 
-/** Makes the function that sets an entry's gauges from its present state, called when metrics are read. */
+/** Creates the function that sets an entry's gauges from its current state; it is called when metrics are read. */
 export function createGauges(deps: GaugesDeps): () => void {
     const { metrics, fleet, jobs } = deps;
 
--- a/packages/entry/src/createGroupStoreDirectory.ts
+++ b/packages/entry/src/createGroupStoreDirectory.ts
@@ -8,13 +8,13 @@
 const hostSchema = z.object({ entry: z.string(), address: z.string() });
 
 interface GroupStoreDirectory {
-    /** Tells the other entries that this one has a data folder. */
+    /** Announces to the other entries that this one has a data folder. */
     announce(): void;
-    /** Entries with a data folder that are believed alive. */
+    /** Entries with a data folder that are believed to be alive. */
     list(): GroupStoreHost[];
 }
 
-/** Makes the directory of entries with a data folder, spread as shared documents. */
+/** Creates the directory of entries with a data folder; the entries exchange it as shared documents. */
 export function createGroupStoreDirectory(
     self: EntryRecord,
     fleet: Fleet,
@@ -29,7 +29,7 @@
 
     return {
         announce: () => {
-            // The start's wall time orders the announcements of one entry's runs.
+            // The wall-clock time of the start serves as version: it orders the announcements of successive runs.
             const value = { entry: self.entry, address: self.address };
             spread.offer({ name: prefix + self.entry, version: clock.wallMs(), value });
         },
--- a/packages/entry/src/createGroupStoreMethods.ts
+++ b/packages/entry/src/createGroupStoreMethods.ts
@@ -13,7 +13,7 @@
 const loadParams = z.object(stepFields);
 const dropParams = z.object({ ...stepFields, groups: z.array(z.int().nonnegative()).max(65_536) });
 
-/** Methods by which other entries use this entry's data folder; none where it has no folder. */
+/** Creates the methods that give other entries access to this entry's data folder; none if it has no data folder. */
 export function createGroupStoreMethods(
     local: GroupKeep | undefined,
 ): Record<string, (params: unknown) => unknown> {
--- a/packages/entry/src/createJobOwnership.test.ts
+++ b/packages/entry/src/createJobOwnership.test.ts
@@ -9,7 +9,7 @@
 const forecast = { job: "forecast", priority: 5 } as unknown as JobManifest;
 const entries = ["entry-1", "entry-2", "entry-3"] as EntryId[];
 
-/** A world of one lease a job, held by at most one entry at a time. */
+/** Starts the job ownership of each entry; they share one lease per job, held by at most one entry at a time. */
 function createFixture() {
     const bench = createTestBench();
     const holders = new Map<string, { self: EntryId; lost: AbortController; }>();
@@ -78,7 +78,7 @@
     };
 }
 
-test("one of two standbys owns the job, and the other takes over when it hands it on", async () => {
+test("one of two standbys owns a job, and the other takes over when the first releases it", async () => {
     const { clock, owners, doings } = createFixture();
     await clock.advance(3_000);
     const [first, ...more] = owners();
@@ -98,8 +98,8 @@
     `);
 });
 
-test("a lease is lost, and an owner ends by itself", async () => {
-    // Guards against: a job has no owner though every entry is well.
+test("a job gets a new owner after its lease is lost or its owner ends", async () => {
+    // Guards against a job without an owner although all entries are healthy.
     const { clock, owners, holders, doings } = createFixture();
     await clock.advance(3_000);
     const [first] = owners();
@@ -114,8 +114,8 @@
     expect(doings.filter(line => line.endsWith("stopped"))).toHaveLength(2);
 });
 
-test("the lease is lost while its owner starts", async () => {
-    // Guards against: a job stands still for good.
+test("a job gets a new owner if its lease is lost while the owner starts", async () => {
+    // Guards against a job that makes no progress any more, because the abort of the lease was missed.
     const { clock, owners, holders, doings, setStart } = createFixture();
     setStart(async () => {
         setStart(async () => undefined);
@@ -129,8 +129,8 @@
     expect(doings.filter(line => line.endsWith("stopped"))).toHaveLength(1);
 });
 
-test("a shutdown comes while an owner starts", async () => {
-    // Guards against: after a planned restart a job waits for a whole lease.
+test("a shutdown releases the lease of an owner that is still starting", async () => {
+    // Guards against a job that waits for the expiry of its lease after a planned restart.
     const { clock, owners, running, holders, setStart } = createFixture();
     setStart(() => clock.sleep(1_000));
     await clock.advance(500);
@@ -140,7 +140,7 @@
     expect([...holders]).toEqual([]);
 });
 
-test("a job changes in the manifest, then leaves it", async () => {
+test("the owner is updated when its job changes and stopped when the job is removed from the manifest", async () => {
     const { clock, owners, holders, doings, setJobs } = createFixture();
     await clock.advance(3_000);
     setJobs([{ ...forecast, priority: 9 }]);
--- a/packages/entry/src/createJobOwnership.ts
+++ b/packages/entry/src/createJobOwnership.ts
@@ -11,27 +11,27 @@
 import type { OwnedJob } from "./OwnedJob.js";
 import type { TryAcquireLease } from "./TryAcquireLease.js";
 
-/** How often an entry looks for jobs without an owner. */
+/** Interval at which an entry looks for jobs without an owner. */
 const pollMs = 1_000;
-/** Entries that stand by for a job: the first by rendezvous and one behind it. */
+/** Number of entries that try to acquire a job's lease: the first and second in its rendezvous ranking. */
 const standbyCount = 2;
 
 interface JobOwnershipDeps {
     self: EntryId;
     clock: Clock;
     logger: Logger;
-    /** Entries believed alive, this one included. */
+    /** Entries believed to be alive, including this one. */
     listEntries: () => EntryId[];
     listJobs: () => JobManifest[];
     tryAcquireLease: TryAcquireLease;
     createOwner: (job: JobManifest, lease: Lease) => Promise<Owner>;
-    /** Tells the other entries who owns the job. */
+    /** Announces the job's owner to the other entries. */
     announce: (job: JobId, lease: Lease) => void;
 }
 
 /**
- * Takes the leases of jobs whose hash ranks this entry among the first two. Only those two poll a lease, so the
- * object API sees two reads a second and job whatever the number of entries.
+ * Acquires the leases of jobs whose rendezvous hash ranks this entry first or second. Only those two entries poll the
+ * lease, so the object API receives two reads per second and job regardless of the number of entries.
  */
 export function createJobOwnership(deps: JobOwnershipDeps): JobOwnership {
     const { clock, logger, self } = deps;
@@ -70,8 +70,8 @@
         });
         const ownedJob: OwnedJob = { job, lease, owner };
         owned.set(job.job, ownedJob);
-        // A signal that was aborted while the owner started calls no listener any more: without this the job would
-        // stay here for good under a lease that is lost, or be left running behind a shutdown.
+        // A signal aborted while the owner was starting does not call listeners added later. Without this check the
+        // job would stay here permanently under a lost lease, or keep running after a shutdown.
         if (lease.lost.aborted || owner.ended?.aborted === true || stopped.signal.aborted) {
             await drop(ownedJob, "endedAtStart");
             return;
--- a/packages/entry/src/createJobReader.ts
+++ b/packages/entry/src/createJobReader.ts
@@ -17,7 +17,7 @@
     callPeer: PeerCall;
 }
 
-/** Makes the reader of all jobs' states: those owned here directly, the others from their owners. */
+/** Creates the function that reads the status of all jobs, from this entry or from their owners elsewhere. */
 export function createJobReader(deps: JobReaderDeps): () => Promise<JobReport[]> {
     async function read(job: JobManifest): Promise<JobReport> {
         const owned = deps.jobs.get(job.job);
--- a/packages/entry/src/createKeyedRequestHandler.test.ts
+++ b/packages/entry/src/createKeyedRequestHandler.test.ts
@@ -53,15 +53,15 @@
     };
 }
 
-test("an owner elsewhere gets the request, and it never runs here", async () => {
+test("a request is forwarded to the owner of its key and does not run here", async () => {
     const { call, passedOn, executed } = createFixture([ran]);
     expect(await call()).toBe(ran);
     expect(passedOn.map(each => each.budgetMs)).toEqual([1_000]);
     expect(executed()).toBe(0);
 });
 
-test("the connection to the owner breaks, and the second sending is refused", async () => {
-    // Guards against: a caller hears "not run", sends an alert anew under another key, and it goes out twice.
+test("the outcome stays unknown if the connection to the owner breaks and the second attempt is refused", async () => {
+    // Guards against duplicate effects: a caller told "not run" would send the request again under another key.
     for (const refusal of [noOwner, noConnection]) {
         const { call, passedOn } = createFixture([broken, refusal]);
         expect(await call()).toBe(broken);
@@ -69,8 +69,8 @@
     }
 });
 
-test("the caller goes away during the second sending", async () => {
-    // Guards against: the request counts as not run.
+test("the outcome stays unknown if the caller disconnects during the second attempt", async () => {
+    // Guards against counting a request as not run although the first attempt may have run it.
     const { call, caller, passedOn } = createFixture([broken, noConnection], undefined, count => {
         if (count === 2) {
             caller.abort();
@@ -80,21 +80,21 @@
     expect(passedOn).toHaveLength(2);
 });
 
-test("a request already passed on is not passed on again", async () => {
-    // Guards against: two entries send a request back and forth until its deadline.
+test("a forwarded request is not forwarded again", async () => {
+    // Guards against two entries forwarding a request to each other until its deadline.
     const { call, passedOn } = createFixture([]);
     expect(await call({ forwarded: true })).toEqual(noOwner);
     expect(passedOn).toEqual([]);
 });
 
-test("a key that tells no time is refused, and nothing runs", async () => {
+test("a key that contains no time is refused, and nothing runs", async () => {
     const { call, executed } = createFixture([]);
     const random = "7b1f1d7e-5c0c-4d1f-9c37-0d9d3f3f8f01";
     expect(await call({ idempotencyKey: random })).toMatchObject({ code: resultCodes.keyNotUuidV7 });
     expect(executed()).toBe(0);
 });
 
-test("the caller of a run here hangs up, and the run goes on for those who send the key again", async () => {
+test("a run continues after its caller disconnects, for callers that send the same key again", async () => {
     const { call, caller, executed } = createFixture([], { run: (_request, execute) => execute() });
     caller.abort();
     expect(await call()).toBe(ran);
--- a/packages/entry/src/createKeyedRequestHandler.ts
+++ b/packages/entry/src/createKeyedRequestHandler.ts
@@ -11,7 +11,7 @@
 import type { ForwardPlain } from "./ForwardPlain.js";
 
 const retryAfterMs = 1_000;
-/** An owner that dies in the middle is replaced within its lease; a caller is told to come back meanwhile. */
+/** An owner that crashes is replaced when its lease expires; until then callers are asked to retry. */
 const maxForwards = 2;
 
 type Outcome = AttemptOutcome<PlainAnswer>;
@@ -21,7 +21,7 @@
     logger: Logger;
     selfAddress: string;
     findRange: (range: number) => KeyRange | undefined;
-    /** Address of the entry that owns a range, as last heard. */
+    /** Returns the last announced address of the entry that owns a range. */
     findOwnerAddress: (range: number) => string | undefined;
     forward: ForwardPlain;
 }
@@ -33,8 +33,8 @@
 });
 
 /**
- * Runs a non-idempotent request with a key: here if this entry owns the key's range, else at the owner. The same
- * key may be passed on again after a broken connection, since the owner's memory keeps it from running twice.
+ * Runs a non-idempotent request with a key: here if this entry owns the key's range, otherwise at the owner. After a
+ * broken connection the request may be forwarded again, because the owner remembers the key and does not run it twice.
  */
 export function createKeyedRequestHandler(
     deps: KeyedRequestHandlerDeps,
@@ -66,7 +66,7 @@
             if (latest.kind === "ran") {
                 return latest;
             }
-            // Once it may have run, a later "not run" speaks only of the later sending.
+            // If an earlier attempt may have run, a later "not run" applies only to the later attempt.
             outcome = outcome.kind === "unknown" ? outcome : latest;
             if (signal.aborted || (latest.kind === "notRun" && latest.code !== resultCodes.connectFailed)) {
                 return outcome;
@@ -83,7 +83,7 @@
         const range = rangeOf(key);
         const here = deps.findRange(range);
         if (here !== undefined) {
-            // The run belongs to the key, not to the caller that happened to start it: that one may go away.
+            // The run continues if the caller disconnects: other callers with the same key wait for its answer.
             return here.run({ team: request.team, key, digest }, () => execute(new AbortController().signal));
         }
         return request.forwarded
--- a/packages/entry/src/createLeaseScan.ts
+++ b/packages/entry/src/createLeaseScan.ts
@@ -1,7 +1,7 @@
 import type { LeaseKeeper } from "@auburnarch/lease/LeaseKeeper";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 
-/** From so many leases on, one list costs less than a read of each. */
+/** From this number of leases, one list call costs less than reading each lease. */
 const minKeysToList = 8;
 
 interface LeaseScanDeps {
@@ -13,8 +13,8 @@
 }
 
 /**
- * Makes the scan that finds the leases worth a try: free ones, and those not renewed for their whole term. With few
- * entries each stands by for many leases; trying each of them would cost a read each, and most are held.
+ * Creates the scan that finds the leases that may be acquirable: free ones, and those not renewed for a full TTL. With
+ * few entries, each is a standby for many leases; an acquisition attempt costs a read, and most leases are held.
  */
 export function createLeaseScan(deps: LeaseScanDeps): (keys: string[]) => Promise<string[]> {
     const { leases, ttlMs } = deps;
--- a/packages/entry/src/createLeavingVmWatcher.ts
+++ b/packages/entry/src/createLeavingVmWatcher.ts
@@ -24,9 +24,10 @@
 }
 
 /**
- * Brings the word that a VM is leaving to its sidecar within seconds. The few relays read the VM list every second
- * and spread the leaving VMs as a shared document; an entry that a leaving sampler reports to orders its sidecar to
- * take no new work. If every process read the list that often, it would see thousands of calls a second.
+ * Notifies the sidecar of a leaving VM within seconds. Only the few relays read the VM list every second; they
+ * distribute the leaving VMs as a shared document. An entry that receives the reports of a leaving sampler orders its
+ * sidecar to accept no new work. If every process read the VM list every second, it would receive thousands of calls
+ * per second.
  */
 export function createLeavingVmWatcher(deps: LeavingVmWatcherDeps): LeavingVmWatcher {
     const { fleet, clock, logger } = deps;
--- a/packages/entry/src/createManifestPublisher.test.ts
+++ b/packages/entry/src/createManifestPublisher.test.ts
@@ -24,8 +24,8 @@
     return { ...bench, store, start, standing };
 }
 
-test("the answer to a publication is lost", async () => {
-    // Guards against: an operator is told that the store failed, applies again and is refused.
+test("a publication whose answer is lost is recognised as published", async () => {
+    // Guards against reporting a store failure for a successful publication: a second attempt would be refused.
     const { start, control, settle, standing } = createFixture();
     const publisher = start();
     control.loseAnswers(1);
@@ -34,8 +34,8 @@
     expect(await settle(publisher.publish(manifest("first"), 0))).toEqual({ version: 1, changed: false });
 });
 
-test("two operators publish against the same version", async () => {
-    // Guards against: one operator's change vanishes though both were told it was accepted.
+test("the second of two publications against the same version is refused with the published manifest", async () => {
+    // Guards against losing an operator's change that was reported as accepted.
     const { start, settle, standing } = createFixture();
     const publisher = start();
     await settle(publisher.publish(manifest("first"), 0));
@@ -48,8 +48,8 @@
     expect(standing()).toBe("winner");
 });
 
-test("an entry starts with a file that was published before", async () => {
-    // Guards against: an operator's change is undone by itself.
+test("a file that was already published is not published again after a restart", async () => {
+    // Guards against overwriting a manifest that an operator has applied after the file.
     const { start, store, settle, clock, standing } = createFixture();
     const text = JSON.stringify(manifest("file"));
     const publisher = start(() => text);
@@ -63,8 +63,8 @@
     expect(standing()).toBe("operator");
 });
 
-test("the store fails between the two writes of a publication", async () => {
-    // Guards against: an operator's change is undone a second after it.
+test("a file does not overwrite an operator's change made between the two writes of its publication", async () => {
+    // Guards against undoing the operator's change when the failed publication is retried a second later.
     const { start, store, clock, standing } = createFixture();
     const { write } = store;
     let writes = 0;
@@ -83,8 +83,8 @@
     expect(standing()).toBe("operator");
 });
 
-test("a changed file that loses a race is published over the winner", async () => {
-    // Guards against: the pipeline's change never takes effect.
+test("a changed file whose publication conflicts with another change is published over it", async () => {
+    // Guards against a change of the manifest file that never takes effect.
     const { start, store, clock, standing } = createFixture();
     const write = store.write;
     store.write = async (key, value, expected) => {
@@ -99,7 +99,7 @@
     expect(standing()).toBe("file");
 });
 
-test("a file with faults changes nothing, and its next text is taken", async () => {
+test("an invalid file changes nothing, and its next valid text is published", async () => {
     const { start, clock, lines, standing } = createFixture();
     let text = JSON.stringify(manifest("first"));
     start(() => text);
--- a/packages/entry/src/createManifestPublisher.ts
+++ b/packages/entry/src/createManifestPublisher.ts
@@ -31,21 +31,24 @@
 }
 
 interface ManifestPublisher {
-    /** Publishes against `expectedVersion`; rejects with `ManifestFaults`, `ManifestRaced` or a store error. */
+    /**
+     * Publishes a manifest if the published version is still `expectedVersion`; rejects with `ManifestInvalidError`,
+     * `ManifestConflictError` or a store error.
+     */
     publish(manifest: unknown, expectedVersion: number): Promise<OperatorApplied>;
     read(): Promise<StoredObject | undefined>;
     start(): void;
     stop(): void;
 }
 
-/** What was last published from the file, and the manifest's version that it was to replace. */
+/** Digest of the last text published from the file, and the manifest version that it was to replace. */
 const sourceSchema = z.object({ digest: z.string(), baseVersion: z.int().nonnegative() });
 
 const sameValue = (a: unknown, b: unknown): boolean => JSON.stringify(a) === JSON.stringify(b);
 
 /**
- * Publishes manifests as one object by conditional update, so that of two operators at once one is told what the
- * other published. A manifest with faults never reaches the object.
+ * Publishes manifests to a single object with conditional writes: of two operators publishing concurrently, one is
+ * refused and receives the manifest of the other. A manifest with faults is never written.
  */
 export function createManifestPublisher(deps: ManifestPublisherDeps): ManifestPublisher {
     const { clock, logger, store } = deps;
@@ -58,7 +61,7 @@
         return { version, changed };
     }
 
-    /** The answer was lost: what stands there now tells whether our manifest is it. */
+    /** The answer to a write was lost: reads the object to find out whether it contains the manifest. */
     async function confirmPublished(manifest: unknown, error: unknown): Promise<OperatorApplied> {
         const current = codeOf(error) === resultCodes.storeUnavailable
             ? await store.read(manifestKey)
@@ -108,10 +111,10 @@
     }
 
     /**
-     * A file that was published before must not be published again by an entry that starts or was cut off: an
-     * operator may have applied a newer manifest since, and the old file would undo it. So the intent is written
-     * first, with the version that it replaces. Whoever finds the intent again publishes against just that version:
-     * once anything newer stands there, the file either was published or has been overtaken.
+     * A file that has been published must not be published again by an entry that restarts or was disconnected: an
+     * operator may have applied a newer manifest in the meantime, and the old file would overwrite it. So the intent is
+     * written first, with the version to be replaced. An entry that finds the same intent publishes only against that
+     * version: if a newer one exists, the file has either been published or superseded.
      */
     async function publishText(text: string): Promise<void> {
         const digest = createHash("sha256").update(text).digest("hex");
@@ -135,7 +138,7 @@
         );
     }
 
-    /** Another change that came first is a reason to try again: this one surely did not take effect. */
+    /** Retries after a conflict with another change: a conflicting write certainly had no effect. */
     async function publishWithIntent(
         intent: z.infer<typeof sourceSchema>,
         manifest: Manifest,
@@ -148,7 +151,7 @@
             if (!isIntentStored || attempt > 0) {
                 const written = await store.write(sourceKey, { ...intent, baseVersion }, intentVersion);
                 if (written.kind === "conflict") {
-                    throw new ResultError(resultCodes.manifestRaced, "another entry publishes a file");
+                    throw new ResultError(resultCodes.manifestRaced, "another entry published a file");
                 }
                 intentVersion = written.version;
             }
@@ -163,7 +166,7 @@
                 baseVersion = error.current?.version ?? noObject;
             }
         }
-        throw new ResultError(resultCodes.manifestRaced, `${maxFileAttempts} times`);
+        throw new ResultError(resultCodes.manifestRaced, `not published after ${maxFileAttempts} attempts`);
     }
 
     async function followFile(readFile: () => Promise<string>): Promise<void> {
--- a/packages/entry/src/createManifestView.ts
+++ b/packages/entry/src/createManifestView.ts
@@ -3,7 +3,7 @@
 import type { VersionedManifest } from "@auburnarch/types/VersionedManifest";
 import type { ManifestView } from "./ManifestView.js";
 
-/** Reads the manifest out of the shared documents, with its defaults; those were checked before they were taken. */
+/** Reads the manifest, with its defaults, from the shared documents; they are validated before they are accepted. */
 export function createManifestView(get: (name: string) => SharedDocument | undefined): ManifestView {
     let lastDocument: SharedDocument | undefined;
     let view: VersionedManifest | undefined;
--- a/packages/entry/src/createMemberReader.ts
+++ b/packages/entry/src/createMemberReader.ts
@@ -18,9 +18,9 @@
 }
 
 interface MemberReader {
-    /** This entry and the samplers that report to it. */
+    /** Describes this entry and the samplers that report to it. */
     describeHere(): OperatorMember[];
-    /** Every process of the fleet that an entry knows of, each by its freshest word. */
+    /** Describes every process of the fleet that any entry knows, each by the newest information. */
     readAll(): Promise<OperatorMember[]>;
 }
 
@@ -57,7 +57,7 @@
     || member.configVersion > than.configVersion
     || (member.configVersion === than.configVersion && member.ageMs < than.ageMs);
 
-/** Makes the reader of who is there and which manifest is in force where; asks every live entry once. */
+/** Creates the reader of the fleet's members and their active manifest versions; it asks every known entry once. */
 export function createMemberReader(deps: MemberReaderDeps): MemberReader {
     function describeHere(): OperatorMember[] {
         const self = describeRecord(deps.self, "ready", 0);
--- a/packages/entry/src/createMonitoredStore.ts
+++ b/packages/entry/src/createMonitoredStore.ts
@@ -3,7 +3,7 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { MonitoredStore } from "./MonitoredStore.js";
 
-/** Wraps a store so that operators can see whether it answers. */
+/** Wraps a store and tracks whether it is reachable. */
 export function createMonitoredStore(store: ObjectStore): MonitoredStore {
     let reachable = true;
 
--- a/packages/entry/src/createOperations.ts
+++ b/packages/entry/src/createOperations.ts
@@ -37,7 +37,7 @@
     renderMetrics(): Promise<string>;
 }
 
-/** Makes what operators see and steer of an entry: their interface, who is there, metrics. */
+/** Creates the operator-facing parts of an entry: the operator interface, the list of members and the metrics. */
 export function createOperations(parts: OperationsDeps): Operations {
     const { deps, fleet, jobs, directory, quarantine, isReady, isStoreReachable } = parts;
     const { self, metrics, callPeer } = deps;
--- a/packages/entry/src/createOperatorHandler.ts
+++ b/packages/entry/src/createOperatorHandler.ts
@@ -35,7 +35,7 @@
     views: SamplerViews;
     drain: (sampler: SamplerId) => Promise<number>;
     publish: (manifest: unknown, expectedVersion: number) => Promise<OperatorApplied>;
-    /** Reports of all jobs, from this entry and from the owners elsewhere. */
+    /** Reads the reports of all jobs, from this entry and from owners at other entries. */
     readJobs: () => Promise<JobReport[]>;
     usage: UsageCollector;
     listQuarantine: () => QuarantineRecord[];
@@ -66,12 +66,12 @@
 }
 
 interface OperatorHandler {
-    /** `action` is method and path below `/operator/`; rejects with `notFound` for any other. */
+    /** `action` is the HTTP method and the path below `/operator/`; rejects with `notFound` if it is unknown. */
     run(action: string, query: URLSearchParams, body: unknown): Promise<unknown>;
     readTeamUsage(team: TeamId): Promise<OperatorTeamUsage>;
 }
 
-/** Answers the operators' interface. */
+/** Creates the handler of the operator interface. */
 export function createOperatorHandler(deps: OperatorHandlerDeps): OperatorHandler {
     const noVersion = 0 as ConfigVersion;
 
--- a/packages/entry/src/createOwnerDirectory.ts
+++ b/packages/entry/src/createOwnerDirectory.ts
@@ -18,8 +18,9 @@
 }
 
 /**
- * Who owns what, spread between entries as documents whose version is the fencing number: a newer owner's word
- * beats an older one's, however late it arrives. It only guides calls; the owner's own lease decides.
+ * Creates the directory of owners, exchanged between entries as shared documents with the fencing number as version:
+ * the announcement of a newer owner replaces that of an older one, regardless of the order of arrival. It only routes
+ * calls; ownership itself is decided by the lease.
  */
 export function createOwnerDirectory(deps: OwnerDirectoryDeps): OwnerDirectory {
     function announce(name: string, lease: Lease): void {
--- a/packages/entry/src/createOwnership.ts
+++ b/packages/entry/src/createOwnership.ts
@@ -19,7 +19,7 @@
     jobs: JobOwnership;
 }
 
-/** Makes what an entry holds by lease: its jobs, and the directory of who owns what. */
+/** Creates the ownership of jobs by lease and the directory of owners. */
 export function createOwnership(
     deps: EntryDeps,
     fleet: Fleet,
--- a/packages/entry/src/createPeerCall.ts
+++ b/packages/entry/src/createPeerCall.ts
@@ -25,7 +25,7 @@
         return error;
     }
     if (error instanceof JSONRPCErrorException) {
-        // The library turns a failed sending into an error of its own, with a number that is none of ours.
+        // The library reports a failed send as an error of its own, whose number is not one of our result codes.
         const data = (error.data ?? {}) as ErrorData;
         return new ResultError(
             codeByNumber(error.code, resultCodes.peerUnreachable),
@@ -39,8 +39,10 @@
     );
 }
 
-/** Makes the client for JSON-RPC 2.0 over HTTP between processes; one keep-alive agent for all peers. With
- * `createSecureAgent` it calls `https` addresses alone, so that no token leaves over a plain connection. */
+/**
+ * Creates the client for JSON-RPC 2.0 over HTTP between processes, with one keep-alive agent for all peers. With
+ * `createSecureAgent` it calls only `https` addresses, so that no token is sent over an unencrypted connection.
+ */
 export function createPeerCall(
     clusterToken: string,
     createSecureAgent?: (options: AgentOptions) => Agent,
@@ -59,7 +61,7 @@
             headers: {
                 "content-type": "application/json",
                 "content-length": body.byteLength,
-                // Entries read the one, sidecars the other.
+                // Entries read the first header, sidecars the second.
                 authorization: `Bearer ${clusterToken}`,
                 [sidecarHeaders.clusterToken]: clusterToken,
             },
@@ -96,8 +98,8 @@
         const client: JSONRPCClient = new JSONRPCClient(
             async (payload: { id?: unknown; }) => {
                 const answer = await post(address, payload, timeoutMs);
-                // A refusal, or what a stranger at a reused address says, answers no call: the client would wait for
-                // its own answer for ever, and with it the loop that asked.
+                // A refusal, or a reply from an unrelated process at a reused address, is not an answer to this call:
+                // the client would wait for its answer forever, and so would the calling loop.
                 if (!isJSONRPCResponse(answer) || answer.id !== payload.id) {
                     throw new ResultError(
                         resultCodes.peerUnreachable,
--- a/packages/entry/src/createPeerHandler.ts
+++ b/packages/entry/src/createPeerHandler.ts
@@ -47,7 +47,10 @@
     return parsed.data;
 }
 
-/** Answers calls of other processes: `gossip`, `spread`, `report`, `train`, `jobStatus`, `describe`, and those of its data folder. */
+/**
+ * Creates the handler of calls from other processes: `gossip`, `spread`, `report`, `train`, `jobStatus`, `describe` and
+ * the methods of the data folder.
+ */
 export function createPeerHandler(
     deps: PeerHandlerDeps,
 ): (method: string, params: unknown) => Promise<unknown> {
@@ -66,7 +69,7 @@
         return owned.owner.status();
     }
 
-    // A map, since a plain object would also answer to `constructor` and the like.
+    // A map, because a plain object would also have methods such as `constructor`.
     const methods = new Map<string, (params: unknown) => unknown>(Object.entries({
         gossip: fleet.membership.receiveGossip,
         spread: fleet.spread.receive,
--- a/packages/entry/src/createPeerServer.ts
+++ b/packages/entry/src/createPeerServer.ts
@@ -7,7 +7,7 @@
 import type { Entry } from "./Entry.js";
 
 interface PeerServer {
-    /** Rejects with `badRequest` for anything but one call with an id. */
+    /** Rejects with `badRequest` unless the message is a single call with an id. */
     receive(message: unknown): Promise<unknown>;
 }
 
@@ -17,7 +17,9 @@
         && (typeof id === "number" || typeof id === "string");
 }
 
-/** Answers JSON-RPC 2.0 calls of other processes by `entry.receive`; errors carry the number of their result code. */
+/**
+ * Answers JSON-RPC 2.0 calls from other processes with `entry.receive`; errors carry the number of their result code.
+ */
 export function createPeerServer(
     entry: Pick<Entry, "receive">,
     logInternal: (code: ResultCode, error: unknown) => void,
@@ -28,7 +30,7 @@
             return {
                 jsonrpc: "2.0",
                 id: request.id ?? 0,
-                // Without a result it would be no answer, and the caller would take the call for failed.
+                // A message without a result is not a valid answer; the caller would treat the call as failed.
                 result: await entry.receive(request.method, request.params) ?? {},
             };
         }
@@ -47,7 +49,7 @@
     });
     return {
         receive: async message => {
-            // The library runs the calls of an array all at once, without a bound, and trips over other values.
+            // The library runs all calls of an array concurrently without a limit and fails on other values.
             if (!(message instanceof Object) || Array.isArray(message) || !isCall(message)) {
                 throw new ResultError(resultCodes.badRequest, "body: one JSON-RPC 2.0 call with an id");
             }
--- a/packages/entry/src/createRangeOwnership.ts
+++ b/packages/entry/src/createRangeOwnership.ts
@@ -14,11 +14,11 @@
 import type { RangeOwnership } from "./RangeOwnership.js";
 import type { TryAcquireLease } from "./TryAcquireLease.js";
 
-/** Two standbys for each of 32 ranges: 21 reads a second for the whole fleet, whatever its size. */
+/** With two standbys for each of 32 ranges: 21 reads per second for the whole fleet, regardless of its size. */
 const pollMs = 3_000;
 const standbyCount = 2;
 const allRanges = Array.from({ length: rangeCount }, (_, range) => range);
-/** The others are heard of first, so that the first entry to start does not take every range. */
+/** Time to learn of the other entries, so that the first entry to start does not acquire every range. */
 const startDelayMs = 2_000;
 
 interface RangeOwnershipDeps {
@@ -29,14 +29,14 @@
     guards: KeyRangeGuards | undefined;
     listEntries: () => EntryId[];
     tryAcquireLease: TryAcquireLease;
-    /** Of these lease keys, those worth a try. */
+    /** Returns those of the lease keys that may be acquirable. */
     findAcquirableLeases: (keys: string[]) => Promise<string[]>;
     announce: (range: number, lease: Lease) => void;
 }
 
 /**
- * Takes key ranges whose hash ranks this entry among the first two. A range stays where it is while its holder
- * lives: a move makes its recent keys unanswerable, so none is made for the sake of balance.
+ * Acquires key ranges whose rendezvous hash ranks this entry first or second. A range stays with its holder while that
+ * entry is alive: after a move its recent keys cannot be answered, so ranges are never moved for load balancing.
  */
 export function createRangeOwnership(deps: RangeOwnershipDeps): RangeOwnership {
     const { clock, logger, invariants } = deps;
--- a/packages/entry/src/createRankCache.ts
+++ b/packages/entry/src/createRankCache.ts
@@ -2,8 +2,8 @@
 import type { EntryId } from "@auburnarch/types/EntryId";
 
 /**
- * Remembers rankings while the set of entries stays the same. Ranking 32 key ranges over 400 entries takes 12,800
- * hashes, too many to repeat each second; the set itself changes a few times an hour.
+ * Caches rankings as long as the set of entries is unchanged. Ranking 32 key ranges over 400 entries takes 12,800
+ * hashes, too many to repeat every second; the set changes only a few times per hour.
  */
 export function createRankCache(): (key: string, entries: readonly EntryId[]) => EntryId[] {
     let signature = "";
--- a/packages/entry/src/createReplicatedGroupStore.test.ts
+++ b/packages/entry/src/createReplicatedGroupStore.test.ts
@@ -47,8 +47,8 @@
     return { ...bench, shared, keeps, gone };
 }
 
-test("one of two keepers vanishes together with the owner", async () => {
-    // Guards against: a whole step is generated again.
+test("all groups can be loaded while one of the hosts is unreachable", async () => {
+    // Guards against generating a whole step again when one VM with a data folder fails together with the owner.
     const { shared, gone, lines } = createFixture(["a", "b", "c"]);
     await shared.save(record(0, 3, "zero"));
     await shared.save(record(1, 3, "one"));
@@ -60,15 +60,15 @@
     expect(lines).toEqual([]);
 });
 
-test("of two copies of a group the one with the higher fencing number counts", async () => {
-    // Guards against: a trainer gets samples that the owner never verified.
+test("of two copies of a group the one with the higher fencing number is loaded", async () => {
+    // Guards against delivering samples that the current owner has not verified.
     const { shared, keeps } = createFixture(["a", "b"]);
     await keeps.get("a")!.save(record(0, 4, "successor"));
     await keeps.get("b")!.save(record(0, 3, "lapsed"));
     expect(await shared.load("forecast", 1)).toMatchObject([{ group: 0, fencing: 4, body: "successor" }]);
 });
 
-test("keepers fail: the lost copies are logged and nothing rejects", async () => {
+test("failing hosts cause a log line for a group without copies, and no call rejects", async () => {
     const { shared, keeps, lines } = createFixture(["a", "b"]);
     const fail = () => Promise.reject(new Error("disk full"));
     keeps.forEach(keep => Object.assign(keep, { save: fail, load: fail, drop: fail }));
--- a/packages/entry/src/createReplicatedGroupStore.ts
+++ b/packages/entry/src/createReplicatedGroupStore.ts
@@ -8,7 +8,7 @@
 type StoredGroup = Parameters<GroupKeep["save"]>[0];
 
 const callTimeoutMs = 2_000;
-/** Copies of each group: one VM with a data folder may vanish together with the owner. */
+/** Copies of each group: one VM with a data folder may fail together with the owner. */
 const copyCount = 2;
 
 const recordsSchema = z.array(z.object({ group: z.number(), fencing: z.number(), body: z.string() }));
@@ -16,15 +16,16 @@
 interface ReplicatedGroupStoreDeps {
     self: string;
     local: GroupKeep | undefined;
-    /** Entries with a data folder believed alive, this one included if it has one. */
+    /** Entries with a data folder that are believed to be alive, including this one if it has a data folder. */
     listHosts: () => GroupStoreHost[];
     callPeer: PeerCall;
     logger: Logger;
 }
 
 /**
- * Keeps groups on the VMs with a data folder, wherever the owner runs, so that an owner that takes over need not
- * make them again. Losing a copy costs work and never truth: a failed save is logged and the step goes on.
+ * Stores finished groups on the VMs with a data folder, independent of where the owner runs, so that an owner that
+ * takes over does not have to generate them again. A lost copy costs work but never correctness: a failed save is
+ * logged and the step continues.
  */
 export function createReplicatedGroupStore(deps: ReplicatedGroupStoreDeps): GroupKeep {
     const { self, local, callPeer, logger } = deps;
@@ -71,7 +72,7 @@
         return parsed.success ? parsed.data : [];
     }
 
-    /** Every keeper is asked: who was chosen at the time of the save may differ from who would be now. */
+    /** Asks every host: the hosts selected when a group was saved may differ from those that would be selected now. */
     async function load(job: string, step: number): ReturnType<GroupKeep["load"]> {
         const loaded = await Promise.all(deps.listHosts().map(keeper => loadFrom(keeper, job, step)));
         const newest = new Map<number, Awaited<ReturnType<GroupKeep["load"]>>[number]>();
--- a/packages/entry/src/createSamplerViews.ts
+++ b/packages/entry/src/createSamplerViews.ts
@@ -14,17 +14,17 @@
 interface SamplerConnection {
     counter: SendCounter;
     port: SidecarPort;
-    /** The report at the latest attempt. */
+    /** The sampler's report at the time of the latest attempt. */
     report: SamplerReport | undefined;
     sidecar: SidecarPort | undefined;
 }
 
-/** Joins reports, which lag, with what this entry sent since. */
+/** Combines reports, which are delayed, with what this entry has sent since. */
 export function createSamplerViews(deps: SamplerViewsDeps): SamplerViews {
     const { clock } = deps;
     const connections = new Map<SamplerId, SamplerConnection>();
 
-    /** A sampler that comes back on another VM has another address: its connection is made anew. */
+    /** Returns the sampler's sidecar; reconnects if its address has changed, as when it restarts on another VM. */
     function connect(sampler: SamplerId, connection: SamplerConnection): SidecarPort {
         const report = deps.listReports().find(each => each.report.sampler === sampler)?.report;
         if (report !== undefined && report.address !== connection.report?.address) {
--- a/packages/entry/src/createSendCounter.ts
+++ b/packages/entry/src/createSendCounter.ts
@@ -3,7 +3,7 @@
 
 const maxSendTimes = 512;
 
-/** Counts what is in flight and what was sent lately; the memory is bounded by `keptSends` times. */
+/** Counts attempts and tokens in flight and recent sends; stores at most `maxSendTimes` send times. */
 export function createSendCounter(clock: Clock): SendCounter {
     let attempts = 0;
     let tokens = 0;
--- a/packages/entry/src/createServiceHandler.ts
+++ b/packages/entry/src/createServiceHandler.ts
@@ -25,7 +25,7 @@
 import { notifyOnCleanEnd } from "./notifyOnCleanEnd.js";
 import type { SamplerViews } from "./SamplerViews.js";
 
-/** First attempt and two more; each further one finds the same trouble at growing cost. */
+/** One attempt and two retries; further retries usually meet the same fault and only add load. */
 const maxAttempts = 3;
 const defaultRetryBudgetRatio = 0.1;
 const notReadyRetryMs = 1_000;
@@ -41,7 +41,7 @@
     manifest: () => Manifest | undefined;
     views: SamplerViews;
     quarantine: Pick<Quarantine, "isRefused" | "isSuspect" | "recordCleanFinish" | "trialDueInMs">;
-    /** Takes a place for a team's request, rejecting with `queueFull`; the function given back frees it. */
+    /** Reserves a queue place for a team's request or throws `queueFull`; the returned function releases it. */
     acquireTeamSlot: (team: TeamId) => () => void;
     guards?: SendGuards;
     /** Runs a non-idempotent request with a key at most once, here or at the entry that owns the key's range. */
@@ -62,7 +62,10 @@
     throw new ResultError(outcome.code, "", retryAfterMs);
 }
 
-/** Serves callers' requests: refuses what cannot run, keeps to at most once where asked, and sends the rest. */
+/**
+ * Creates the handler of callers' requests: it refuses those that cannot run, runs requests with an idempotency key at
+ * most once and sends the others to samplers.
+ */
 export function createServiceHandler(
     deps: ServiceHandlerDeps,
 ): (request: CallerRequest, signal: AbortSignal) => Promise<PlainAnswer> {
@@ -140,7 +143,7 @@
         return async signal => (await sendPlain(plainRequest, plainDeps, signal)).outcome;
     }
 
-    /** Content that was in flight at a death and ends cleanly this time was a bystander. */
+    /** Content that was in flight during a crash but ends cleanly this time did not cause the crash. */
     function clearSuspect(answer: PlainAnswer, digest: ContentDigest): PlainAnswer {
         if (!deps.quarantine.isSuspect(digest)) {
             return answer;
--- a/packages/entry/src/createSidecarCrashDetector.ts
+++ b/packages/entry/src/createSidecarCrashDetector.ts
@@ -5,7 +5,7 @@
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { VmId } from "@auburnarch/types/VmId";
 
-/** A sidecar that has not come back as another by then did not die: its connections broke. */
+/** If no new incarnation appears within this time, the connections broke but the sidecar did not crash. */
 const maxWaitMs = 60_000;
 
 interface InterruptedAttempts {
@@ -16,15 +16,16 @@
 }
 
 interface SidecarCrashDetector {
-    /** An attempt of this content ended without an answer at the incarnation that made `report`. */
+    /** An attempt with this content ended without an answer at the incarnation that sent `report`. */
     recordInterrupted(report: SamplerReport, digest: ContentDigest): void;
-    /** Takes a later report of the sampler. */
+    /** Processes a later report of the sampler. */
     recordReport(report: SamplerReport): void;
 }
 
 /**
- * Notices sidecars that die together with what they ran, as when a content takes the whole VM down: such a sidecar
- * cannot tell what was in flight. An attempt that broke off and a new incarnation afterwards are the evidence.
+ * Detects sidecars that crash together with the requests they run, for example when a request crashes the whole VM:
+ * such a sidecar cannot report which requests were in flight. An interrupted attempt followed by a new incarnation of
+ * the sampler counts as a crash.
  */
 export function createSidecarCrashDetector(
     clock: Clock,
--- a/packages/entry/src/createSnapshotRestore.test.ts
+++ b/packages/entry/src/createSnapshotRestore.test.ts
@@ -52,8 +52,8 @@
     };
 }
 
-test("an entry restarts while the object API and every peer are down", async () => {
-    // Guards against: all calls are refused for the whole outage.
+test("an entry that restarts while the object API and every peer are down serves from its snapshot", async () => {
+    // Guards against refusing all calls for the duration of the outage.
     const { clock, control, spread, quickStart, inForce, isSettled } = createFixture({
         documents: [documentOf("kept", 7)],
         peers: [],
@@ -68,8 +68,8 @@
     expect(inForce()).toBe("kept 7");
 });
 
-test("the snapshot is older than what stands published", async () => {
-    // Guards against: an entry serves a manifest of last week.
+test("a newer published manifest replaces that of the snapshot", async () => {
+    // Guards against serving an outdated manifest.
     const { clock, store, spread, quickStart, inForce, settle, saved } = createFixture({
         documents: [documentOf("kept", 1)],
         peers: [],
@@ -86,7 +86,7 @@
     expect(saved.at(-1)).toMatchObject({ documents: [{ version: 2 }], peers: ["http://peer"] });
 });
 
-test("a snapshot with a faulty manifest is not taken, and without one nothing is served early", async () => {
+test("an invalid manifest in a snapshot is not used, and without a snapshot nothing is served early", async () => {
     const broken = { ...documentOf("kept", 7), value: { name: "kept", teams: "none" } };
     for (const snapshot of [{ documents: [broken], peers: [] }, undefined]) {
         const { clock, control, quickStart, inForce, isSettled } = createFixture(snapshot);
--- a/packages/entry/src/createSnapshotRestore.ts
+++ b/packages/entry/src/createSnapshotRestore.ts
@@ -3,9 +3,9 @@
 import type { Fleet } from "./Fleet.js";
 import type { StartSnapshot } from "./StartSnapshot.js";
 
-/** Documents come in bursts; the file is written once for each. */
+/** Documents arrive in bursts; this delay causes one write of the file per burst. */
 const saveAfterMs = 1_000;
-/** How long a start waits for a newer word than the snapshot's before it serves from that. */
+/** How long a starting entry waits for newer documents before it serves from the snapshot. */
 const maxWaitForNewerMs = 5_000;
 
 interface SnapshotRestoreDeps {
@@ -19,14 +19,14 @@
 interface SnapshotRestore {
     start(): void;
     stop(): void;
-    /** True where neither a peer nor the object API has answered, and the snapshot's manifest may be served from. */
+    /** True if there is a snapshot and the time to wait for an answer of a peer or the object API has passed. */
     mayServeSnapshot(): boolean;
 }
 
 /**
- * Starts an entry from its last snapshot. Without it an entry that restarts while the object API is down, and all
- * other entries with it, would have no manifest and refuse every call. Documents of the snapshot are taken like
- * any others: a newer version replaces them, an older one never.
+ * Restores an entry's documents from its last snapshot. Without a snapshot, an entry that restarts while the object API
+ * and all other entries are down would have no manifest and refuse every call. Documents from the snapshot are treated
+ * like any others: a newer version replaces them, an older one does not.
  */
 export function createSnapshotRestore(deps: SnapshotRestoreDeps): SnapshotRestore {
     const { fleet, clock, logger, snapshot, save } = deps;
--- a/packages/entry/src/createTrainerCallHandler.ts
+++ b/packages/entry/src/createTrainerCallHandler.ts
@@ -16,16 +16,16 @@
 interface TrainerCallHandlerDeps {
     manifest: () => Manifest | undefined;
     jobs: JobOwnership;
-    /** Where the job's owner is, as last heard. */
+    /** Returns the last announced owner of a job. */
     findOwner: (job: JobId) => OwnerDocument | undefined;
     selfAddress: string;
     callPeer: PeerCall;
 }
 
 /**
- * Acceptances carry the owner's number as pages do. An older owner that is cut off from the object API alone still
- * delivers and does not know weights published through a newer one; a trainer that has seen the newer number drops
- * its pages.
+ * Acceptances carry the owner's fencing number, as pages do. An older owner that is disconnected only from the object
+ * API still delivers pages and does not know weights published through a newer owner; a trainer that has seen the newer
+ * fencing number discards these pages.
  */
 function callOwner(owner: Owner, call: TrainerCall): Promise<unknown> {
     const accepted = (): unknown => ({ fencing: owner.status().fencing });
@@ -38,7 +38,7 @@
         .exhaustive();
 }
 
-/** Takes trainers' calls: proves that the job is the team's, then runs the call here or at the job's owner. */
+/** Creates the handler of trainers' calls: it checks that the job belongs to the team and calls the job's owner. */
 export function createTrainerCallHandler(
     deps: TrainerCallHandlerDeps,
 ): (team: TeamId, call: TrainerCall, forwarded: boolean) => Promise<unknown> {
@@ -60,7 +60,7 @@
         }
         const document = deps.findOwner(call.job);
         if (forwarded || document === undefined || document.address === deps.selfAddress) {
-            // Passing it on again could go round between two entries that each believe the other to be the owner.
+            // A second forwarding could loop between two entries that each consider the other the owner.
             throw new ResultError(resultCodes.notOwner, call.job, retryAfterMs);
         }
         return deps.callPeer(document.address, "train", { team, call }, ownerTimeoutMs);
--- a/packages/entry/src/createTrialSidecar.test.ts
+++ b/packages/entry/src/createTrialSidecar.test.ts
@@ -19,7 +19,7 @@
 const crashed: Outcome = { kind: "unknown", code: resultCodes.engineCrashed };
 const quarantined: Outcome = { kind: "notRun", code: resultCodes.quarantined, retryAfterMs: undefined };
 
-/** A sidecar that answers one request after the other as given; a content has one trial. */
+/** Wraps a sidecar that answers requests with the given outcomes in order; the content has a single trial. */
 function createFixture(isRefused: boolean, ...outcomes: Outcome[]) {
     const sent: unknown[] = [];
     const counted: string[] = [];
@@ -51,14 +51,14 @@
     return { call, sent, counted };
 }
 
-test("a content that is not refused passes as it is; a refusal of the sidecar's tells when to come back", async () => {
+test("content that is not quarantined passes unchanged, and a refusal by the sidecar gets a retry time", async () => {
     const { call, sent } = createFixture(false, ran, quarantined);
     expect(await call()).toBe(ran);
     expect(await call()).toEqual({ ...quarantined, retryAfterMs: 7_000 });
     expect(sent).toEqual(["plain", "plain"]);
 });
 
-test("a refused content has one trial, and what comes beside or after it is told when to come back", async () => {
+test("quarantined content gets one trial, and concurrent or later requests get a retry time", async () => {
     const { call, sent, counted } = createFixture(true, crashed);
     expect(await Promise.all([call(), call()])).toEqual([crashed, { ...quarantined, retryAfterMs: 7_000 }]);
     expect(await call()).toEqual({ ...quarantined, retryAfterMs: 7_000 });
@@ -66,8 +66,8 @@
     expect(counted).toEqual(["content_trials_total"]);
 });
 
-test("a trial that a busy sampler refused is had at the next", async () => {
-    // Guards against: an innocent content waits an hour though nothing ran.
+test("a trial that a busy sampler refuses is available for the next attempt", async () => {
+    // Guards against harmless content waiting an hour for the next trial although nothing has run.
     const { call, sent } = createFixture(true, overloaded, ran);
     expect(await call()).toBe(overloaded);
     expect(await call()).toBe(ran);
--- a/packages/entry/src/createTrialSidecar.ts
+++ b/packages/entry/src/createTrialSidecar.ts
@@ -20,13 +20,13 @@
 }
 
 /**
- * Wraps a sidecar so that a content that is refused everywhere reaches it only as a trial. Every request and sample of
- * an entry passes here, so that each kind of caller gets back what it waits for once its content proves harmless.
+ * Wraps a sidecar so that quarantined content reaches it only as a trial. All requests and samples of an entry pass
+ * through here, so each kind of caller receives its own answer if the content turns out to be harmless.
  */
 export function createTrialSidecar(port: SidecarPort, deps: TrialSidecarDeps): SidecarPort {
     const { quarantine, logger, metrics } = deps;
 
-    /** A refusal that says when a trial may be had; senders come back then. */
+    /** Adds the time until the next trial to a refusal; senders retry then. */
     function withTrialDelay<Answer>(
         { digest, kind }: TrialContent,
         outcome: AttemptOutcome<Answer>,
@@ -68,7 +68,7 @@
 
     return {
         ...port,
-        // Only a trial carries the field: a sidecar of an older release refuses attempts with fields it does not know.
+        // Only a trial has this field: sidecars of older releases refuse attempts with unknown fields.
         runSample: (attempt, onSpan, signal) =>
             run(
                 { digest: attempt.digest, kind: "sample" },
--- a/packages/entry/src/createUsageCollector.test.ts
+++ b/packages/entry/src/createUsageCollector.test.ts
@@ -49,7 +49,7 @@
 
 const total = (counters: UsageCounter[]): number => counters.reduce((sum, each) => sum + each.engineMs, 0);
 
-test("a counter read many times, by two entries, counts once", async () => {
+test("a counter that two entries read repeatedly is counted once", async () => {
     const { clock, start, setCounters, settle } = createFixture();
     setCounters([counter("a", 500)]);
     const collectors = [start(), start("entry-2")];
@@ -57,8 +57,8 @@
     expect(total(await settle(collectors[0]!.readAll()))).toBe(500);
 });
 
-test("sidecar and entry restart one after the other", async () => {
-    // Guards against: a team is charged less than it used.
+test("usage from before a restart of sidecar and entry is still counted", async () => {
+    // Guards against charging a team for less than it used.
     const { clock, start, setCounters, settle } = createFixture();
     setCounters([counter("a", 500)]);
     const before = start();
@@ -71,8 +71,8 @@
     expect(total(await settle(start("entry-2").readAll()))).toBe(570);
 });
 
-test("the object API is down, and the answer to the first write after it is lost", async () => {
-    // Guards against: usage stops being kept after an outage.
+test("usage is stored again after an outage of the object API, even if the first answer is lost", async () => {
+    // Guards against usage that is no longer stored after an outage.
     const { clock, control, start, setCounters, settle } = createFixture();
     const collector = start();
     setCounters([counter("a", 100)]);
@@ -90,7 +90,7 @@
     expect(total(await settle(start("entry-2").readAll()))).toBe(300);
 });
 
-test("a sampler that does not answer is named and keeps what was counted", async () => {
+test("a sampler that does not answer is named, and its earlier usage remains counted", async () => {
     const { start, setCounters, setReachable, settle } = createFixture();
     const collector = start();
     setCounters([counter("a", 500)]);
--- a/packages/entry/src/createUsageCollector.ts
+++ b/packages/entry/src/createUsageCollector.ts
@@ -12,7 +12,7 @@
 import type { UsageCollector } from "./UsageCollector.js";
 
 const collectEveryMs = 5_000;
-/** A crash of entry and sidecar together loses at most this much of what a team used. */
+/** If an entry and a sidecar crash together, at most this period of usage is lost. */
 const flushEveryMs = 30_000;
 const noObject = 0 as ObjectVersion;
 
@@ -33,7 +33,7 @@
     clock: Clock;
     logger: Logger;
     store: ObjectStore;
-    /** Samplers this entry collects from: those that rank it first among the live entries. */
+    /** Lists the samplers that this entry collects from: those that rank it first among the live entries. */
     listAssignedSamplers: () => SamplerId[];
     sidecar: (sampler: SamplerId) => Pick<SidecarPort, "readUsage">;
 }
@@ -44,8 +44,8 @@
 };
 
 /**
- * Makes the collector. Each entry writes one object, so that entries never race for it; the same counter may be
- * in several objects, and merging by maximum counts it once.
+ * Creates the usage collector. Each entry writes its own object, so there are no write conflicts between entries. The
+ * same counter may be in several objects; merging by maximum counts it once.
  */
 export function createUsageCollector(deps: UsageCollectorDeps): UsageCollector {
     const { clock, logger, store } = deps;
@@ -71,7 +71,7 @@
         return unread;
     }
 
-    /** An earlier run of this entry may have written: its counters are merged in before they are written over. */
+    /** An earlier run of this entry may have written counters; they are merged before the object is overwritten. */
     async function readVersion(): Promise<ObjectVersion> {
         const stored = await store.read(key);
         counters = mergeUsage(counters, parseCounters(stored?.value));
--- a/packages/entry/src/forwardHeaders.ts
+++ b/packages/entry/src/forwardHeaders.ts
@@ -1,6 +1,6 @@
-/** Headers of a request that one entry passes on to another. */
+/** Headers of a request that one entry forwards to another. */
 export const forwardHeaders = {
-    /** `1` where an entry sent it; its bearer token is then the cluster's, and `team` says whose request it is. */
+    /** `1` if sent by an entry: the bearer token is then the cluster token, and `team` names the request's team. */
     forwarded: "x-auburnarch-forwarded",
     team: "x-auburnarch-team",
     deadlineMs: "x-auburnarch-deadline-ms",
--- a/packages/entry/src/isRepeatable.ts
+++ b/packages/entry/src/isRepeatable.ts
@@ -1,8 +1,8 @@
 import type { ServiceManifest } from "@auburnarch/types/ServiceManifest";
 
 /**
- * Whether a call may be repeated: generations of a rollout service always may, a plain service's calls only where
- * `repeatable` lists their method and a prefix of their path that ends at a whole segment.
+ * Whether a call may be repeated: calls to a rollout service always may; calls to a plain service only if `repeatable`
+ * lists their method and a prefix of their path that ends at a segment boundary.
  */
 export function isRepeatable(service: ServiceManifest, method: string, path: string): boolean {
     if (service.kind === "rollout") {
--- a/packages/entry/src/matchRoute.ts
+++ b/packages/entry/src/matchRoute.ts
@@ -35,7 +35,7 @@
     "POST /rpc": { kind: "rpc" },
 };
 
-/** Tells the route of a request; `none` for anything else, also for a target that is not a path. */
+/** Returns the route of a request; `none` if there is no such route or the target is not a valid path. */
 export function matchRoute(method: string, target: string): EntryRoute {
     const service = servicePattern.exec(target) ?? undefined;
     if (service !== undefined) {
--- a/packages/entry/src/matchesDigest.ts
+++ b/packages/entry/src/matchesDigest.ts
@@ -1,6 +1,6 @@
 import { createHash, timingSafeEqual } from "node:crypto";
 
-/** Compares a token with the SHA-256 (hex) of the right one in constant time. */
+/** Checks in constant time whether a token has the expected SHA-256 digest (hex). */
 export function matchesDigest(token: string | undefined, digest: string): boolean {
     const offered = createHash("sha256").update(token ?? "").digest();
     const expected = Buffer.from(digest, "hex");
--- a/packages/entry/src/notifyOnCleanEnd.ts
+++ b/packages/entry/src/notifyOnCleanEnd.ts
@@ -1,4 +1,4 @@
-/** Passes a body on and calls `onClean` once it was read to its end; never after it broke off. */
+/** Yields a body and calls `onClean` after its end; does not call it if the body is interrupted. */
 export async function* notifyOnCleanEnd(
     body: AsyncIterable<Uint8Array>,
     onClean: () => void,
--- a/packages/entry/src/outcomeOfCode.ts
+++ b/packages/entry/src/outcomeOfCode.ts
@@ -1,7 +1,7 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
-/** The only codes of family 4 after which nothing can have taken effect. */
+/** The only codes of family 4 that guarantee that the call had no effect. */
 const externalRefusals: ReadonlySet<number> = new Set([
     resultCodes.storeThrottled.number,
     resultCodes.intentRefused.number,
@@ -13,8 +13,8 @@
 const internalFamily = 7;
 
 /**
- * Whether a request that ended with `code` ran. Family 3 and internal faults cannot tell, nor can a call to
- * an outside system that gave no answer; all others are said only before anything was done.
+ * Whether a request that ended with `code` ran. This is unknown for family 3, for internal errors and for calls to an
+ * external system that received no answer; all other codes are used only before the request has any effect.
  */
 export function outcomeOfCode(code: ResultCode): "notRun" | "unknown" {
     const family = Math.floor(code.number / 1_000);
--- a/packages/entry/src/parseJson.ts
+++ b/packages/entry/src/parseJson.ts
@@ -1,7 +1,7 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 
-/** Parses a JSON body; rejects with code `badRequest`, naming where the text stops being JSON. */
+/** Parses a JSON body; throws code `badRequest` with the position of the syntax error. */
 export function parseJson(body: Uint8Array): unknown {
     try {
         return JSON.parse(new TextDecoder("utf-8", { fatal: true }).decode(body));
--- a/packages/entry/src/parseTrainerBody.ts
+++ b/packages/entry/src/parseTrainerBody.ts
@@ -18,7 +18,7 @@
     throw new ResultError(resultCodes.badRequest, faults.join("; "));
 }
 
-/** Turns a trainer's route and JSON body into a call; rejects with code `badRequest`, naming each fault. */
+/** Converts a trainer's route and JSON body to a call; throws code `badRequest` with every fault. */
 export function parseTrainerBody(route: EntryRoute, body: unknown): TrainerCall {
     if (route.kind === "openStep") {
         const spec = parse(stepSchema, body);
--- a/packages/entry/src/readBody.ts
+++ b/packages/entry/src/readBody.ts
@@ -4,9 +4,9 @@
 import type { BodyBudget } from "./BodyBudget.js";
 
 /**
- * Reads a request body of at most `maxBytes`. Without the bound one endless body would take the memory of the
- * process; a body past it is answered with code `bodyTooLarge` before more of it is kept. `budget` bounds
- * what all requests hold together: past it, code `overloaded`.
+ * Reads a request body of at most `maxBytes`, because an endless body would exhaust the memory of the process; a larger
+ * body is rejected with code `bodyTooLarge` before more of it is stored. `budget` limits the memory of all requests
+ * together; if it is exceeded, the body is rejected with code `overloaded`.
  */
 export async function readBody(
     request: IncomingMessage,
@@ -20,8 +20,8 @@
     const chunks: Uint8Array[] = [];
     let bodyBytes = 0;
     try {
-        // Leaving the loop would destroy the request: what still arrives could not be drained any more, and the
-        // connection would hold up a shutdown for seconds.
+        // By default, leaving the loop destroys the request: the rest of the body could not be drained, and the
+        // connection would delay a shutdown by seconds.
         const body = request.iterator({ destroyOnReturn: false }) as AsyncIterable<Uint8Array>;
         for await (const chunk of body) {
             bodyBytes += chunk.byteLength;
--- a/packages/entry/src/readCallerRequest.ts
+++ b/packages/entry/src/readCallerRequest.ts
@@ -5,7 +5,7 @@
 import type { IncomingMessage } from "node:http";
 import type { CallerRequest } from "./CallerRequest.js";
 
-/** Headers of one connection, which end here, and those that this system reads itself. */
+/** Hop-by-hop headers, and headers that this system processes itself. */
 const unforwardedHeaders = new Set([
     "connection",
     "keep-alive",
@@ -62,7 +62,7 @@
 const firstValue = (value: string | string[] | undefined): string | undefined =>
     Array.isArray(value) ? value[0] : value;
 
-/** Reads what a caller's headers say: deadline, key, idempotent mark. Rejects with code `badRequest`. */
+/** Reads the deadline, key and idempotency flag from a caller's headers; throws code `badRequest` if one is invalid. */
 export function readCallerRequest(
     request: IncomingMessage,
     team: TeamId,
--- a/packages/entry/src/requests.test.ts
+++ b/packages/entry/src/requests.test.ts
@@ -12,7 +12,7 @@
 import { parseTrainerBody } from "./parseTrainerBody.js";
 import { readCallerRequest } from "./readCallerRequest.js";
 
-test("routes by method and path", () => {
+test("matches routes by method and path", () => {
     const routes = [
         "GET /v1/services/tiles/tiles/7/61/48?layer=smoke",
         "GET /v1/services/tiles?layer=smoke",
@@ -48,7 +48,7 @@
     `);
 });
 
-test("any target has a route and none throws", () => {
+test("returns a route for any target without throwing", () => {
     const parts = fc.constantFrom(
         "/v1",
         "/services",
@@ -67,7 +67,7 @@
     }));
 });
 
-test("a call may be repeated only where its service lists method and path", () => {
+test("a call may be repeated only if its service lists the method and path", () => {
     const service = { kind: "plain", repeatable: ["GET /tiles", "HEAD"] } as ServiceManifest;
     const calls = [
         "GET /tiles",
@@ -82,7 +82,7 @@
     expect(isRepeatable({ ...service, kind: "rollout" }, "POST", "/v1/completions")).toBe(true);
 });
 
-test("only codes said before anything was done count as not run", () => {
+test("only codes that are used before any effect have the outcome notRun", () => {
     const notRun = Object.values(resultCodes).filter(code => outcomeOfCode(code) === "notRun");
     const unknown = Object.values(resultCodes).filter(code => outcomeOfCode(code) === "unknown");
     expect(unknown.map(code => code.name).join(" ")).toMatchInlineSnapshot(
@@ -100,7 +100,7 @@
         new Uint8Array(),
     );
 
-test("a caller's headers go on without the system's own, the connection's and the token", () => {
+test("forwards a caller's headers without system headers, hop-by-hop headers and the token", () => {
     expect(read({
         "accept": "image/png",
         "authorization": "Bearer secret",
@@ -130,7 +130,7 @@
     `);
 });
 
-test("headers that cannot be read are refused", () => {
+test("refuses invalid headers", () => {
     const hostile = ["0", "-1", "1e99", "NaN", "", " ", "soon"];
     for (const value of hostile) {
         expect(() => read({ "x-auburnarch-deadline-ms": value })).toThrow("x-auburnarch-deadline-ms");
@@ -138,7 +138,7 @@
     expect(() => read({ "x-auburnarch-idempotent": "yes" })).toThrow("x-auburnarch-idempotent");
 });
 
-test("a trainer's body is taken whole or refused with every fault named", () => {
+test("parses a trainer's body or refuses it with every fault named", () => {
     const open = { kind: "openStep", job: "forecast" as JobId } as const;
     const spec = { step: 1, prompts: [{ prompt: "ridge", maxTokens: 5 }] };
     expect(parseTrainerBody(open, spec)).toMatchObject({ kind: "openStep", job: "forecast", spec });
--- a/packages/entry/src/sendFailure.ts
+++ b/packages/entry/src/sendFailure.ts
@@ -12,9 +12,8 @@
 }
 
 /**
- * Sends a refusal or a fault as JSON with its numbered code, what to do next, and whether the request ran.
- * An answer that has begun cannot be turned into an error any more: the connection is cut instead, so that a
- * part never passes for the whole.
+ * Sends an error as JSON with its numbered code, the suggested action and whether the request ran. If the answer has
+ * already begun, the connection is destroyed instead, so that a partial answer is not taken for a complete one.
  */
 export function sendFailure(response: ServerResponse, error: unknown): void {
     if (response.headersSent) {
--- a/packages/entry/src/serveEntry.test.ts
+++ b/packages/entry/src/serveEntry.test.ts
@@ -64,7 +64,7 @@
     prompts: [{ prompt: "ridge", maxTokens: 5 }, { prompt: "x", maxTokens: 5 }],
 });
 
-/** The entry takes its jobs and key ranges up in its own time; what it writes for that is no change by a caller. */
+/** Waits until the entry has acquired its jobs and key ranges, so that its own writes do not count as a caller's. */
 async function waitForOwnWrites(): Promise<void> {
     const jobs = ["forecast", "estimates"];
     const ofJobs = jobs.flatMap(
@@ -78,7 +78,7 @@
     await vi.waitUntil(areWritten, { timeout: 120_000 });
 }
 
-test("every route refuses a missing and a wrong token, and nothing changes", async () => {
+test("every route refuses a missing or wrong token, and nothing changes", async () => {
     await waitForOwnWrites();
     const before = storeState();
     const { tokens } = entry;
@@ -108,7 +108,7 @@
     expect(storeState()).toBe(before);
 });
 
-test("one team asks for another's job, step and page", async () => {
+test("a team cannot access another team's job, step or page", async () => {
     const { plume, ridge } = entry.tokens;
     const routes: [string, string?][] = [
         ["POST /v1/jobs/forecast/steps", step],
@@ -121,7 +121,7 @@
     }
     const open = async (job: string, token: string) => {
         for (;;) {
-            // The job's owner may still be starting.
+            // Retries because the job's owner may still be starting.
             const { status } = await send(`POST /v1/jobs/${job}/steps`, { token, body: step });
             if (status === 200) {
                 return;
@@ -138,8 +138,8 @@
     expect(JSON.parse((await send("GET /v1/usage", { token: ridge })).text)).toMatchObject({ team: "ridge" });
 });
 
-test("a caller claims to be an entry that passes a request on", async () => {
-    // Guards against: one team's requests are run and charged as another's.
+test("a caller without the cluster token cannot send a forwarded request", async () => {
+    // Guards against requests of one team that run and are charged as another's.
     const headers = { "x-auburnarch-forwarded": "1", "x-auburnarch-team": "plume" };
     const claim = await send("POST /v1/services/tiles/alerts", { token: entry.tokens.ridge, headers });
     expect(claim.json.code).toBe(resultCodes.unauthenticated.number);
@@ -152,7 +152,7 @@
     expect(entry.sent).toEqual([]);
 });
 
-test("a sampler sees neither the caller's token nor headers that only the system may set", async () => {
+test("a sampler receives neither the caller's token nor headers that only the system may set", async () => {
     const key = newKey();
     const answer = await send("GET /v1/services/tiles/tiles/1?layer=smoke", {
         token: entry.tokens.plume,
@@ -175,7 +175,7 @@
         );
 });
 
-test("hostile JSON-RPC gets a numbered code", async () => {
+test("malformed or hostile JSON-RPC is answered with a numbered code", async () => {
     const call = (method: unknown, params?: unknown, id: unknown = 1) => ({
         jsonrpc: "2.0",
         id,
@@ -226,8 +226,8 @@
     );
 });
 
-test("hostile bodies of teams and operators are refused with what to do, and nothing changes", async () => {
-    // Guards against: on a busy machine this test saw changes.
+test("hostile bodies of teams and operators are refused with an action, and nothing changes", async () => {
+    // On a busy machine the entry's own writes came late and looked like changes, so the test waits for them first.
     await waitForOwnWrites();
     const before = storeState();
     const { plume, operator } = entry.tokens;
@@ -261,8 +261,8 @@
 const headOf = (line: string, token: string, ...headers: string[]): string =>
     [`${line} HTTP/1.1`, "Host: entry", `Authorization: Bearer ${token}`, ...headers, "", ""].join("\r\n");
 
-test("oversized and endless bodies are cut at the limit with a code", async () => {
-    // Guards against: the process runs out of memory.
+test("oversized and endless bodies are refused at the limit with a code", async () => {
+    // Guards against a process that runs out of memory.
     const { plume } = entry.tokens;
     const declared = headOf("POST /v1/services/tiles/alerts", plume, "Content-Length: 99999999999");
     expect((await exchangeRaw(entry.port, declared)).body?.code).toBe(resultCodes.bodyTooLarge.number);
@@ -272,8 +272,8 @@
     expect(entry.sent).toEqual([]);
 });
 
-test("many bodies at once take no more memory together than the pool", async () => {
-    // Guards against: the process runs out of memory.
+test("concurrent bodies together use no more memory than the pool", async () => {
+    // Guards against a process that runs out of memory.
     await entry.close();
     entry = await createServedEntry({ requestTimeoutMs: 5_000, maxBodyPoolBytes: 3_000_000 }, groupStore);
     const { plume, ridge } = entry.tokens;
@@ -289,7 +289,7 @@
         }),
     );
     expect(refused).toBeUndefined();
-    // The other team has its own room meanwhile.
+    // The other team still has room in the pool.
     const body = part.subarray(0, 500_000);
     expect((await send("POST /v1/services/tiles/alerts", { token: ridge, body })).text).toBe("whole");
     const codes = (await Promise.all(held)).map(answer => answer.body?.name);
@@ -297,8 +297,8 @@
     expect(codes.filter(name => name === "requestTimeout")).toHaveLength(1);
 });
 
-test("a connection turns to nonsense while its request runs", async () => {
-    // Guards against: a caller hears "not run" of an alert that went out.
+test("a connection that sends invalid data while its request runs is closed without an answer", async () => {
+    // Guards against reporting "not run" for a request that ran.
     const request = headOf("POST /v1/services/tiles/held", entry.tokens.plume, "Content-Length: 2") + "{}";
     const answered = exchangeRaw(entry.port, `${request}nonsense\r\n\r\n`);
     while (entry.sent.length === 0) {
@@ -309,7 +309,7 @@
     expect(entry.sent).toHaveLength(1);
 });
 
-test("a slow sender is answered with a code and cut off", async () => {
+test("a slow sender is answered with a code and disconnected", async () => {
     const { plume } = entry.tokens;
     const beginnings = [
         "GET /healthz HTTP/1.1\r\nHost: e",
@@ -321,7 +321,7 @@
     expect(entry.sent).toEqual([]);
 });
 
-test("what is no HTTP gets a code, and the process goes on", async () => {
+test("invalid HTTP is answered with a code, and the entry continues to serve", async () => {
     const { plume } = entry.tokens;
     const malformed = [
         "\u0016\u0003\u0001\u0002\r\n\r\n",
@@ -349,7 +349,7 @@
     expect((await send("GET /healthz")).status).toBe(200);
 });
 
-test("connections beyond the limit are closed, and the others are served", async () => {
+test("closes connections beyond the limit and serves the others", async () => {
     const small = await createServedEntry({ maxConnections: 3 });
     const idle = Array.from({ length: 12 }, () => connect(small.port, "127.0.0.1"));
     const closed = idle.map(socket => new Promise<void>(resolve => socket.once("close", () => resolve())));
@@ -373,8 +373,8 @@
     await small.close();
 });
 
-test("a peer call ends whatever the other side says", async () => {
-    // Guards against: gossip, or an operator's status, waits for ever.
+test("a peer call ends regardless of the answer it receives", async () => {
+    // Guards against gossip or an operator's status request that waits forever.
     const address = `http://127.0.0.1:${entry.port}`;
     expect(await entry.callPeer(address, "describe", {}, 5_000)).toMatchObject([{ name: "entry-1" }, {
         name: "tile-1",
--- a/packages/entry/src/serveEntry.ts
+++ b/packages/entry/src/serveEntry.ts
@@ -31,13 +31,13 @@
 const headersTimeoutMs = 10_000;
 const timeoutCheckMs = 1_000;
 const defaultBodyPoolBytes = 128 * 1024 * 1024;
-/** So that the bodies of one team leave room for the others. */
+/** Share of the body pool that one team may use, so that room remains for other teams. */
 const maxTeamBodyShare = 0.5;
 
 interface Served {
     port: number;
     entry: Entry;
-    /** Stops listening and resolves once every connection is closed. */
+    /** Stops listening and resolves when all connections are closed. */
     close(): Promise<void>;
 }
 
@@ -46,7 +46,7 @@
     return header?.startsWith(bearer) ? header.slice(bearer.length) : undefined;
 };
 
-/** Aborted once the caller has gone away before its answer was complete. */
+/** Returns a signal that is aborted if the caller disconnects before its answer is complete. */
 function disconnectSignal(response: ServerResponse): AbortSignal {
     const disconnected = new AbortController();
     response.once("close", () => {
@@ -71,7 +71,7 @@
     }
 }
 
-/** Only an entry may speak for a team without the team's token. */
+/** Returns the team of a forwarded request. Only an entry may act for a team without the team's token. */
 function forwardedTeam(request: IncomingMessage, options: ServeEntryOptions): TeamId {
     requirePeer(request, options);
     const team = request.headers[forwardHeaders.team];
@@ -81,7 +81,7 @@
     return team as TeamId;
 }
 
-/** Reads a body; what it took of its budget is given back once the answer has ended. */
+/** Reads a body and returns its bytes to the budget when the answer ends. */
 function readBudgetedBody(
     request: IncomingMessage,
     response: ServerResponse,
@@ -97,7 +97,7 @@
         requestTimeout: options.requestTimeoutMs,
         headersTimeout: Math.min(headersTimeoutMs, options.requestTimeoutMs),
         connectionsCheckingInterval: timeoutCheckMs,
-        // No answer depends on it, and Node's own refusal has no code.
+        // The host header is not used, and Node's own refusal has no result code.
         requireHostHeader: false,
     });
     server.maxConnections = options.maxConnections;
@@ -109,8 +109,8 @@
 }
 
 /**
- * Serves an entry over HTTP/1.1: callers, trainers, operators, peers, metrics and health on one port. The entry is
- * made once the port is known, since it tells its address to others.
+ * Serves an entry over HTTP/1.1: callers, trainers, operators, peers, metrics and health checks on one port. The entry
+ * is created when the port is known, because it announces its address to others.
  */
 export async function serveEntry(
     makeEntry: (port: number) => Entry,
--- a/packages/entry/src/shutdownEntry.ts
+++ b/packages/entry/src/shutdownEntry.ts
@@ -19,8 +19,8 @@
 }
 
 /**
- * Shuts an entry down: peers hear that it is leaving, new calls are refused, calls in flight get their answers up
- * to the deadline, owners checkpoint and hand their leases over, what was counted is made durable.
+ * Shuts an entry down: refuses new calls, announces to peers that it is leaving, lets owners write checkpoints and
+ * release their leases, answers calls in flight until the deadline and stores the collected usage.
  */
 export async function shutdownEntry(entry: ShutdownParts, deadlineMs: number): Promise<void> {
     const { calls, clock, logger } = entry;
--- a/packages/entry/src/stepSchema.ts
+++ b/packages/entry/src/stepSchema.ts
@@ -4,7 +4,7 @@
 const maxTokens = 1_000_000;
 const wholeNumber = z.int().nonnegative();
 
-/** A step as a trainer opens it. */
+/** Body of a trainer's request to open a step. */
 export const stepSchema = z.strictObject({
     step: wholeNumber,
     prompts: z.array(z.strictObject({
--- a/packages/entry/src/testing/createServedEntry.ts
+++ b/packages/entry/src/testing/createServedEntry.ts
@@ -57,7 +57,7 @@
     tokens: typeof tokens;
     control: FakeStoreControl;
     lines: string[];
-    /** What reached the sampler of service `tiles`. */
+    /** Requests that reached the sampler of service `tiles`. */
     sent: PlainRequest[];
     callPeer: EntryDeps["callPeer"];
     /** Lets the sampler answer calls of `/held`. */
@@ -65,7 +65,7 @@
     close(): Promise<void>;
 }
 
-/** A real entry behind real sockets, ready, with a plain sampler that notes what reaches it. */
+/** Starts a real entry on a real socket, with a plain sampler that records its requests; resolves when it is ready. */
 export async function createServedEntry(
     options: Partial<ServeEntryOptions> = {},
     keep?: GroupKeep,
--- a/packages/entry/src/testing/createTestBench.ts
+++ b/packages/entry/src/testing/createTestBench.ts
@@ -13,14 +13,14 @@
     control: FakeStoreControl;
     logger: Logger;
     lines: string[];
-    /** Lets fake time pass until a promise has settled, then gives its value or rejects as it did. */
+    /** Advances the fake clock until a promise has settled; resolves or rejects like it. */
     settle<T>(ended: Promise<T>): Promise<T>;
 }
 
 const limitMs = 120_000;
 const seed = 5;
 
-/** A fake clock with a small object API and a log beside it. */
+/** Creates a fake clock, a fake object store and a logger that collects its lines. */
 export function createTestBench(): TestBench {
     const clock = createFakeClock();
     const { store, control } = createFakeObjectStore({ clock, random: createRandom(seed), latencyMs: 2 });
--- a/packages/entry/src/testing/exchangeRaw.ts
+++ b/packages/entry/src/testing/exchangeRaw.ts
@@ -1,6 +1,6 @@
 import { connect } from "node:net";
 
-/** What came back on a connection until the other side closed it or its answer was whole. */
+/** The answer received on a connection; its fields are undefined if the connection was closed without one. */
 interface RawAnswer {
     status: number | undefined;
     body: { code?: number; name?: string; outcome?: string; } | undefined;
@@ -25,8 +25,8 @@
 }
 
 /**
- * Sends bytes over a socket and resolves with the first answer, or with an empty one where the connection was closed
- * without any. `more` is sent again and again until then.
+ * Sends bytes over a socket and resolves with the first answer, or with an empty one if the connection is closed
+ * without an answer. `more` is sent repeatedly until then.
  */
 export function exchangeRaw(port: number, bytes: string | Uint8Array, more?: Uint8Array): Promise<RawAnswer> {
     return new Promise(resolve => {
@@ -41,7 +41,7 @@
         };
         const pump = (): void => {
             while (more !== undefined && !socket.destroyed && socket.write(more)) {
-                // Until the socket is full; `drain` calls again.
+                // Writes until the socket's buffer is full; the `drain` event resumes it.
             }
         };
         socket.on("data", chunk => {
--- a/packages/entry/src/testing/testManifest.ts
+++ b/packages/entry/src/testing/testManifest.ts
@@ -1,4 +1,4 @@
-/** A small manifest as its pipeline writes it, with one job for each of two teams. */
+/** Creates a small manifest as written by an operator, without defaults, with one job for each of two teams. */
 export function testManifest(name: string, tokenDigests: { plume: string; ridge: string; }): unknown {
     const jobOf = (job: string, team: string) => ({
         job,
--- a/packages/entry/src/weightsSchema.ts
+++ b/packages/entry/src/weightsSchema.ts
@@ -1,6 +1,6 @@
 import { z } from "zod";
 
-/** A weight version as a trainer publishes it. */
+/** Body of a trainer's request to publish a weight version. */
 export const weightsSchema = z.strictObject({
     policy: z.string().min(1),
     version: z.int().nonnegative(),
--- a/packages/entry/src/writeAnswer.test.ts
+++ b/packages/entry/src/writeAnswer.test.ts
@@ -18,7 +18,7 @@
 
 const immediately = Promise.resolve();
 
-/** Serves one answer whose body is `parts`, cut short after them if `cut`, once `mayCut` has resolved. */
+/** Serves one answer with the body `parts`; if `cut`, the body fails after them as soon as `mayCut` has resolved. */
 async function fetchAnswer(
     parts: string[],
     cut: boolean,
@@ -43,7 +43,7 @@
     return fetch(`http://127.0.0.1:${(server.address() as AddressInfo).port}/`);
 }
 
-test("a whole answer arrives with its status, headers and outcome", async () => {
+test("a complete answer arrives with its status, headers and outcome", async () => {
     const answer = await fetchAnswer(["smoke ", "map"], false, { "x-layer": "1", "set-cookie": "a=1\nb=2" });
     expect([answer.status, await answer.text(), answer.headers.get("x-auburnarch-outcome")]).toEqual(
         [201, "smoke map", "ran"],
@@ -51,8 +51,8 @@
     expect([answer.headers.get("x-layer"), answer.headers.getSetCookie()]).toEqual(["1", ["a=1", "b=2"]]);
 });
 
-test("an answer that breaks off breaks the caller's connection", async () => {
-    // Guards against: brigades get half a smoke map that looks whole.
+test("an interrupted answer breaks the caller's connection", async () => {
+    // Guards against a truncated answer that the caller takes for a complete one.
     for (const headers of [{}, { "content-length": "9" }]) {
         let cutNow = (): void => undefined;
         const arrived = new Promise<void>(resolve => {
@@ -68,7 +68,7 @@
     }
 });
 
-test("an answer that breaks off before anything was sent is told as a fault of unknown outcome", async () => {
+test("an answer that is interrupted before anything is sent becomes an error with unknown outcome", async () => {
     for (const parts of [[], ["smoke "]]) {
         const told = await fetchAnswer(parts, true).then(
             async answer =>
--- a/packages/entry/src/writeAnswer.ts
+++ b/packages/entry/src/writeAnswer.ts
@@ -7,8 +7,8 @@
 import { forwardHeaders } from "./forwardHeaders.js";
 
 /**
- * Streams an answer to the caller. Rejects if the answer breaks off; the connection then has to be destroyed, so
- * that the caller sees a fault and not a short answer.
+ * Streams an answer to the caller. Rejects if the answer is interrupted; the connection must then be destroyed, so that
+ * the caller sees an error and not a truncated answer.
  */
 export async function writeAnswer(
     clock: Clock,
