--- a/packages/gateway/src/ClientAnswer.ts
+++ b/packages/gateway/src/ClientAnswer.ts
@@ -1,7 +1,7 @@
 import type { ResultsPage } from "@auburnarch/batches/ResultsPage";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
-/** What a client gets. */
+/** The answer to a client's call. */
 export type ClientAnswer =
     | { kind: "relayed"; status: number; headers: Record<string, string>; body: AsyncIterable<Uint8Array>; }
     | { kind: "lotAccepted"; }
--- a/packages/gateway/src/ClientCall.ts
+++ b/packages/gateway/src/ClientCall.ts
@@ -2,14 +2,14 @@
 import type { Credential } from "@auburnarch/routing/Credential";
 import type { ClientRequest } from "./ClientRequest.js";
 
-/** From whom a call about a batch job is, and under which host it came. */
+/** A call about a batch job, with its host and the client's credential. */
 interface BatchJobCall {
     lot: BatchJobId;
     host: string;
     credential: Credential;
 }
 
-/** What a client asks for. */
+/** A call from a client. */
 export type ClientCall =
     | { kind: "request"; request: ClientRequest; }
     | ({ kind: "readLot"; after: number; waitMs: number; } & BatchJobCall)
--- a/packages/gateway/src/ClientRequest.ts
+++ b/packages/gateway/src/ClientRequest.ts
@@ -1,20 +1,20 @@
 import type { Credential } from "@auburnarch/routing/Credential";
 
-/** A client's request as the platform's adapter hands it over. */
+/** A client's request as received from the platform's adapter. */
 export interface ClientRequest {
-    /** Undefined if the client sent none. */
+    /** Undefined if the client did not send one. */
     requestId: string | undefined;
     method: string;
     host: string;
     credential: Credential;
     /** Path and query. */
     path: string;
-    /** Headers that go on to the sampler. */
+    /** Headers that are forwarded to the sampler. */
     headers: Record<string, string>;
-    /** The credential as headers: it goes on only where the configuration has no teams, and so is not ours. */
+    /** The credential as headers; forwarded only if the configuration has no teams and so does not use it. */
     credentialHeaders: () => Record<string, string>;
-    /** Time the client still waits; undefined if it does not say. */
+    /** Milliseconds that the client still waits; undefined if it has set no deadline. */
     deadlineMs: number | undefined;
-    /** Rejects with `bodyTooLarge`, or `connectionBroken` if the client goes away. */
+    /** Rejects with `bodyTooLarge`, or with `connectionBroken` if the client disconnects. */
     readBody: (maxBytes: number) => Promise<Uint8Array>;
 }
--- a/packages/gateway/src/DecodeBatchJob.ts
+++ b/packages/gateway/src/DecodeBatchJob.ts
@@ -1,7 +1,7 @@
 import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 
-/** Decodes a submitted batch job, but for whose it is; throws a `ResultError` of code `badRequest` that names the fault. */
+/** Decodes a submitted batch job without its team; throws `badRequest` with the fault. */
 export type DecodeBatchJob = (
     batchJobId: BatchJobId,
     host: string,
--- a/packages/gateway/src/Gateway.ts
+++ b/packages/gateway/src/Gateway.ts
@@ -1,12 +1,12 @@
 import type { ClientAnswer } from "./ClientAnswer.js";
 import type { ClientCall } from "./ClientCall.js";
 
-/** Answers clients. */
+/** Handles the calls of clients. */
 export interface Gateway {
-    /** Never rejects. The signal is aborted when the client goes away. */
+    /** Never rejects. The signal is aborted when the client disconnects. */
     answer(call: ClientCall, signal: AbortSignal): Promise<ClientAnswer>;
-    /** True if new clients should be sent here. */
+    /** True if this process should receive new clients. */
     isReady(): boolean;
-    /** Not ready any more; what comes is still served. */
+    /** Reports not ready from now on; calls that still arrive are served. */
     markNotReady(): void;
 }
--- a/packages/gateway/src/GatewayDeps.ts
+++ b/packages/gateway/src/GatewayDeps.ts
@@ -8,17 +8,17 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { DecodeBatchJob } from "./DecodeBatchJob.js";
 
-/** What a gateway is built from. */
+/** Dependencies of a gateway. */
 export interface GatewayDeps {
     routing: RoutingView;
-    /** Milliseconds since the configuration was last known to be the newest. */
+    /** Milliseconds since the configuration was last known to be up to date. */
     routingAgeMs: () => number;
     directory: SamplerDirectory;
     forwardRequest: RequestForwarder;
     batchJobStore: BatchJobStore;
     batchJobReader: BatchJobReader;
     decodeBatchJob: DecodeBatchJob;
-    /** Milliseconds since the first of the calls to the store that have all failed since; 0 while calls succeed. */
+    /** Milliseconds since calls to the store began to fail without a success in between; 0 while calls succeed. */
     storeSilentMs: () => number;
     clock: Clock;
     logger: Logger;
--- a/packages/gateway/src/createBatchJobHandler.ts
+++ b/packages/gateway/src/createBatchJobHandler.ts
@@ -8,7 +8,7 @@
 import type { ClientRequest } from "./ClientRequest.js";
 import type { GatewayDeps } from "./GatewayDeps.js";
 
-/** Answers what concerns batch jobs, for the caller's team. Every call may reject with a `ResultError`. */
+/** Handles calls about batch jobs of the caller's team. Every call may reject with a `ResultError`. */
 interface BatchJobHandler {
     accept(
         id: string,
@@ -27,7 +27,7 @@
     end(batchJobId: BatchJobId, caller: TeamId | undefined): Promise<ClientAnswer>;
 }
 
-/** Makes the desk of one gateway. */
+/** Creates a gateway's handler of batch job calls. */
 export function createBatchJobHandler(deps: GatewayDeps): BatchJobHandler {
     const { clock, logger } = deps;
 
--- a/packages/gateway/src/createGateway.test.ts
+++ b/packages/gateway/src/createGateway.test.ts
@@ -149,7 +149,7 @@
 const lot = "r-1" as BatchJobId;
 const anonymousCall = { host: "a.example", credential: { kind: "none" } } as const;
 
-test("a job is accepted, read, its item shown, and ended, each as often as it is asked for", async () => {
+test("a batch job can be submitted, read and ended, also repeatedly", async () => {
     const { post, ask } = createFixture();
     const answers = [
         await post("/plume/1"),
@@ -162,7 +162,7 @@
     expect(answers).toEqual(["lotAccepted", "lotAccepted", "page 0 of 1", "lotItem", "lotEnded", "lotEnded"]);
 });
 
-test("what is unknown is refused by what is known", async () => {
+test("calls with an unknown route, batch job, request id, configuration or sampler are refused", async () => {
     const { post, ask } = createFixture();
     const none = createFixture({ routing: () => undefined });
     expect({
@@ -182,8 +182,8 @@
     `);
 });
 
-test("while the store is away a job is not called unknown", async () => {
-    // Guards against: a reader was told that its job does not exist.
+test("a batch job is not reported as unknown while the store is unreachable", async () => {
+    // Guards against telling a reader that its batch job does not exist.
     const { post, ask, control } = createFixture();
     await post("/plume/1");
     control.setOutage(true);
@@ -192,8 +192,8 @@
     );
 });
 
-test("a job whose acceptance is not known is not refused with a promise", async () => {
-    // Guards against: items ran of a job that was answered 503 at every try.
+test("a batch job whose acceptance is unknown is not answered as refused", async () => {
+    // Guards against items that run although every submission of their batch job was answered with 503.
     const lose = (real: BatchJobStore): BatchJobStore => ({
         ...real,
         accept: async (...args) => {
@@ -205,8 +205,9 @@
     expect(await post("/plume/1")).toBe("502 acceptanceUnknown -");
 });
 
-test("a gateway without configuration, samplers or store is not ready, and none that leaves", async () => {
-    // Guards against: for nine seconds every job of one failure domain was lost.
+test("a gateway is not ready without a store or known samplers, or after markNotReady", async () => {
+    // Guards against the load balancer sending clients to a gateway that cannot reach the store: without this check all
+    // batch jobs of one failure domain were lost for nine seconds.
     const { gateway, state } = createFixture();
     const seen = [gateway.isReady()];
     state.storeSilentMs = 1_000;
@@ -231,7 +232,7 @@
     ]),
 };
 
-test("a request without a key that the configuration holds is refused at once and reaches no sampler", async () => {
+test("a request without a configured key is refused and reaches no sampler", async () => {
     const { post, relayedRequests } = createFixture({ routing: () => withTeams });
     const answers = [
         await post("/tiles/1"),
@@ -243,7 +244,7 @@
     expect(relayedRequests).toEqual([]);
 });
 
-test("a sampler hears the team of the key and never the key", async () => {
+test("a sampler receives the team of the key but never the key", async () => {
     const { post, relayedRequests } = createFixture({ routing: () => withTeams });
     await post("/tiles/1", "r-1", keyOf("d-hule"));
     await post("/open/1", "r-2");
@@ -257,7 +258,7 @@
     ]);
 });
 
-test("where the configuration has no teams a credential is the sampler's business", async () => {
+test("a credential is forwarded to the sampler if the configuration has no teams", async () => {
     const { post, relayedRequests } = createFixture();
     await post("/tiles/1", "r-1", keyOf("d-hule"));
     expect(relayedRequests.map(({ team, headers }) => [team, headers])).toEqual([
@@ -265,7 +266,7 @@
     ]);
 });
 
-test("a job is its team's: for others there is none, and an end of theirs ends nothing", async () => {
+test("a batch job is unknown to other teams, and they cannot end it", async () => {
     const { post, ask } = createFixture({ routing: () => withTeams });
     await post("/plume/1", "r-1", keyOf("d-hule"));
     const callsOf = (credential: Credential): Promise<string>[] => {
@@ -285,8 +286,8 @@
     expect(await Promise.all(callsOf(keyOf("d-hule")))).toEqual(["page 0 of 1", "lotItem", "lotEnded"]);
 });
 
-test("what only a newer configuration may hold is not refused for good by a process that may lack it", async () => {
-    // Guards against: clients of a process that was cut off were told for good that their new key is unknown.
+test("an unknown key or route is answered with notReady while the configuration may be out of date", async () => {
+    // Guards against a disconnected process that reports a newly added key as permanently unknown.
     const { post, state } = createFixture({ routing: () => withTeams });
     state.routingAgeMs = 10_000;
     expect([await post("/tiles/1", "r-1", keyOf("d-new")), await post("/new/1", "r-2", keyOf("d-hule"))])
--- a/packages/gateway/src/createGateway.ts
+++ b/packages/gateway/src/createGateway.ts
@@ -16,19 +16,19 @@
 import { requireCaller } from "./requireCaller.js";
 import { requireRoute } from "./requireRoute.js";
 
-/** When a client should come back that was refused because the store is away or nothing is known yet. */
+/** Retry delay for clients refused with status 429 or 503, as when the store is unreachable. */
 const retryAfterMs = 250;
 
 /**
- * A gateway that the store turns away can neither take batch jobs nor read them, though others may. Where the store is
- * away for all, none is ready and the balancer uses all of them again.
+ * A gateway that cannot reach the store can neither accept nor read batch jobs, while other gateways may be able to. If
+ * no gateway can reach the store, none is ready, and the load balancer uses all of them again.
  */
 const storeSilenceMs = 700;
 
-/** Changes are known within two seconds of their acknowledgement; an older copy may lack some. */
+/** Configuration changes arrive within two seconds of their acknowledgement; an older copy may lack some. */
 const maxRoutingAgeMs = 2_500;
 
-/** Makes the gateway of one process. */
+/** Creates the gateway of a process. */
 export function createGateway(deps: GatewayDeps): Gateway {
     const { clock, logger, metrics, routing } = deps;
     const batchJobs = createBatchJobHandler(deps);
@@ -56,7 +56,7 @@
         return request.requestId;
     }
 
-    /** A newer configuration may hold what an old copy does not: another process can tell, so that is no final answer. */
+    /** A newer configuration may contain a route or key that an outdated copy lacks, so the client should retry. */
     function notReadyIfOutdated(error: unknown): unknown {
         const isOutdated = deps.routingAgeMs() > maxRoutingAgeMs;
         const isUnknown = codeOf(error) === resultCodes.unknownRoute
@@ -105,7 +105,10 @@
             : forwardRequest(request, team, route, table, signal);
     }
 
-    /** The path of such a call names a job and no route; a job of a route without keys has no team. */
+    /**
+     * The path of a batch job call names a batch job and no route, so any anonymous rollout route of the host permits
+     * an anonymous caller; batch jobs submitted through such a route have no team.
+     */
     function callerOfBatchJobCall(
         { host, credential }: { host: string; credential: Credential; },
     ): TeamId | undefined {
@@ -116,7 +119,7 @@
         return requireCaller(table, credential, isOpen);
     }
 
-    /** Without a configuration nobody can be told apart. */
+    /** Rejects with `notReady` while there is no configuration, because callers cannot be identified. */
     async function handleBatchJobCall(
         call: Exclude<ClientCall, { kind: "request"; }>,
         signal: AbortSignal,
--- a/packages/gateway/src/createRunnerResults.test.ts
+++ b/packages/gateway/src/createRunnerResults.test.ts
@@ -30,7 +30,7 @@
 
 const known: ResultsAnswer = { kind: "known", total: 4, team: undefined, chunks: [], hasMore: false };
 
-test("the runner that is named is asked, and from then on at once", async () => {
+test("the runner named by another one is queried, and later queries go directly to it", async () => {
     const { asked, source } = createFixture(port => port === 2 ? known : { kind: "elsewhere", runner: "r2" });
     expect(await source(lot, 0, 0)).toEqual({ total: 4, team: undefined, chunks: [], hasMore: false });
     const hops = asked.length;
@@ -39,8 +39,8 @@
     expect([hops <= 2, asked.at(-1), asked.length - hops]).toEqual([true, 2, 2]);
 });
 
-test("a runner that does not answer is passed over, and the store is read meanwhile", async () => {
-    // Guards against: readers waited for a dead VM at each look.
+test("a runner that does not answer is skipped for a while, so that results are read from the store", async () => {
+    // Guards against readers that wait for a crashed VM at each query.
     const { clock, asked, source } = createFixture(port => {
         if (port === 2) {
             throw new Error("no answer");
@@ -54,7 +54,7 @@
     expect(asked.filter(port => port === 2).length).toBe(2);
 });
 
-test("two runners that name each other are not asked for ever", async () => {
+test("two runners that name each other are not queried forever", async () => {
     const { asked, source } = createFixture(port => ({
         kind: "elsewhere",
         runner: port === 1 ? "r2" : "r1",
--- a/packages/gateway/src/createRunnerResults.ts
+++ b/packages/gateway/src/createRunnerResults.ts
@@ -6,7 +6,7 @@
 
 interface RunnerResultsDeps {
     caller: RunnerCaller;
-    /** Rejects if the runner does not answer in time. */
+    /** Queries a runner; rejects if it does not answer in time. */
     send: (
         address: RunnerAddress,
         query: { lot: BatchJobId; fromChunk: number; waitMs: number; },
@@ -14,12 +14,12 @@
     ) => Promise<ResultsAnswer>;
 }
 
-/** Beyond the wait of a question; an answer takes a few milliseconds between failure domains. */
+/** Time for an answer beyond the wait of the query; the round trip between failure domains takes a few milliseconds. */
 const answerGraceMs = 300;
-/** Jobs whose runner is remembered. */
+/** Number of batch jobs whose runner is cached. */
 const maxRememberedRunners = 256;
 
-/** Asks runners for results: any of them for a job not seen yet, which then names the one that has it. */
+/** Queries runners for results: for an unknown batch job any runner, which then names the one that runs the job. */
 export function createRunnerResults(deps: RunnerResultsDeps): ResultsSource {
     const runnerByBatchJob = new Map<BatchJobId, string>();
 
--- a/packages/gateway/src/requireCaller.ts
+++ b/packages/gateway/src/requireCaller.ts
@@ -7,8 +7,8 @@
 import { match } from "ts-pattern";
 
 /**
- * The caller's team, undefined for one that needs no key; throws `unknownKey` for one that needs a key and brings none
- * that counts. The fault never shows what was sent.
+ * Returns the caller's team, or undefined if no key is required; throws `unknownKey` if a key is required and no valid
+ * one was sent. The error text never contains the credential.
  */
 export function requireCaller(
     table: RoutingTable,
--- a/packages/gateway/src/requireRoute.ts
+++ b/packages/gateway/src/requireRoute.ts
@@ -5,7 +5,7 @@
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
 import type { ClientRequest } from "./ClientRequest.js";
 
-/** The route of a request; throws `unknownRoute` if there is none. */
+/** Returns the route of a request; throws `unknownRoute` if there is none. */
 export function requireRoute(table: RoutingTable, { host, path }: ClientRequest): Route {
     const route = findRoute(table, host, path);
     if (route === undefined) {
