--- a/packages/admission/src/bufferAnswer.ts
+++ b/packages/admission/src/bufferAnswer.ts
@@ -34,6 +34,6 @@
             return { answer: { status, headers, body: chain(parts, rest) }, cached: undefined };
         }
     }
-    const kept = { status, headers, body: Buffer.concat(parts) };
-    return { answer: replayAnswer(kept), cached: kept };
+    const cached = { status, headers, body: Buffer.concat(parts) };
+    return { answer: replayAnswer(cached), cached };
 }
--- a/packages/admission/src/countCrashedVms.ts
+++ b/packages/admission/src/countCrashedVms.ts
@@ -7,7 +7,7 @@
 /** With crashes on this many VMs, other contents in flight no longer matter. */
 const unambiguousVms = 3;
 
-const countVms = (crashes: Crash[]): number => new Set(crashes.map(death => death.vm)).size;
+const countVms = (crashes: Crash[]): number => new Set(crashes.map(crash => crash.vm)).size;
 
 /**
  * Number of VMs whose crashes count against a record. A crash is explained by another content that was in flight and
@@ -30,8 +30,8 @@
         .filter(other => other.digest !== record.digest)
         .map(other => countedCrashes(other, nowMs))
         .filter(others => countVms(others) > 1);
-    const unexplained = crashes.filter(death =>
-        !otherSuspects.some(others => others.some(other => isSameCrash(death, other)))
+    const unexplained = crashes.filter(crash =>
+        !otherSuspects.some(others => others.some(other => isSameCrash(crash, other)))
     );
     return Math.max(1, countVms(unexplained));
 }
--- a/packages/admission/src/countedCrashes.ts
+++ b/packages/admission/src/countedCrashes.ts
@@ -6,5 +6,5 @@
         return [];
     }
     const liftedAtMs = record.liftedAtMs ?? Number.NEGATIVE_INFINITY;
-    return record.deaths.filter(death => death.atMs > liftedAtMs);
+    return record.deaths.filter(crash => crash.atMs > liftedAtMs);
 }
--- a/packages/admission/src/createKeyRange.ts
+++ b/packages/admission/src/createKeyRange.ts
@@ -98,12 +98,12 @@
             entry.state = { kind: "lost" };
             return;
         }
-        const forget = (): void => {
+        const evict = (): void => {
             entry.state = { kind: "lost" };
         };
         const state: KeyState = { kind: "answered", answer: cached, release: () => {} };
         entry.state = state;
-        state.release = answerBudget.add(cached.body.length, forget);
+        state.release = answerBudget.add(cached.body.length, evict);
     }
 
     async function executeAndRecord(id: string, entry: KeyEntry, execute: Execute): Promise<Outcome> {
@@ -117,8 +117,8 @@
             entry.state = { kind: "unknown", code: outcome.code };
             return outcome;
         }
-        const { answer, cached: kept } = await bufferAnswer(outcome.answer, maxAnswerBytes);
-        recordAnswer(entry, kept);
+        const { answer, cached } = await bufferAnswer(outcome.answer, maxAnswerBytes);
+        recordAnswer(entry, cached);
         return { kind: "ran", answer };
     }
 
--- a/packages/admission/src/createQuarantineRecords.ts
+++ b/packages/admission/src/createQuarantineRecords.ts
@@ -12,7 +12,7 @@
     /** Merges records; true if any of them contained something new. */
     merge(offered: QuarantineRecord[]): boolean;
     /** Records of a crash for the digests for which it is not recorded yet. */
-    newRecordsOf(death: ReportedCrash): QuarantineRecord[];
+    newRecordsOf(crash: ReportedCrash): QuarantineRecord[];
     /** The record with its crashes so far cleared; undefined if there is none. */
     liftedRecord(digest: ContentDigest): QuarantineRecord | undefined;
     isSuspect(digest: ContentDigest): boolean;
@@ -75,7 +75,7 @@
 
     /** Whether a crash adds nothing: it is already recorded, or its VM already has the maximum. */
     function isRecorded(digest: ContentDigest, vm: string, bootId: string): boolean {
-        const crashes = (records.get(digest)?.deaths ?? []).filter(death => death.vm === vm);
+        const crashes = (records.get(digest)?.deaths ?? []).filter(crash => crash.vm === vm);
         return crashes.length >= maxCrashesPerVm || crashes.some(death => death.bootId === bootId);
     }
 
--- a/packages/admission/src/createTrials.test.ts
+++ b/packages/admission/src/createTrials.test.ts
@@ -25,8 +25,8 @@
 
     /** Crashes an engine with these contents in flight; every entry receives the sampler's report of it. */
     function die(vm: string, ...names: ContentDigest[]): void {
-        const death = { vm: vm as VmId, bootId: `boot-${boots++}`, contents: names.length };
-        const suspects = names.map(digest => ({ digest, deaths: [death] }));
+        const crash = { vm: vm as VmId, bootId: `boot-${boots++}`, contents: names.length };
+        const suspects = names.map(digest => ({ digest, deaths: [crash] }));
         entries.forEach(entry => entry.recordSuspects({ suspects }));
     }
 
--- a/packages/admission/src/groupCrashes.ts
+++ b/packages/admission/src/groupCrashes.ts
@@ -7,9 +7,9 @@
     for (const { digest, deaths: reported } of suspects) {
         for (const { vm, bootId, contents } of reported) {
             const name = `${vm} ${bootId}`;
-            const death = crashes.get(name) ?? { vm, bootId, contents, digests: [] };
-            death.digests.push(digest);
-            crashes.set(name, death);
+            const crash = crashes.get(name) ?? { vm, bootId, contents, digests: [] };
+            crash.digests.push(digest);
+            crashes.set(name, crash);
         }
     }
     return [...crashes.values()];
--- a/packages/admission/src/mergeRecords.ts
+++ b/packages/admission/src/mergeRecords.ts
@@ -27,10 +27,10 @@
 /** A crash reported by several entries counts once, at the earliest time reported. */
 function mergeCrashes(crashes: Crashes): Crashes {
     const byBoot = new Map<string, Crashes[number]>();
-    for (const death of crashes) {
-        const key = `${death.vm} ${death.bootId}`;
+    for (const crash of crashes) {
+        const key = `${crash.vm} ${crash.bootId}`;
         const known = byBoot.get(key);
-        byBoot.set(key, known === undefined ? death : mergeCrash(known, death));
+        byBoot.set(key, known === undefined ? crash : mergeCrash(known, crash));
     }
     return [...byBoot].sort(([a], [b]) => a < b ? -1 : 1).map(([, death]) => death);
 }
--- a/packages/admission/src/trialDueAtMs.ts
+++ b/packages/admission/src/trialDueAtMs.ts
@@ -22,9 +22,9 @@
     wasAlone: boolean;
 }
 
-function waitBeforeTrialMs({ crashed: killed, unknown, wasAlone }: Evidence, kind: TrialKind): number {
-    if (killed > 0) {
-        return trialLimits.afterConfirmedCrashMs * 2 ** (killed - 1);
+function waitBeforeTrialMs({ crashed, unknown, wasAlone }: Evidence, kind: TrialKind): number {
+    if (crashed > 0) {
+        return trialLimits.afterConfirmedCrashMs * 2 ** (crashed - 1);
     }
     const afterAloneMs = kind === "sample"
         ? trialLimits.firstSampleTrialMs
@@ -54,15 +54,15 @@
     const crashes = countedCrashes(record, nowMs);
     const trials = openTrials(record);
     const others = records.filter(other => other.digest !== record.digest);
-    const isAlone = (death: QuarantineRecord["deaths"][number]): boolean =>
-        death.contents === 1
+    const isAlone = (crash: QuarantineRecord["deaths"][number]): boolean =>
+        crash.contents === 1
         // Contents that were cleared since then count as company too: the crash remains unexplained.
-        && !others.some(other => other.deaths.some(each => isSameCrash(each, death)));
-    const vmsAlone = new Set(crashes.filter(isAlone).map(death => death.vm)).size;
-    const crashed = trials.filter(trial => crashes.some(death => death.atMs >= trial.atMs)).length;
+        && !others.some(other => other.deaths.some(each => isSameCrash(each, crash)));
+    const vmsAlone = new Set(crashes.filter(isAlone).map(crash => crash.vm)).size;
+    const crashed = trials.filter(trial => crashes.some(crash => crash.atMs >= trial.atMs)).length;
     const evidence = { crashed, unknown: trials.length - crashed, wasAlone: vmsAlone >= vmsToConfirm };
     const waitMs = waitBeforeTrialMs(evidence, kind);
-    const latestMs = Math.max(...crashes.map(death => death.atMs), ...trials.map(trial => trial.atMs));
+    const latestMs = Math.max(...crashes.map(crash => crash.atMs), ...trials.map(trial => trial.atMs));
     // Likely crash-inducing contents leave one trial to contents whose crashes have other explanations.
     const limit = evidence.crashed > 0 || evidence.wasAlone
         ? trialLimits.maxOfLikelyCrashInducing
--- a/packages/discovery/src/createRoutingView.ts
+++ b/packages/discovery/src/createRoutingView.ts
@@ -14,7 +14,7 @@
         for (const { field, fault } of faults) {
             logger.warn("configPartLeftOut", { version, field, fault });
         }
-        for (const { service, wantsOrderedSamplers } of services.values()) {
+        for (const { service, wantsAutoscaling: wantsOrderedSamplers } of services.values()) {
             if (wantsOrderedSamplers) {
                 logger.warn("samplersNotOrdered", { version, service, detail: "autoscale is not served" });
             }
--- a/packages/documents/src/createDocumentSet.ts
+++ b/packages/documents/src/createDocumentSet.ts
@@ -35,7 +35,7 @@
     const versionOf = (name: string): number => entries.get(name)?.document.version ?? 0;
 
     function findText(name: string, version: number): string | undefined {
-        return entries.get(name)?.baseTexts.find(kept => kept.version === version)?.text;
+        return entries.get(name)?.baseTexts.find(baseText => baseText.version === version)?.text;
     }
 
     function appendText(name: string, version: number, text: string): StoredEntry["baseTexts"] {
--- a/packages/entry/src/Fleet.ts
+++ b/packages/entry/src/Fleet.ts
@@ -7,7 +7,7 @@
 /** An entry's view of the fleet: membership, shared documents, the manifest and the state of each sampler. */
 export interface Fleet {
     membership: Membership;
-    spread: DocumentSync;
+    documentSync: DocumentSync;
     manifest: ManifestView;
     views: SamplerViews;
     /** Entries that are neither suspected nor leaving, including this one. */
--- a/packages/entry/src/SamplerViewsDeps.ts
+++ b/packages/entry/src/SamplerViewsDeps.ts
@@ -16,7 +16,7 @@
     /** Wraps a sidecar with checks that apply to every attempt. */
     wrapSidecar: (port: SidecarPort) => SidecarPort;
     /** A sample with this content completed. */
-    noteCleanFinish: (digest: ContentDigest) => void;
+    recordCleanFinish: (digest: ContentDigest) => void;
     /** An attempt with this content was interrupted at the incarnation that sent the report. */
-    noteLost: (report: SamplerReport, digest: ContentDigest) => void;
+    recordInterrupted: (report: SamplerReport, digest: ContentDigest) => void;
 }
--- a/packages/entry/src/createAdmission.ts
+++ b/packages/entry/src/createAdmission.ts
@@ -48,7 +48,7 @@
 /** Creates the checks before a request runs: the team's queue limit, the quarantine and at most one run per key. */
 export function createAdmission({ deps, fleet, directory, logger, store }: AdmissionDeps): Admission {
     const { clock, random, self } = deps;
-    const { spread } = fleet;
+    const { documentSync } = fleet;
     const stopped = new AbortController();
     const quarantine = createQuarantine({
         store,
@@ -110,12 +110,12 @@
 
     return {
         start: () => {
-            spread.onChange(document => {
+            documentSync.onChange(document => {
                 if (document.name === "quarantine") {
                     quarantine.offer(document);
                 }
             });
-            void quarantine.run(stopped.signal, spread.offer);
+            void quarantine.run(stopped.signal, documentSync.offer);
             void processReports();
             ranges.start();
         },
--- a/packages/entry/src/createDecisionStore.test.ts
+++ b/packages/entry/src/createDecisionStore.test.ts
@@ -4,18 +4,18 @@
 
 test("explains a sample with the events of its attempts and vice versa, including bound fields", () => {
     const { logger, clock, lines } = createTestBench();
-    const book = createDecisionStore(logger, clock);
-    const bound = book.logger.child({ sample: "forecast/1/0/0" });
+    const decisionStore = createDecisionStore(logger, clock);
+    const bound = decisionStore.logger.child({ sample: "forecast/1/0/0" });
     bound.info("samplePlaced", { attempt: "a1", sampler: "rollout-1" });
     bound.warn("attemptFailed", { attempt: "a1" });
     bound.info("samplePlaced", { attempt: "a2", sampler: "rollout-2" });
-    book.logger.info("jobTaken", { job: "forecast" });
+    decisionStore.logger.info("jobTaken", { job: "forecast" });
     expect(lines).toHaveLength(4);
-    expect(book.explain("a1").decisions.map(each => each.event)).toEqual(
-        book.explain("forecast/1/0/0").decisions.map(each => each.event),
+    expect(decisionStore.explain("a1").decisions.map(each => each.event)).toEqual(
+        decisionStore.explain("forecast/1/0/0").decisions.map(each => each.event),
     );
-    expect(book.explain("forecast/1/0/0").decisions).toHaveLength(3);
-    expect(book.explain("forecast").decisions).toEqual([]);
+    expect(decisionStore.explain("forecast/1/0/0").decisions).toHaveLength(3);
+    expect(decisionStore.explain("forecast").decisions).toEqual([]);
 });
 
 test("stores only the latest events", () => {
--- a/packages/entry/src/createEntry.ts
+++ b/packages/entry/src/createEntry.ts
@@ -40,13 +40,13 @@
         logger,
         monitoredStore,
         {
-            noteCleanFinish: digest => admission.quarantine.recordCleanFinish(digest),
-            noteLost: (report, digest) => admission.recordInterrupted(report, digest),
+            recordCleanFinish: digest => admission.quarantine.recordCleanFinish(digest),
+            recordInterrupted: (report, digest) => admission.recordInterrupted(report, digest),
             wrapSidecar: port =>
                 createTrialSidecar(port, { quarantine: admission.quarantine, logger, metrics }),
         },
     );
-    const { views, membership, spread } = fleet;
+    const { views, membership, documentSync } = fleet;
     const { directory, jobs } = createOwnership(deps, fleet, logger, store);
     const manifest = () => fleet.manifest()?.manifest;
     const calls = trackCalls();
@@ -67,7 +67,7 @@
         logger,
         store,
         readFile: deps.readManifestFile,
-        onPublished: (version, value) => void spread.offer({ name: "manifest", version, value }),
+        onPublished: (version, value) => void documentSync.offer({ name: "manifest", version, value }),
     });
     const admission = createAdmission({ deps, fleet, directory, logger, store });
     const handleTrainerCall = createTrainerCallHandler({
@@ -97,7 +97,7 @@
         snapshot: deps.startSnapshot,
         save: deps.saveSnapshot,
     });
-    const mayServeManifest = () => spread.isCaughtUp() || snapshotRestore.mayServeSnapshot();
+    const mayServeManifest = () => documentSync.isCaughtUp() || snapshotRestore.mayServeSnapshot();
     const isReady = () => !calls.isClosed() && mayServeManifest() && manifest() !== undefined;
     const operations = createOperations({
         deps,
--- a/packages/entry/src/createFleet.ts
+++ b/packages/entry/src/createFleet.ts
@@ -16,7 +16,7 @@
     deps: EntryDeps,
     logger: Logger,
     { store, isReachable }: MonitoredStore,
-    observer: Pick<SamplerViewsDeps, "noteCleanFinish" | "noteLost" | "wrapSidecar">,
+    observer: Pick<SamplerViewsDeps, "recordCleanFinish" | "recordInterrupted" | "wrapSidecar">,
 ): Fleet {
     const { self, clock, random, callPeer } = deps;
     const membership = createMembership({
@@ -27,12 +27,12 @@
         vmList: deps.vmList,
         seeds: deps.seeds.filter(address => address !== self.address),
         exchange: (address, message) => callPeer(address, "gossip", message, exchangeTimeoutMs),
-        newerDocuments: theirs => spread.transfersFor(theirs),
-        absentDocuments: theirs => spread.absentFrom(theirs),
-        acceptDocuments: documents => spread.applyAbsent(documents),
+        newerDocuments: theirs => documentSync.transfersFor(theirs),
+        absentDocuments: theirs => documentSync.absentFrom(theirs),
+        acceptDocuments: documents => documentSync.applyAbsent(documents),
         timing: deps.timing,
     });
-    const spread = createDocumentSync({
+    const documentSync = createDocumentSync({
         clock,
         random: random.fork(),
         logger,
@@ -47,8 +47,8 @@
     });
     return {
         membership,
-        spread,
-        manifest: createManifestView(spread.get),
+        documentSync,
+        manifest: createManifestView(documentSync.get),
         views: createSamplerViews({
             clock,
             listReports: membership.listReports,
@@ -62,10 +62,10 @@
         },
         start: () => {
             membership.start();
-            spread.start();
+            documentSync.start();
         },
         stop: () => {
-            spread.stop();
+            documentSync.stop();
             membership.stop();
         },
     };
--- a/packages/entry/src/createGroupStoreDirectory.ts
+++ b/packages/entry/src/createGroupStoreDirectory.ts
@@ -20,10 +20,10 @@
     fleet: Fleet,
     clock: Clock,
 ): GroupStoreDirectory {
-    const { spread } = fleet;
+    const { documentSync } = fleet;
 
     function read(name: string): GroupStoreHost[] {
-        const parsed = hostSchema.safeParse(spread.get(name)?.value);
+        const parsed = hostSchema.safeParse(documentSync.get(name)?.value);
         return parsed.success ? [parsed.data] : [];
     }
 
@@ -31,12 +31,12 @@
         announce: () => {
             // The wall-clock time of the start serves as version: it orders the announcements of successive runs.
             const value = { entry: self.entry, address: self.address };
-            spread.offer({ name: prefix + self.entry, version: clock.wallMs(), value });
+            documentSync.offer({ name: prefix + self.entry, version: clock.wallMs(), value });
         },
         list: () => {
             const liveEntries = new Set<string>(fleet.listLiveEntries());
-            const names = Object.keys(spread.digest()).filter(name => name.startsWith(prefix));
-            return names.flatMap(read).filter(keeper => liveEntries.has(keeper.entry));
+            const names = Object.keys(documentSync.digest()).filter(name => name.startsWith(prefix));
+            return names.flatMap(read).filter(host => liveEntries.has(host.entry));
         },
     };
 }
--- a/packages/entry/src/createLeavingVmWatcher.ts
+++ b/packages/entry/src/createLeavingVmWatcher.ts
@@ -31,12 +31,12 @@
  */
 export function createLeavingVmWatcher(deps: LeavingVmWatcherDeps): LeavingVmWatcher {
     const { fleet, clock, logger } = deps;
-    const { spread, membership, views } = fleet;
+    const { documentSync, membership, views } = fleet;
     const stopped = new AbortController();
     const orderedIncarnations = new Set<IncarnationId>();
 
     function leavingVms(): string[] {
-        const parsed = leavingSchema.safeParse(spread.get(documentName)?.value);
+        const parsed = leavingSchema.safeParse(documentSync.get(documentName)?.value);
         return parsed.success ? parsed.data.vms : [];
     }
 
@@ -44,8 +44,8 @@
         const listed = await deps.vmList();
         const vms = listed.filter(record => record.state === "leaving").map(record => record.vm).sort();
         if (JSON.stringify(vms) !== JSON.stringify(leavingVms())) {
-            const before = spread.get(documentName)?.version ?? 0;
-            spread.offer({
+            const before = documentSync.get(documentName)?.version ?? 0;
+            documentSync.offer({
                 name: documentName,
                 version: Math.max(before + 1, clock.wallMs()),
                 value: { vms },
@@ -88,7 +88,7 @@
 
     return {
         start: () => {
-            spread.onChange(document => document.name === documentName && orderAllToLeave());
+            documentSync.onChange(document => document.name === documentName && orderAllToLeave());
             void loop();
         },
         stop: () => stopped.abort(),
--- a/packages/entry/src/createOwnership.ts
+++ b/packages/entry/src/createOwnership.ts
@@ -27,7 +27,7 @@
     store: ObjectStore,
 ): Ownership {
     const { self, clock, random, guards } = deps;
-    const { views, spread } = fleet;
+    const { views, documentSync } = fleet;
     const leases = createLeaseKeeper({
         store,
         clock,
@@ -49,7 +49,7 @@
     if (deps.groupStore !== undefined) {
         groupStoreDirectory.announce();
     }
-    const directory = createOwnerDirectory({ self, get: spread.get, offer: spread.offer });
+    const directory = createOwnerDirectory({ self, get: documentSync.get, offer: documentSync.offer });
 
     function startOwner(job: JobManifest, lease: Lease): Promise<Owner> {
         const ownerDeps = {
--- a/packages/entry/src/createPeerHandler.ts
+++ b/packages/entry/src/createPeerHandler.ts
@@ -72,7 +72,7 @@
     // A map, because a plain object would also have methods such as `constructor`.
     const methods = new Map<string, (params: unknown) => unknown>(Object.entries({
         gossip: fleet.membership.receiveGossip,
-        spread: fleet.spread.receive,
+        spread: fleet.documentSync.receive,
         report: fleet.membership.receiveReport,
         train,
         jobStatus,
--- a/packages/entry/src/createReplicatedGroupStore.ts
+++ b/packages/entry/src/createReplicatedGroupStore.ts
@@ -31,7 +31,7 @@
     const { self, local, callPeer, logger } = deps;
 
     function selectHosts(job: string, step: number): GroupStoreHost[] {
-        return rankByRendezvous(`${job}/${step}`, deps.listHosts(), keeper => keeper.entry).slice(
+        return rankByRendezvous(`${job}/${step}`, deps.listHosts(), host => host.entry).slice(
             0,
             copyCount,
         );
@@ -74,7 +74,7 @@
 
     /** Asks every host: the hosts selected when a group was saved may differ from those that would be selected now. */
     async function load(job: string, step: number): ReturnType<GroupKeep["load"]> {
-        const loaded = await Promise.all(deps.listHosts().map(keeper => loadFrom(keeper, job, step)));
+        const loaded = await Promise.all(deps.listHosts().map(host => loadFrom(host, job, step)));
         const newest = new Map<number, Awaited<ReturnType<GroupKeep["load"]>>[number]>();
         for (const record of loaded.flat()) {
             const known = newest.get(record.group);
@@ -88,8 +88,8 @@
     async function drop(job: string, step: number, groups: number[]): Promise<void> {
         const params = { job, step, groups };
         await Promise.allSettled(
-            selectHosts(job, step).map(keeper =>
-                call(keeper, "keepDrop", params, keep => keep.drop(job, step, groups))
+            selectHosts(job, step).map(host =>
+                call(host, "keepDrop", params, keep => keep.drop(job, step, groups))
             ),
         );
     }
--- a/packages/entry/src/createSamplerViews.ts
+++ b/packages/entry/src/createSamplerViews.ts
@@ -45,8 +45,9 @@
         const counter = createSendCounter(clock);
         const counted = createCountedSidecar(counter, () => connect(sampler, connection), {
             recordContact: reached => deps.recordSamplerContact(sampler, reached),
-            recordCleanFinish: deps.noteCleanFinish,
-            recordInterrupted: digest => connection.report && deps.noteLost(connection.report, digest),
+            recordCleanFinish: deps.recordCleanFinish,
+            recordInterrupted: digest =>
+                connection.report && deps.recordInterrupted(connection.report, digest),
         });
         const port = deps.wrapSidecar(counted);
         const connection: SamplerConnection = { counter, port, report: undefined, sidecar: undefined };
--- a/packages/entry/src/createSnapshotRestore.test.ts
+++ b/packages/entry/src/createSnapshotRestore.test.ts
@@ -36,7 +36,7 @@
         faultsOf: faultsOfDocument,
     });
     const fleet = {
-        spread: documentSync,
+        documentSync,
         membership: { listPeers: () => [{ address: "http://peer" }] },
     } as unknown as Fleet;
     const save = async (value: StartSnapshot): Promise<void> => void saved.push(value);
--- a/packages/entry/src/createSnapshotRestore.ts
+++ b/packages/entry/src/createSnapshotRestore.ts
@@ -30,12 +30,12 @@
  */
 export function createSnapshotRestore(deps: SnapshotRestoreDeps): SnapshotRestore {
     const { fleet, clock, logger, snapshot, save } = deps;
-    const { spread, membership } = fleet;
+    const { documentSync, membership } = fleet;
     const startedAtMs = clock.monotonicMs();
     let cancelSave: (() => void) | undefined;
 
     function collect(): StartSnapshot {
-        const documents = Object.keys(spread.digest()).map(name => spread.get(name)!);
+        const documents = Object.keys(documentSync.digest()).map(name => documentSync.get(name)!);
         return { documents, peers: membership.listPeers().map(peer => peer.address) };
     }
 
@@ -51,11 +51,11 @@
 
     return {
         start: () => {
-            const accepted = snapshot?.documents.filter(document => spread.offer(document)) ?? [];
+            const accepted = snapshot?.documents.filter(document => documentSync.offer(document)) ?? [];
             if (snapshot !== undefined) {
                 logger.info("snapshotTaken", { documents: accepted.length, peers: snapshot.peers.length });
             }
-            spread.onChange(scheduleSave);
+            documentSync.onChange(scheduleSave);
         },
         stop: () => cancelSave?.(),
         mayServeSnapshot: () =>
--- a/packages/entry/src/testing/createServedEntry.ts
+++ b/packages/entry/src/testing/createServedEntry.ts
@@ -68,7 +68,7 @@
 /** Starts a real entry on a real socket, with a plain sampler that records its requests; resolves when it is ready. */
 export async function createServedEntry(
     options: Partial<ServeEntryOptions> = {},
-    keep?: GroupKeep,
+    groupStore?: GroupKeep,
 ): Promise<ServedEntry> {
     const clock = createSystemClock();
     const random = createRandom(3);
@@ -103,7 +103,7 @@
         store,
         vmList: async () => [],
         scoring: async () => 0,
-        groupStore: keep,
+        groupStore,
         cursorKey: "a cursor key that is long enough for it",
         seeds: [],
         leaseTtlMs: 5_000,
--- a/packages/feeds/src/createFeedBackedStore.ts
+++ b/packages/feeds/src/createFeedBackedStore.ts
@@ -111,14 +111,14 @@
     }
 
     async function askOnce(query: FeedQuery): Promise<DataAnswer | undefined> {
-        const asked = { ...query, avoided: listAvoided() };
-        const ownAnswer = await deps.hub()?.answer(asked);
+        const fullQuery = { ...query, avoided: listAvoided() };
+        const ownAnswer = await deps.hub()?.answer(fullQuery);
         if (ownAnswer === undefined) {
-            return askRunners(asked);
+            return askRunners(fullQuery);
         }
         if (ownAnswer.kind === "elsewhere") {
             feeder = ownAnswer.runner;
-            return askRunners({ ...asked, avoided: [...asked.avoided, self] });
+            return askRunners({ ...fullQuery, avoided: [...fullQuery.avoided, self] });
         }
         return handleAnswer(self, ownAnswer);
     }
--- a/packages/feeds/src/createKindCopy.ts
+++ b/packages/feeds/src/createKindCopy.ts
@@ -92,8 +92,8 @@
                 return { kind: "unsure" };
             }
             if (since === undefined || since < changesSince) {
-                const asked = [...objects.values()].filter(({ key }) => key.startsWith(query.prefix));
-                return { kind: "listed", objects: asked, revision };
+                const matching = [...objects.values()].filter(({ key }) => key.startsWith(query.prefix));
+                return { kind: "listed", objects: matching, revision };
             }
             const changes = batches
                 .filter(batch => batch.revision > since)
--- a/packages/forwarding/src/BreakRegistry.ts
+++ b/packages/forwarding/src/BreakRegistry.ts
@@ -19,5 +19,5 @@
     /** The same, including reports received from other processes. */
     listAll(withinMs: number): BreakReport[];
     /** Merges the reports of another process that are later than what is known here. */
-    merge(marks: readonly BreakReport[]): void;
+    merge(reports: readonly BreakReport[]): void;
 }
--- a/packages/forwarding/src/createBreakRegistry.ts
+++ b/packages/forwarding/src/createBreakRegistry.ts
@@ -95,6 +95,6 @@
         },
         listOwn: withinMs => listReports(withinMs, record => record.isOwn),
         listAll: withinMs => listReports(withinMs, () => true),
-        merge: marks => marks.forEach(mergeOne),
+        merge: reports => reports.forEach(mergeOne),
     };
 }
--- a/packages/gateway/src/createGateway.test.ts
+++ b/packages/gateway/src/createGateway.test.ts
@@ -86,7 +86,7 @@
     const clock = createFakeClock();
     const { store, control } = createFakeObjectStore({ clock, random: createRandom(1) });
     const real = createBatchJobStore(store);
-    const lots = over.batchJobStore?.(real) ?? real;
+    const batchJobStore = over.batchJobStore?.(real) ?? real;
     const state = { storeSilentMs: 0, isKnown: true, routingAgeMs: 0 };
     const relayedRequests: RoutedRequest[] = [];
     const forwardOutcome: ForwardingOutcome = {
@@ -103,8 +103,8 @@
             relayedRequests.push(request);
             return forwardOutcome;
         },
-        batchJobStore: lots,
-        batchJobReader: createBatchJobReader(lots, clock, async () => undefined),
+        batchJobStore,
+        batchJobReader: createBatchJobReader(batchJobStore, clock, async () => undefined),
         decodeBatchJob: id => batchJobOf(id),
         storeSilentMs: () => state.storeSilentMs,
         clock,
--- a/packages/gateway/src/createRunnerResults.test.ts
+++ b/packages/gateway/src/createRunnerResults.test.ts
@@ -7,7 +7,7 @@
 import { createRunnerResults } from "./createRunnerResults.js";
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
-const lot = "lot-1" as BatchJobId;
+const batchJobId = "lot-1" as BatchJobId;
 
 function createFixture(answerOf: (port: number) => ResultsAnswer) {
     const clock = createFakeClock();
@@ -32,10 +32,10 @@
 
 test("the runner named by another one is queried, and later queries go directly to it", async () => {
     const { asked, source } = createFixture(port => port === 2 ? known : { kind: "elsewhere", runner: "r2" });
-    expect(await source(lot, 0, 0)).toEqual({ total: 4, team: undefined, chunks: [], hasMore: false });
+    expect(await source(batchJobId, 0, 0)).toEqual({ total: 4, team: undefined, chunks: [], hasMore: false });
     const hops = asked.length;
-    await source(lot, 0, 500);
-    await source(lot, 1, 500);
+    await source(batchJobId, 0, 500);
+    await source(batchJobId, 1, 500);
     expect([hops <= 2, asked.at(-1), asked.length - hops]).toEqual([true, 2, 2]);
 });
 
@@ -47,10 +47,14 @@
         }
         return { kind: "elsewhere", runner: "r2" };
     });
-    const first = [await source(lot, 0, 500), await source(lot, 0, 500), await source(lot, 0, 500)];
+    const first = [
+        await source(batchJobId, 0, 500),
+        await source(batchJobId, 0, 500),
+        await source(batchJobId, 0, 500),
+    ];
     expect([first, asked.filter(port => port === 2).length]).toEqual([[undefined, undefined, undefined], 1]);
     await clock.advance(3_000);
-    await source(lot, 0, 500);
+    await source(batchJobId, 0, 500);
     expect(asked.filter(port => port === 2).length).toBe(2);
 });
 
@@ -59,5 +63,5 @@
         kind: "elsewhere",
         runner: port === 1 ? "r2" : "r1",
     }));
-    expect([await source(lot, 0, 0), asked.length]).toEqual([undefined, 3]);
+    expect([await source(batchJobId, 0, 0), asked.length]).toEqual([undefined, 3]);
 });
--- a/packages/ownership/src/OwnerGuards.ts
+++ b/packages/ownership/src/OwnerGuards.ts
@@ -18,7 +18,11 @@
     isUndelivered: (delivered: Uint8Array, group: number) => boolean;
     /** True if a sample may still be delivered now. */
     isFresh: (spans: readonly TokenSpan[], minVersion: WeightVersion) => boolean;
-    findSampleProblem: (job: JobId, made: MadeSample, bounds: VersionBounds) => SampleProblem | undefined;
+    findSampleProblem: (
+        job: JobId,
+        generated: MadeSample,
+        bounds: VersionBounds,
+    ) => SampleProblem | undefined;
     /** True if a repeated read with the same cursor must get the same page. */
     repeatsPage: () => boolean;
     /** True if a published version may replace the current one. */
--- a/packages/ownership/src/createOwnerTakeover.test.ts
+++ b/packages/ownership/src/createOwnerTakeover.test.ts
@@ -296,12 +296,12 @@
             },
         }));
     const trainer = startTrainer(world, currentOwner);
-    const isWhole = await world.clock.runUntil(trainer.isFinished, 300_000);
+    const isFinished = await world.clock.runUntil(trainer.isFinished, 300_000);
     const usage = currentOwner()?.status().deliveredEngineMs;
     const problems = [
         ...trainer.report.problems,
         ...world.violations(),
-        ...isWhole && trainer.report.receivedGroups.size === 4
+        ...isFinished && trainer.report.receivedGroups.size === 4
             ? []
             : [`unfinished ${trainer.report.receivedGroups.size}`],
         ...usage === trainer.report.engineMs ? [] : [`usage ${usage} of ${trainer.report.engineMs}`],
@@ -336,15 +336,15 @@
             return current;
         });
         const trainer = startTrainer(world, route, { steps: 10, rereadChance: 0.3, loseAnswerChance: 0.3 });
-        function strike(): void {
+        function injectFaults(): void {
             world.control.loseAnswers(random.nextInt(3));
             if (random.nextUnit() < 0.6) {
                 kills += current?.process.isAlive() === true ? 1 : 0;
                 current?.process.kill();
             }
-            world.clock.startTimer(700, strike);
+            world.clock.startTimer(700, injectFaults);
         }
-        strike();
+        injectFaults();
         expect(await world.clock.runUntil(trainer.isFinished, 600_000)).toBe(true);
         expect(trainer.report.problems).toEqual([]);
         expect(world.violations()).toEqual([]);
--- a/packages/ownership/src/createPageIssuer.ts
+++ b/packages/ownership/src/createPageIssuer.ts
@@ -49,9 +49,9 @@
             if (!guards.isUndelivered(cursor.delivered, group) || producer.regenerateStale(step, group)) {
                 continue;
             }
-            const whole = step.ledger.wholeGroup(group);
-            if (whole !== undefined) {
-                ready.push(whole);
+            const completeGroup = step.ledger.wholeGroup(group);
+            if (completeGroup !== undefined) {
+                ready.push(completeGroup);
             }
         }
         return ready;
--- a/packages/ownership/src/createSampleProducer.ts
+++ b/packages/ownership/src/createSampleProducer.ts
@@ -88,12 +88,12 @@
         submission: number,
     ): Promise<number | undefined> {
         const text = generated.answer.spans.map(span => span.text).join("");
-        const isWanted = (): boolean =>
+        const isRequested = (): boolean =>
             isOpen(step) && step.outstanding.get(generated.task.sample) === submission;
-        for (let attempts = 1; isWanted(); attempts++) {
+        for (let attempts = 1; isRequested(); attempts++) {
             try {
                 const result = await deps.scoring(state.job.scoring, generated.task.prompt, text);
-                return isWanted() ? result : undefined;
+                return isRequested() ? result : undefined;
             }
             catch {
                 metrics.count("scoring_failures_total", { service: state.job.scoring });
--- a/packages/ownership/src/testing/createTestSidecar.ts
+++ b/packages/ownership/src/testing/createTestSidecar.ts
@@ -110,17 +110,17 @@
         return { kind: "ran", answer };
     }
 
-    async function order({ order: wanted }: SamplerOrder): Promise<SamplerOrderResult> {
-        if (wanted.fencing < highestFencing) {
+    async function order({ order: engineOrder }: SamplerOrder): Promise<SamplerOrderResult> {
+        if (engineOrder.fencing < highestFencing) {
             fenced++;
             return { kind: "refused", code: resultCodes.fenced, report: report() };
         }
-        highestFencing = wanted.fencing;
-        if (wanted.kind === "load" && wanted.version > version) {
+        highestFencing = engineOrder.fencing;
+        if (engineOrder.kind === "load" && engineOrder.version > version) {
             isSwapping = true;
             await clock.sleep(swapMs);
             isSwapping = false;
-            version = wanted.version;
+            version = engineOrder.version;
         }
         return { kind: "done", report: report() };
     }
--- a/packages/persistence/src/createStepFile.ts
+++ b/packages/persistence/src/createStepFile.ts
@@ -77,8 +77,8 @@
     }
 
     async function open(): Promise<void> {
-        const kept = await readLive();
-        kept.forEach(({ group, fencing, bytes }) => live.set(group, { fencing, bytes }));
+        const stored = await readLive();
+        stored.forEach(({ group, fencing, bytes }) => live.set(group, { fencing, bytes }));
         await truncateTail();
     }
 
@@ -105,8 +105,8 @@
     const liveBytes = (): number => [...live.values()].reduce((sum, group) => sum + group.bytes, 0);
 
     async function compact(): Promise<void> {
-        const kept = await readLive();
-        const lines = kept.map(({ group, fencing, body }) =>
+        const stored = await readLive();
+        const lines = stored.map(({ group, fencing, body }) =>
             encodeRecord({ kind: "group", group, fencing, body })
         );
         const text = lines.join("");
--- a/packages/routing/src/ServiceLimits.ts
+++ b/packages/routing/src/ServiceLimits.ts
@@ -11,5 +11,5 @@
     /** Number of tokens in one event of a stream. */
     tokensPerEvent: number;
     /** The operator requests autoscaling of its samplers, which is not supported. */
-    wantsOrderedSamplers: boolean;
+    wantsAutoscaling: boolean;
 }
--- a/packages/runner/src/items/createItemDispatch.ts
+++ b/packages/runner/src/items/createItemDispatch.ts
@@ -96,7 +96,7 @@
             existing = createItemSidecar({
                 ...deps,
                 findRun: task => tasks.get(task)?.run,
-                findRoute: ({ batchJob: lot, item }) => routeOf(lot.host, item.path),
+                findRoute: ({ batchJob, item }) => routeOf(batchJob.host, item.path),
                 findSampler: id => directory.find(id as string as IncarnationId),
             }, sampler);
             sidecars.set(sampler, existing);
--- a/packages/runner/src/items/createItemSidecar.ts
+++ b/packages/runner/src/items/createItemSidecar.ts
@@ -52,7 +52,7 @@
     deps: ItemSidecarDeps,
     samplerId: SamplerId,
 ): Pick<SidecarPort, "runSample"> {
-    const { samplerHealth: evidence, logger } = deps;
+    const { samplerHealth, logger } = deps;
 
     async function readRun(
         attempt: SampleAttempt,
@@ -66,7 +66,7 @@
         let lastEventAtMs: number | undefined;
         for await (const event of deps.readEvents(reply.body)) {
             const nowMs = deps.clock.monotonicMs();
-            evidence.recordActivity(
+            samplerHealth.recordActivity(
                 sampler.incarnation,
                 lastEventAtMs === undefined ? undefined : nowMs - lastEventAtMs,
             );
@@ -118,14 +118,14 @@
         signal: AbortSignal,
         spans: TokenSpan[],
     ): Promise<Ended> {
-        const { batchJob: lot, item } = run;
+        const { batchJob, item } = run;
         const made = countEvents(attempt.resume);
         const reply = await deps.callSampler({
             sampler,
             requestId: item.item,
-            team: lot.team,
+            team: batchJob.team,
             method: "POST",
-            host: lot.host,
+            host: batchJob.host,
             path: item.path,
             headers: item.headers,
             body: Buffer.from(item.bodyBase64, "base64"),
@@ -133,13 +133,13 @@
             ...(made > 0 ? { lastEventNumber: made } : {}),
         }, signal);
         if (reply.kind === "notRun") {
-            evidence.recordActivity(sampler.incarnation);
+            samplerHealth.recordActivity(sampler.incarnation);
             return { kind: "notRun", code: reply.code, retryAfterMs: refusedPauseMs };
         }
         if (reply.kind === "unknown") {
             return { kind: "unknown", code: reply.code };
         }
-        evidence.recordActivity(sampler.incarnation);
+        samplerHealth.recordActivity(sampler.incarnation);
         if (reply.status >= 300) {
             await readWhole(reply.body, maxFailureBytes);
             return handleFailure(run, reply.status, route);
@@ -154,7 +154,7 @@
         if (run === undefined || sampler === undefined || route === undefined) {
             return { kind: "notRun", code: resultCodes.noSampler, retryAfterMs: refusedPauseMs };
         }
-        evidence.recordRunStarted(sampler.incarnation);
+        samplerHealth.recordRunStarted(sampler.incarnation);
         const spans = [...attempt.resume];
         let ended: Ended;
         try {
@@ -170,12 +170,12 @@
             });
             ended = { kind: "unknown", code: resultCodes.connectionBroken };
         }
-        evidence.recordRunEnded(sampler.incarnation);
+        samplerHealth.recordRunEnded(sampler.incarnation);
         if (signal.aborted && ended.kind === "unknown") {
             return toAnswer(attempt, spans, false);
         }
         if (ended.kind === "unknown" && ended.code === resultCodes.connectionBroken) {
-            evidence.recordFailure(sampler.incarnation);
+            samplerHealth.recordFailure(sampler.incarnation);
         }
         return ended;
     };
--- a/packages/runner/src/items/createOpenItems.ts
+++ b/packages/runner/src/items/createOpenItems.ts
@@ -16,7 +16,7 @@
 
 /** Creates the open items of one batch job; `signal` is aborted once the batch job no longer runs here. */
 export function createOpenItems(deps: BatchJobRunDeps, recorder: Recorder, signal: AbortSignal): OpenItems {
-    const { batchJobId, textCache: shelf, clock, logger, metrics } = deps;
+    const { batchJobId, textCache, clock, logger, metrics } = deps;
     const needAtMs = clock.monotonicMs() + stepDueMs;
     const open = new Set<SampleId>();
     const finishItem = createItemFinisher(deps);
@@ -40,7 +40,7 @@
     }
 
     async function finish(batchJob: BatchJob, item: BatchJobItem, spans: TokenSpan[]): Promise<void> {
-        shelf.put(item.item, { spans, isComplete: true });
+        textCache.put(item.item, { spans, isComplete: true });
         const result = await finishItem(batchJob, item, spans, signal);
         if (result?.state === "terminated") {
             terminate(item.item, "rewardFailed");
@@ -61,7 +61,7 @@
         const tokensPerEvent = deps.tokensPerEvent(batchJob);
         const toEvents = (tokens: number): number => Math.max(1, Math.ceil(tokens / tokensPerEvent));
         const task = taskOf(item.item);
-        const cached = shelf.find(item.item, batchJob.minVersion);
+        const cached = textCache.find(item.item, batchJob.minVersion);
         open.add(item.item);
         if (cached?.isComplete === true) {
             void finish(batchJob, item, cached.spans);
@@ -102,8 +102,8 @@
         for (const item of open) {
             const spans = dispatcher.spansOf(taskOf(item));
             const isShort = countTokens(spans) < minEvents;
-            if (!isShort && shelf.find(item, batchJob.minVersion)?.isComplete !== true) {
-                shelf.put(item, { spans, isComplete: false });
+            if (!isShort && textCache.find(item, batchJob.minVersion)?.isComplete !== true) {
+                textCache.put(item, { spans, isComplete: false });
             }
         }
     }
@@ -117,7 +117,7 @@
         },
         terminateAll: reason => [...open].forEach(item => terminate(item, reason)),
         saveTexts: () => {
-            if (startedBatchJob !== undefined && shelf.isPersistent) {
+            if (startedBatchJob !== undefined && textCache.isPersistent) {
                 saveUnfinished(startedBatchJob, minPersistedEvents);
             }
         },
--- a/packages/runner/src/items/createTextCache.test.ts
+++ b/packages/runner/src/items/createTextCache.test.ts
@@ -16,11 +16,11 @@
 });
 
 test("the oldest texts are evicted when the cache is full", () => {
-    const shelf = createTextCache();
+    const textCache = createTextCache();
     const long = "x".repeat(4_000_000);
     ["a", "b", "c"].forEach(name =>
-        shelf.put(name as SampleId, { spans: [span(1, long)], isComplete: false })
+        textCache.put(name as SampleId, { spans: [span(1, long)], isComplete: false })
     );
-    const found = ["a", "b", "c"].map(name => shelf.find(name as SampleId, version(1)) !== undefined);
+    const found = ["a", "b", "c"].map(name => textCache.find(name as SampleId, version(1)) !== undefined);
     expect(found).toEqual([false, true, true]);
 });
--- a/packages/runner/src/jobs/chooseOwner.ts
+++ b/packages/runner/src/jobs/chooseOwner.ts
@@ -44,15 +44,14 @@
  * wrong result: the store decides which result of an item is valid.
  */
 export function chooseOwner(query: OwnerQuery): string {
-    const { batchJobId: lot, policy, policies, self, holdsWeights, peers, isStoreReachable: isStoreHere } =
-        query;
-    const holder = peers.find(peer => peer.status?.running.some(each => each.lot === lot) === true);
+    const { batchJobId, policy, policies, self, holdsWeights, peers, isStoreReachable } = query;
+    const holder = peers.find(peer => peer.status?.running.some(each => each.lot === batchJobId) === true);
     const isIsolated = peers.length > 1 && peers.every(peer => !peer.isAlive);
     if (isIsolated && holder !== undefined && query.isolatedMs < isolationGraceMs) {
         return holder.name;
     }
-    const eligible = peers.filter(peer => canRun(peer, isStoreHere)).sort(byName);
-    const current = eligible.find(peer => peer.status?.running.some(each => each.lot === lot));
+    const eligible = peers.filter(peer => canRun(peer, isStoreReachable)).sort(byName);
+    const current = eligible.find(peer => peer.status?.running.some(each => each.lot === batchJobId));
     if (current !== undefined) {
         return current.name;
     }
@@ -66,7 +65,7 @@
         })),
     ];
     if (policyIndex < 0) {
-        return rankByRendezvous(lot, candidates, runner => runner.name)[0]!.name;
+        return rankByRendezvous(batchJobId, candidates, runner => runner.name)[0]!.name;
     }
     return orderOwners(candidates)[policyIndex % candidates.length]!;
 }
--- a/packages/runner/src/jobs/createBatchJobRegistry.ts
+++ b/packages/runner/src/jobs/createBatchJobRegistry.ts
@@ -52,14 +52,14 @@
     }
 
     function stopEndedRuns(entries: ReadonlyMap<string, BatchJobEntry>): void {
-        for (const [lot, run] of runs) {
-            const entry = entries.get(lot);
+        for (const [batchJobId, run] of runs) {
+            const entry = entries.get(batchJobId);
             if (entry === undefined || entry.isEnded) {
-                stopRun(lot, entry === undefined ? "removed" : "ended");
+                stopRun(batchJobId, entry === undefined ? "removed" : "ended");
             }
             else if (run.isComplete()) {
-                finished.add(lot);
-                stopRun(lot, "complete");
+                finished.add(batchJobId);
+                stopRun(batchJobId, "complete");
             }
         }
         for (const lot of finished) {
--- a/packages/runner/src/jobs/createBatchJobSweeper.ts
+++ b/packages/runner/src/jobs/createBatchJobSweeper.ts
@@ -29,9 +29,9 @@
 
     function findExpired(): BatchJobId | undefined {
         const oldestMs = clock.wallMs() - slackFactor * deps.retentionMs;
-        for (const [lot, entry] of deps.entries.objects() ?? []) {
+        for (const [batchJobId, entry] of deps.entries.objects() ?? []) {
             if (entry.submittedAtMs < oldestMs) {
-                return lot as BatchJobId;
+                return batchJobId as BatchJobId;
             }
         }
         return undefined;
--- a/packages/runner/src/peers/createPeerRegistry.test.ts
+++ b/packages/runner/src/peers/createPeerRegistry.test.ts
@@ -61,7 +61,7 @@
         clock,
         objects,
         answers,
-        book: registry,
+        registry,
         alive,
         changed: () => listener(),
         changes: () => changes,
@@ -85,7 +85,7 @@
 
 test("a registered VM that no longer exists delays others by no more than two probes", async () => {
     // Guards against batch jobs standing still for 1.3 s after a power loss of all VMs.
-    const { clock, book } = createFixture(["r1", "r2", "r3"], ["r3"]);
+    const { clock, registry: book } = createFixture(["r1", "r2", "r3"], ["r3"]);
     await clock.advance(300);
     expect(book.isSettled()).toBe(false);
     await clock.advance(700);
@@ -107,7 +107,7 @@
 });
 
 test("a peer that changes its address is followed, and one that is deregistered is removed", async () => {
-    const { clock, objects, answers, book, changed } = createFixture(["r1", "r2"]);
+    const { clock, objects, answers, registry: book, changed } = createFixture(["r1", "r2"]);
     await clock.advance(500);
     objects.set("r2", { host: "r2b", port: 9 });
     answers.set("r2b", statusOf({ incarnation: "second" }));
--- a/packages/runner/src/results/createContestedBatchJobs.ts
+++ b/packages/runner/src/results/createContestedBatchJobs.ts
@@ -17,6 +17,6 @@
                 incarnations.set(name, status.incarnation);
             }
         }
-        return lot => isAnyNew || running.has(lot);
+        return batchJobId => isAnyNew || running.has(batchJobId);
     };
 }
--- a/packages/runner/src/results/createRecorder.ts
+++ b/packages/runner/src/results/createRecorder.ts
@@ -42,7 +42,7 @@
  * changes.
  */
 export function createRecorder(deps: RecorderDeps): Recorder {
-    const { batchJobId: lot, batchJobStore: lots, clock, logger } = deps;
+    const { batchJobId: lot, batchJobStore, clock, logger } = deps;
     const recordedItems = new Set<SampleId>();
     const stopped = new AbortController();
     const batchingWindow = createBatchingWindow(clock, pauseMs);
@@ -87,7 +87,7 @@
             results: selectNextResults(),
             writer: deps.random.nextId(),
         };
-        const stored = await lots.appendChunk(lot, chunks, own);
+        const stored = await batchJobStore.appendChunk(lot, chunks, own);
         const isOwn = stored.writer === own.writer;
         logger.info("resultsRecorded", {
             lot,
@@ -144,7 +144,7 @@
     return {
         load: async () => {
             for (;;) {
-                const chunk = await lots.readChunk(lot, chunks);
+                const chunk = await batchJobStore.readChunk(lot, chunks);
                 if (chunk === undefined) {
                     return;
                 }
--- a/packages/runner/src/results/createResultCache.test.ts
+++ b/packages/runner/src/results/createResultCache.test.ts
@@ -60,7 +60,7 @@
         await clock.advance(waitMs);
         return show(await asked);
     };
-    return { clock, state, book: resultCache, append, ask: query };
+    return { clock, state, resultCache, append, query };
 }
 
 function show(answer: ResultsAnswer): string {
@@ -72,7 +72,7 @@
 }
 
 test("chunks are served from memory as they are added, as is the end of a batch job after its run", async () => {
-    const { clock, state, book, append, ask } = createFixture();
+    const { clock, state, resultCache: book, append, query: ask } = createFixture();
     expect(await ask(0)).toBe('{"kind":"unsure"}');
     book.open(batchJobId, { total: 3, team: undefined });
     expect(await ask(0)).toBe('{"kind":"unsure"}');
@@ -89,7 +89,7 @@
 
 test("a runner that may have been replaced asks the store before it reports that there is no further chunk", async () => {
     // Guards against a position that was read at one gateway being missing at another.
-    const { clock, state, book, append, ask } = createFixture();
+    const { clock, state, resultCache: book, append, query: ask } = createFixture();
     book.open(batchJobId, { total: 9, team: undefined });
     book.markLoaded(batchJobId);
     append("a");
@@ -106,7 +106,7 @@
 
 test("a runner whose batch job was also run by another asks the store once before it relies on its cache again", async () => {
     // Guards against three results that one gateway had returned for a second being missing at another.
-    const { state, book, append, ask } = createFixture();
+    const { state, resultCache: book, append, query: ask } = createFixture();
     book.open(batchJobId, { total: 9, team: undefined });
     book.markLoaded(batchJobId);
     append("a");
@@ -131,16 +131,16 @@
 });
 
 test("a peer that has restarted may have had any batch job before", () => {
-    const rivals = createContestedBatchJobs();
+    const contestedBatchJobs = createContestedBatchJobs();
     const peerOf = (incarnation: string, ...running: string[]): PeerView =>
         ({
             name: "r2",
             status: { incarnation, running: running.map(each => ({ lot: each })) },
         }) as unknown as PeerView;
-    const isRivalled = [peerOf("1", "x"), peerOf("1"), peerOf("2"), peerOf("2")].map(peer =>
-        rivals([peer])(batchJobId)
+    const isContested = [peerOf("1", "x"), peerOf("1"), peerOf("2"), peerOf("2")].map(peer =>
+        contestedBatchJobs([peer])(batchJobId)
     );
-    expect([...isRivalled, rivals([peerOf("2", batchJobId)])(batchJobId)]).toEqual([
+    expect([...isContested, contestedBatchJobs([peerOf("2", batchJobId)])(batchJobId)]).toEqual([
         false,
         false,
         true,
@@ -152,7 +152,7 @@
 test("an ended batch job that no runner has is read once for all, by one runner", async () => {
     // Guards against each gateway reading results from the store: these were 743 of 3,320 store calls in a day that
     // ends with a power loss of all VMs.
-    const { clock, state, ask } = createFixture();
+    const { clock, state, query: ask } = createFixture();
     state.stored = [chunkOf(0, "a"), chunkOf(1, "b", "c")];
     expect([await ask(0), state.reads]).toEqual(['{"kind":"unsure"}', 0]);
     state.endedEntry = { total: 3, team: undefined };
@@ -165,7 +165,7 @@
 });
 
 test("an ended but incomplete batch job is checked for further chunks again, and an unreadable one is not served", async () => {
-    const { clock, state, ask } = createFixture();
+    const { clock, state, query: ask } = createFixture();
     state.stored = [chunkOf(0, "a")];
     state.endedEntry = { total: 3, team: undefined };
     state.isStoreDown = true;
@@ -179,7 +179,7 @@
 });
 
 test("queries for a batch job that another runner has are redirected to it", async () => {
-    const { state, book, append, ask } = createFixture();
+    const { state, resultCache: book, append, query: ask } = createFixture();
     book.open(batchJobId, { total: 2, team: undefined });
     book.markLoaded(batchJobId);
     append("a");
@@ -191,7 +191,7 @@
 
 test("all chunks that another runner recorded are requested", async () => {
     // Guards against the last position of a complete batch job being missing at one gateway.
-    const { state, book, append, ask } = createFixture();
+    const { state, resultCache: book, append, query: ask } = createFixture();
     book.open(batchJobId, { total: 4, team: undefined });
     book.markLoaded(batchJobId);
     append("a");
--- a/packages/runner/src/results/createResultCacheEntries.ts
+++ b/packages/runner/src/results/createResultCacheEntries.ts
@@ -44,14 +44,14 @@
     }
 
     function dropOldest(): void {
-        let chars = [...entries.values()].reduce((sum, page) => sum + countChars(page.chunks), 0);
-        for (const [lot, page] of entries) {
+        let chars = [...entries.values()].reduce((sum, entry) => sum + countChars(entry.chunks), 0);
+        for (const [batchJobId, page] of entries) {
             if (chars <= maxCachedChars) {
                 return;
             }
             if (!page.isRunning) {
                 chars -= countChars(page.chunks);
-                entries.delete(lot);
+                entries.delete(batchJobId);
             }
         }
     }
@@ -79,9 +79,11 @@
         },
         add,
         delete: batchJobId => void entries.delete(batchJobId),
-        running: () => [...entries].filter(([, page]) => page.isRunning),
+        running: () => [...entries].filter(([, entry]) => entry.isRunning),
         listCached: () =>
-            [...entries].filter(([, page]) => !page.isRunning && page.isLoaded).map(([lot]) => lot)
+            [...entries].filter(([, entry]) => !entry.isRunning && entry.isLoaded).map(([batchJobId]) =>
+                batchJobId
+            )
                 .slice(-maxReportedBatchJobs),
     };
 }
--- a/packages/runner/src/weights/averageOfLatest.ts
+++ b/packages/runner/src/weights/averageOfLatest.ts
@@ -11,7 +11,7 @@
     valueOf: (entry: BatchJobEntry) => number | undefined,
 ): number | undefined {
     const values = entries
-        .filter(lot => lot.policy === policy && valueOf(lot) !== undefined)
+        .filter(entry => entry.policy === policy && valueOf(entry) !== undefined)
         .sort((a, b) => b.submittedAtMs - a.submittedAtMs)
         .slice(0, averagedJobs)
         .map(lot => valueOf(lot)!);
--- a/packages/runner/src/weights/createLoadScheduler.ts
+++ b/packages/runner/src/weights/createLoadScheduler.ts
@@ -153,7 +153,7 @@
             return;
         }
         const jobs = [...deps.entries.objects()?.values() ?? []];
-        const openPolicies = new Set(jobs.filter(job => !job.isEnded).map(lot => lot.policy));
+        const openPolicies = new Set(jobs.filter(job => !job.isEnded).map(job => job.policy));
         for (const { service, policies } of table.services.values()) {
             const needs = policies.map(policy => {
                 const target = versions.objects()?.get(policy)?.version;
--- a/packages/sidecar/src/admitPlain.ts
+++ b/packages/sidecar/src/admitPlain.ts
@@ -75,7 +75,7 @@
         work: createWork(context, { ...request, budgetMs: reservation.budgetMs }, {
             abort,
             slot: grant.slot,
-            endHold: reservation.release,
+            releaseReservation: reservation.release,
         }),
     };
 }
@@ -103,7 +103,7 @@
 function createWork(
     context: SidecarContext,
     request: PlainRequest,
-    { abort, slot, endHold: releaseReservation }: { abort: WorkAbort; slot: Slot; endHold: () => void; },
+    { abort, slot, releaseReservation }: { abort: WorkAbort; slot: Slot; releaseReservation: () => void; },
 ): PlainWork {
     const removeInFlight = context.suspects.addInFlight(request.digest);
     let expired = false;
--- a/packages/sidecar/src/createContext.ts
+++ b/packages/sidecar/src/createContext.ts
@@ -95,8 +95,8 @@
             wallMs: clock.wallMs,
             isForward: (present, offered) => {
                 const passes = guards.configForward(present, offered);
-                const forward = !passes || offered > present;
-                deps.invariants.check(resultCodes.configReverted, forward, {
+                const isForward = !passes || offered > present;
+                deps.invariants.check(resultCodes.configReverted, isForward, {
                     document: "quarantine",
                     offered,
                 });
--- a/packages/sidecar/src/createPlainHandler.ts
+++ b/packages/sidecar/src/createPlainHandler.ts
@@ -36,7 +36,7 @@
 export function createPlainHandler(
     deps: PlainHandlerDeps,
 ): (request: IncomingMessage, response: ServerResponse) => void {
-    const { sidecar: gate, clock, incarnation } = deps;
+    const { sidecar, clock, incarnation } = deps;
 
     async function handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
         const plain = parseRequestHead(request);
@@ -58,7 +58,7 @@
                 abort.abort();
             }
         });
-        const outcome = await gate.callPlain(plain, abort.signal);
+        const outcome = await sidecar.callPlain(plain, abort.signal);
         if (response.destroyed) {
             return;
         }
--- a/packages/sidecar/src/createRpcHandler.ts
+++ b/packages/sidecar/src/createRpcHandler.ts
@@ -66,22 +66,22 @@
 }
 
 function createRpcServer(deps: RpcHandlerDeps): JSONRPCServer {
-    const { sidecar: gate } = deps;
+    const { sidecar } = deps;
     const server = new JSONRPCServer({ errorListener: () => {} });
     server.mapErrorToJSONRPCErrorResponse = (id: JSONRPCID, error: unknown) => {
         const code = error instanceof z.ZodError ? resultCodes.badRequest : codeOf(error);
         return createJSONRPCErrorResponse(id, code.number, `${code.name}: ${describeRequestError(error)}`);
     };
-    server.addMethod("queryAttempt", params => gate.queryAttempt(parseAttemptId(params)));
+    server.addMethod("queryAttempt", params => sidecar.queryAttempt(parseAttemptId(params)));
     server.addMethod("cancelSample", params => ({ cancelled: deps.cancelSample(parseAttemptId(params)) }));
-    server.addMethod("readReport", () => gate.readReport());
-    server.addMethod("readUsage", () => gate.readUsage());
+    server.addMethod("readReport", () => sidecar.readReport());
+    server.addMethod("readUsage", () => sidecar.readUsage());
     server.addMethod("beginLeaving", () => {
-        gate.beginLeaving();
+        sidecar.beginLeaving();
         return { leaving: true };
     });
     server.addMethod("order", async params => {
-        const result = await gate.order(samplerOrderSchema.parse(params));
+        const result = await sidecar.order(samplerOrderSchema.parse(params));
         return result.kind === "done" ? result : { ...result, code: result.code.number };
     });
     return server;
--- a/packages/sidecar/src/createSampleHandler.ts
+++ b/packages/sidecar/src/createSampleHandler.ts
@@ -36,7 +36,7 @@
  * last line for the outcome.
  */
 export function createSampleHandler(deps: SampleHandlerDeps): SampleHandler {
-    const { sidecar: gate, incarnation } = deps;
+    const { sidecar, incarnation } = deps;
     const aborts = new Map<AttemptId, AbortController>();
 
     async function readAttempt(request: IncomingMessage): Promise<SampleAttempt> {
@@ -61,7 +61,7 @@
             [sidecarHeaders.incarnation]: incarnation,
         });
         const writer = createSpanWriter(deps.clock, response);
-        const outcome = await gate.runSample(attempt, writer.add, abort.signal);
+        const outcome = await sidecar.runSample(attempt, writer.add, abort.signal);
         if (isFirst) {
             aborts.delete(attempt.attempt);
         }
--- a/packages/sidecar/src/createServedWeights.ts
+++ b/packages/sidecar/src/createServedWeights.ts
@@ -94,16 +94,16 @@
     }
 
     async function describe(): Promise<void> {
-        const askedEpoch = epoch;
+        const requestEpoch = epoch;
         try {
             const reported = await withTimeout(clock, describeTimeoutMs, engine.describe());
             // A state change since the request makes its answer out of date.
-            if (askedEpoch === epoch && state !== "swapping" && !stopped) {
+            if (requestEpoch === epoch && state !== "swapping" && !stopped) {
                 applyDescription(reported);
             }
         }
         catch {
-            if (askedEpoch === epoch && state !== "swapping") {
+            if (requestEpoch === epoch && state !== "swapping") {
                 setState("engineDown", "describeFailed");
             }
         }
--- a/packages/sidecar/src/createSidecar.ts
+++ b/packages/sidecar/src/createSidecar.ts
@@ -123,12 +123,12 @@
 
     return {
         runSample: (attempt, onSpan, signal) => {
-            const forward: typeof onSpan = span => {
+            const forwardSpan: typeof onSpan = span => {
                 if (!flags.killed) {
                     onSpan(span);
                 }
             };
-            return unlessKilled(() => runSample(attempt, forward, signal));
+            return unlessKilled(() => runSample(attempt, forwardSpan, signal));
         },
         callPlain: (request, signal) => unlessKilled(() => callPlain(request, signal)),
         queryAttempt: async attempt => {
--- a/packages/sidecar/src/createSlots.ts
+++ b/packages/sidecar/src/createSlots.ts
@@ -62,11 +62,11 @@
         };
     }
 
-    function release(place: SlotEntry, engineMs: number): void {
-        if (!runningEntries.delete(place)) {
+    function release(entry: SlotEntry, engineMs: number): void {
+        if (!runningEntries.delete(entry)) {
             return;
         }
-        queue.settle(place, engineMs);
+        queue.settle(entry, engineMs);
         drainWatch.check();
         startWaiting();
     }
--- a/packages/sidecar/src/createTokenCheck.ts
+++ b/packages/sidecar/src/createTokenCheck.ts
@@ -14,13 +14,13 @@
         if (typeof token !== "string" || token === "") {
             return false;
         }
-        const given = Buffer.from(token);
-        if (lastValidToken !== undefined && equal(given, lastValidToken)) {
+        const presentedToken = Buffer.from(token);
+        if (lastValidToken !== undefined && equal(presentedToken, lastValidToken)) {
             return true;
         }
-        const passes = equal(createHash("sha256").update(given).digest(), expectedDigest);
+        const passes = equal(createHash("sha256").update(presentedToken).digest(), expectedDigest);
         if (passes) {
-            lastValidToken = given;
+            lastValidToken = presentedToken;
         }
         return passes;
     };
--- a/packages/sidecar/src/findQuarantineRefusal.ts
+++ b/packages/sidecar/src/findQuarantineRefusal.ts
@@ -15,12 +15,12 @@
  * trial waits or runs here, no other work passes.
  */
 export function findQuarantineRefusal(context: SidecarContext, work: SuspectWork): ResultCode | undefined {
-    const { guards, quarantine, suspects, trialReservation: trials } = context;
+    const { guards, quarantine, suspects, trialReservation } = context;
     const { digest, isTrial } = work;
     if (isTrial === true) {
         return undefined;
     }
-    if (!guards.trialAlone(!trials.isReserved())) {
+    if (!guards.trialAlone(!trialReservation.isReserved())) {
         return resultCodes.overloaded;
     }
     if (!guards.quarantine(quarantine.crashedVmCount(digest))) {
--- a/packages/usage/src/createStartCountRegistry.ts
+++ b/packages/usage/src/createStartCountRegistry.ts
@@ -26,8 +26,8 @@
 
     function dropExpired(): void {
         const nowMs = clock.monotonicMs();
-        for (const [source, { lastReportAtMs: heardAtMs }] of sources) {
-            if (nowMs - heardAtMs > retentionMs || sources.size > maxSources) {
+        for (const [source, { lastReportAtMs }] of sources) {
+            if (nowMs - lastReportAtMs > retentionMs || sources.size > maxSources) {
                 sources.delete(source);
             }
         }
@@ -61,8 +61,8 @@
         },
         isCountedUntil: trueMs => {
             const nowMs = clock.monotonicMs();
-            const liveSources = [...sources.values()].filter(({ lastReportAtMs: heardAtMs }) =>
-                nowMs - heardAtMs < reportTimeoutMs
+            const liveSources = [...sources.values()].filter(({ lastReportAtMs }) =>
+                nowMs - lastReportAtMs < reportTimeoutMs
             );
             return liveSources.length > 0
                 && liveSources.every(({ report }) => report.countedUntilMs >= trueMs);
