--- a/packages/bench/src/faults/Network.ts
+++ b/packages/bench/src/faults/Network.ts
@@ -13,7 +13,7 @@
     healAll(): void;
     isCut(a: string, b: string): boolean;
     /** Strikes the next exchange to `to` (from `from`, if given), then calls `onStruck`. */
-    strikeNext(fault: NetworkFault, to: string, from?: string, onStruck?: () => void): void;
+    failNext(fault: NetworkFault, to: string, from?: string, onInjected?: () => void): void;
     /** Delays every message by up to so long, so that they overtake each other. */
-    setDisorder(maxDelayMs: number): void;
+    setReordering(maxDelayMs: number): void;
 }
--- a/packages/bench/src/faults/SamplerNode.ts
+++ b/packages/bench/src/faults/SamplerNode.ts
@@ -9,8 +9,8 @@
     /** The sidecar as the network reaches it; calls are noted for the judge. */
     port(): SidecarPort;
     /** The present sidecar process; undefined while there is none. */
-    sidecar(): SidecarProcess | undefined;
-    gate(): Sidecar | undefined;
+    sidecarProcess(): SidecarProcess | undefined;
+    sidecar(): Sidecar | undefined;
     /** The VM of the moment. */
     vm(): string;
     /** Calls `listener` right before the next order arrives. */
@@ -18,7 +18,7 @@
     killSidecar(): void;
     startSidecar(): void;
     /** The platform marks the VM as leaving; after `goneInMs` it is gone and a fresh one takes its place. */
-    leave(goneInMs: number): void;
+    leave(removedAfterMs: number): void;
     /** Graceful shutdown of the sidecar, then a fresh start. */
     shutDown(deadlineMs: number): Promise<void>;
 }
--- a/packages/bench/src/faults/SidecarProcess.ts
+++ b/packages/bench/src/faults/SidecarProcess.ts
@@ -3,7 +3,7 @@
 
 /** One run of a sidecar. */
 export interface SidecarProcess {
-    gate: Sidecar;
+    sidecar: Sidecar;
     process: TestProcess;
     /** The job lease's number in the object API when this run began. */
     startedAtFencing: number;
--- a/packages/bench/src/faults/TrainerSide.ts
+++ b/packages/bench/src/faults/SimulatedTrainer.ts
@@ -1,7 +1,7 @@
 import type { createTestTrainer } from "@auburnarch/ownership/testing/createTestTrainer";
 
 /** The trainer of a run with its way to the entries. */
-export interface TrainerSide {
+export interface SimulatedTrainer {
     trainer: ReturnType<typeof createTestTrainer>;
     /** The next `count` answers to the trainer are lost. */
     loseAnswers(count: number, onLost: () => void): void;
--- a/packages/bench/src/faults/World.ts
+++ b/packages/bench/src/faults/Simulation.ts
@@ -8,12 +8,12 @@
 import type { VmList } from "@auburnarch/types/VmList";
 import type { VmRecord } from "@auburnarch/types/VmRecord";
 import type { FaultGuards } from "./FaultGuards.js";
+import type { RunObserver } from "./judges/RunObserver.js";
 import type { Violations } from "./judges/Violations.js";
-import type { Witness } from "./judges/Witness.js";
 import type { Network } from "./Network.js";
 
 /** What all parts of one run share. */
-export interface World {
+export interface Simulation {
     clock: FakeClock;
     random: Random;
     logger: Logger;
@@ -29,27 +29,27 @@
         remove(vm: VmId): void;
     };
     violations: Violations;
-    witness: Witness;
+    observer: RunObserver;
     /** The job lease's number as it truly stands. */
     trueFencing(): number;
     /** A content that kills engines began to run. */
-    notePoison(prompt: string): void;
+    recordCrashRequestRun(prompt: string): void;
     /** It is about to kill the engine of a VM on which nothing else runs, so nothing else can be to blame. */
-    notePoisonAlone(prompt: string, vm: string): void;
+    recordSoleCrash(prompt: string, vm: string): void;
     /** Such a content kills the engine of a VM now. */
-    notePoisonDeath(vm: string, bootId: string): void;
+    recordInducedCrash(vm: string, bootId: string): void;
     /** An engine start that ran something. */
-    noteBoot(bootId: string): void;
+    recordBoot(bootId: string): void;
     /** Whether a death of that VM at that wall time was such a content's doing. */
-    isPoisonDeath(death: QuarantineRecord["deaths"][number]): boolean;
+    isInducedCrash(crash: QuarantineRecord["deaths"][number]): boolean;
     /** Whether some entry runs and is not paused. */
-    isEntryAwake(): boolean;
-    setEntryAwake(isAwake: () => boolean): void;
+    isAnyEntryActive(): boolean;
+    setEntryActivityCheck(isActive: () => boolean): void;
     /** VMs that each such content killed alone, and how often it ran. */
-    poison(): Map<string, { vms: Set<string>; runs: number; }>;
+    crashRequests(): Map<string, { vms: Set<string>; runs: number; }>;
     /** The next complete answer of a sidecar comes without its spans. */
-    spoilNextAnswer(onSpoilt: () => void): void;
-    takeSpoiling(): boolean;
+    corruptNextAnswer(onCorrupted: () => void): void;
+    takeAnswerCorruption(): boolean;
     /** For how long nothing has kept the named process from the object API. */
     storeReachableForMs(name: string): number;
 }
--- a/packages/bench/src/faults/createBackends.ts
+++ b/packages/bench/src/faults/createBackends.ts
@@ -7,9 +7,9 @@
 import type { PlainBackend } from "@auburnarch/types/PlainBackend";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
-import { createWitnessedEngine } from "./createWitnessedEngine.js";
+import { createObservedEngine } from "./createObservedEngine.js";
 import type { SidecarProcess } from "./SidecarProcess.js";
-import type { World } from "./World.js";
+import type { Simulation } from "./Simulation.js";
 
 interface ModelBackend {
     engine: EnginePort;
@@ -22,12 +22,12 @@
 }
 
 /** Prompts that hold this text crash every engine that runs them. */
-const poisonText = "poison";
+const crashText = "poison";
 const crashAfterMs = 30;
 const reportedWithinMs = 2_000;
 
 /** Makes the backend servers of a run. */
-export const createBackends = (world: World): {
+export const createBackends = (simulation: Simulation): {
     model(
         node: string,
         vm: string,
@@ -37,10 +37,10 @@
     plain(node: string): PlainBackendServer;
 } => ({
     model: (node, vm, kind, sidecar) => {
-        const { clock, witness } = world;
+        const { clock, observer: witness } = simulation;
         const { engine, control } = createFakeEngine({
             clock,
-            random: world.random.fork(),
+            random: simulation.random.fork(),
             served: [{ policy: "plume" as PolicyId, version: 0 as WeightVersion }],
             maxBatch: 2,
             tokensPerSecond: 150,
@@ -51,44 +51,45 @@
             lengthOf: request => 6 + (hashText(request.prompt) + request.seed) % 18,
             restartAfterMs: 600,
         });
-        control.killOn(request => request.prompt.includes(poisonText), crashAfterMs);
-        const witnessed = createWitnessedEngine({
+        control.crashOn(request => request.prompt.includes(crashText), crashAfterMs);
+        const observed = createObservedEngine({
             node,
             engine,
             control,
             clock,
-            witness,
+            observer: witness,
             sidecar,
             statesFingerprint: kind.statesFingerprint,
             onStart: (request, countRunning) => {
                 const bootId = control.bootId();
-                world.noteBoot(bootId);
-                if (!request.prompt.includes(poisonText)) {
+                simulation.recordBoot(bootId);
+                if (!request.prompt.includes(crashText)) {
                     return;
                 }
                 const present = sidecar();
-                world.notePoison(request.prompt);
+                simulation.recordCrashRequestRun(request.prompt);
                 clock.startTimer(crashAfterMs - 1, () => {
                     const isAlone = countRunning() === 1 && control.isUp();
-                    world.notePoisonDeath(vm, bootId);
+                    simulation.recordInducedCrash(vm, bootId);
                     clock.startTimer(reportedWithinMs, () => {
                         // A sidecar that dies before it could report the death takes the knowledge with it.
                         if (
-                            isAlone && present !== undefined && sidecar() === present && world.isEntryAwake()
+                            isAlone && present !== undefined && sidecar() === present
+                            && simulation.isAnyEntryActive()
                         ) {
-                            world.notePoisonAlone(request.prompt, vm);
+                            simulation.recordSoleCrash(request.prompt, vm);
                         }
                     });
                 });
             },
         });
-        return { engine: witnessed, control };
+        return { engine: observed, control };
     },
     plain: node => {
-        const { backend, control } = createFakePlainService({ clock: world.clock, latencyMs: 20 });
+        const { backend, control } = createFakePlainService({ clock: simulation.clock, latencyMs: 20 });
         return {
             backend: (request, signal) => {
-                world.witness.notePlainStart(node, request);
+                simulation.observer.recordPlainStart(node, request);
                 return backend(request, signal);
             },
             control,
--- a/packages/bench/src/faults/createCaller.ts
+++ b/packages/bench/src/faults/createCaller.ts
@@ -9,7 +9,7 @@
 import { createUuidV7 } from "./createUuidV7.js";
 import type { EntryNode } from "./EntryNode.js";
 import { pickEntry } from "./pickEntry.js";
-import type { World } from "./World.js";
+import type { Simulation } from "./Simulation.js";
 
 interface CallerDeps {
     team: TeamId;
@@ -23,25 +23,25 @@
 interface Caller {
     run(): Promise<void>;
     /** Sends one more request at once. */
-    sendOne(idempotent: boolean, sends?: number, resendAfterMs?: number): Promise<void>;
+    sendOne(idempotent: boolean, minSends?: number, resendAfterMs?: number): Promise<void>;
     /** Sends at once what was to be sent again much later. */
-    endLongWaits(): void;
+    resendNow(): void;
     isFinished(): boolean;
-    judgeEnd(): void;
+    checkAtEnd(): void;
     /** Requests so far. */
     count(): number;
 }
 
 const callTimeoutMs = 3_000;
-const pauseMs = 250;
+const meanIntervalMs = 250;
 const budgetMs = 2_000;
 const maxSends = 4;
-const resendMs = 300;
+const defaultResendMs = 300;
 
 /** Makes a caller. After an unknown outcome it sends the same key again, through whichever entry it meets. */
-export function createCaller(world: World, deps: CallerDeps): Caller {
-    const { clock, network, violations, witness } = world;
-    const random = world.random.fork();
+export function createCaller(simulation: Simulation, deps: CallerDeps): Caller {
+    const { clock, network, violations, observer: witness } = simulation;
+    const random = simulation.random.fork();
     const records: CallerRecord[] = [];
     let count = 0;
     let open = 0;
@@ -65,7 +65,7 @@
         };
     }
 
-    async function judgeAnswer(request: CallerRequest, answer: PlainAnswer): Promise<"ran" | "unknown"> {
+    async function checkAnswer(request: CallerRequest, answer: PlainAnswer): Promise<"ran" | "unknown"> {
         const parts: Uint8Array[] = [];
         try {
             for await (const part of answer.body) {
@@ -99,7 +99,7 @@
             if (ended === "late" || ended.kind === "broken") {
                 return "unknown";
             }
-            return ended.kind === "notSent" ? "notRun" : await judgeAnswer(request, ended.answer);
+            return ended.kind === "notSent" ? "notRun" : await checkAnswer(request, ended.answer);
         }
         catch (error) {
             return outcomeOfCode(codeOf(error));
@@ -111,19 +111,23 @@
     }
 
     function waitToResend(afterMs: number): Promise<void> {
-        return mayWaitLong ? clock.sleep(afterMs, longWaits.signal) : clock.sleep(resendMs);
+        return mayWaitLong ? clock.sleep(afterMs, longWaits.signal) : clock.sleep(defaultResendMs);
     }
 
-    async function sendOne(idempotent: boolean, sends = 1, resendAfterMs = resendMs): Promise<void> {
+    async function sendOne(
+        idempotent: boolean,
+        minSends = 1,
+        resendAfterMs = defaultResendMs,
+    ): Promise<void> {
         const request = newRequest(idempotent);
         const record: CallerRecord = { key: request.idempotencyKey!, idempotent, outcomes: [] };
         records.push(record);
         open++;
-        const limit = resendAfterMs === resendMs ? maxSends : sends;
+        const limit = resendAfterMs === defaultResendMs ? maxSends : minSends;
         for (let sent = 0; sent < limit; sent++) {
             const outcome = await send(request);
             record.outcomes.push(outcome);
-            if (outcome === "ran" && sent + 1 >= sends) {
+            if (outcome === "ran" && sent + 1 >= minSends) {
                 break;
             }
             if (sent + 1 < limit) {
@@ -134,10 +138,10 @@
     }
 
     /** A request of which every send was answered "not run" must never have run. */
-    function judgeEnd(): void {
+    function checkAtEnd(): void {
         for (const { key, outcomes } of records) {
             const neverRan = outcomes.length > 0 && outcomes.every(outcome => outcome === "notRun");
-            if (neverRan && witness.plainRuns(key) > 0) {
+            if (neverRan && witness.countPlainRuns(key) > 0) {
                 violations.add("notRunButRan", `key ${key}`);
             }
         }
@@ -147,17 +151,17 @@
         run: async () => {
             while (!deps.mayEnd()) {
                 void sendOne(random.nextUnit() < 0.5);
-                await clock.sleep(pauseMs * (0.5 + random.nextUnit()));
+                await clock.sleep(meanIntervalMs * (0.5 + random.nextUnit()));
             }
             hasEnded = true;
         },
         sendOne,
-        endLongWaits: () => {
+        resendNow: () => {
             mayWaitLong = false;
             longWaits.abort();
         },
         isFinished: () => hasEnded && open === 0,
-        judgeEnd,
+        checkAtEnd,
         count: () => records.length,
     };
 }
--- a/packages/bench/src/faults/createPoisonRequest.ts
+++ b/packages/bench/src/faults/createCrashRequest.ts
@@ -3,7 +3,7 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 
 /** A completion whose prompt kills every engine that runs it. */
-export function createPoisonRequest(prompt: string): CallerRequest {
+export function createCrashRequest(prompt: string): CallerRequest {
     return {
         team: "humoboira" as TeamId,
         service: "rollout" as ServiceId,
--- a/packages/bench/src/faults/createEntryNode.ts
+++ b/packages/bench/src/faults/createEntryNode.ts
@@ -9,17 +9,17 @@
 import type { EntryRecord } from "@auburnarch/types/EntryRecord";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import type { Region } from "@auburnarch/types/Region";
 import type { ScoringPort } from "@auburnarch/types/ScoringPort";
 import type { VmId } from "@auburnarch/types/VmId";
 import { createEntryPorts } from "./createEntryPorts.js";
-import { createQuietMetrics } from "./createQuietMetrics.js";
+import { createNoopMetrics } from "./createNoopMetrics.js";
 import { createStoreLink } from "./createStoreLink.js";
-import { createWatchedParts } from "./createWatchedParts.js";
+import { createTrackedOwnerParts } from "./createTrackedOwnerParts.js";
 import type { EntryNode } from "./EntryNode.js";
 import type { SamplerNode } from "./SamplerNode.js";
-import type { World } from "./World.js";
+import type { Simulation } from "./Simulation.js";
 
 interface EntryNodeDeps {
     name: string;
@@ -29,15 +29,15 @@
     addresses: string[];
     samplers: () => SamplerNode[];
     scoring: ScoringPort;
-    keep: GroupKeep;
+    groupStore: GroupStore;
 }
 
 interface Running {
     entry: Entry;
     process: TestProcess;
     fencing: FencingNumber | undefined;
-    die: () => void;
-    died: Promise<void>;
+    markDown: () => void;
+    whenDown: Promise<void>;
 }
 
 const leaseTtlMs = 3_600;
@@ -52,8 +52,8 @@
 };
 
 /** Makes a VM with the real entry in a process of its own, started at once. */
-export function createEntryNode(world: World, deps: EntryNodeDeps): EntryNode {
-    const { guards, network, violations, logger } = world;
+export function createEntryNode(simulation: Simulation, deps: EntryNodeDeps): EntryNode {
+    const { guards, network, violations, logger } = simulation;
     const { name } = deps;
     let running: Running | undefined;
 
@@ -66,10 +66,10 @@
     };
 
     function start(): void {
-        const process = createTestProcess(world.clock);
-        let die = (): void => undefined;
-        const died = new Promise<void>(resolve => {
-            die = resolve;
+        const process = createTestProcess(simulation.clock);
+        let markDown = (): void => undefined;
+        const whenDown = new Promise<void>(resolve => {
+            markDown = resolve;
         });
         const invariants = createInvariants(
             logger,
@@ -79,22 +79,27 @@
         const entry = createEntry({
             self: record,
             clock: process.clock,
-            random: world.random.fork(),
+            random: simulation.random.fork(),
             logger,
-            metrics: createQuietMetrics(),
+            metrics: createNoopMetrics(),
             invariants,
-            store: process.connect(createStoreLink(world, name)),
-            vmList: process.connect(world.vmList),
+            store: process.connect(createStoreLink(simulation, name)),
+            vmList: process.connect(simulation.vmList),
             scoring: process.connect(deps.scoring),
-            groupStore: process.connect(deps.keep),
+            groupStore: process.connect(deps.groupStore),
             cursorKey: "bench-key",
             seeds: deps.addresses,
             leaseTtlMs,
-            ...createEntryPorts(world, { name, process, entries: deps.entries, samplers: deps.samplers }),
+            ...createEntryPorts(simulation, {
+                name,
+                process,
+                entries: deps.entries,
+                samplers: deps.samplers,
+            }),
             readManifestFile: undefined,
             guards: {
                 owner: guards.owner,
-                ownerParts: createWatchedParts(next => {
+                ownerParts: createTrackedOwnerParts(next => {
                     fencing = next;
                 }),
                 lease: guards.lease,
@@ -111,18 +116,18 @@
             get fencing() {
                 return fencing;
             },
-            die,
-            died,
+            markDown,
+            whenDown,
         };
     }
 
     function kill(): void {
         running?.process.kill();
-        running?.die();
+        running?.markDown();
         running = undefined;
     }
 
-    function demandRunning(): Running {
+    function requireRunning(): Running {
         if (running === undefined) {
             throw new ResultError(resultCodes.peerUnreachable, name);
         }
@@ -131,20 +136,20 @@
 
     network.register(name, {
         isUp: () => running !== undefined,
-        whenDown: () => running?.died ?? Promise.resolve(),
+        whenDown: () => running?.whenDown ?? Promise.resolve(),
     });
-    world.vms.add({ ...record, role: "entry", sampler: undefined, state: "live" });
+    simulation.vms.add({ ...record, role: "entry", sampler: undefined, state: "live" });
     start();
 
     return {
         name,
         running: () => running,
         receive: async (method, params) => {
-            const { entry, process } = demandRunning();
+            const { entry, process } = requireRunning();
             return await process.enter(() => entry.receive(method, params));
         },
         enter: async call => {
-            const { entry, process } = demandRunning();
+            const { entry, process } = requireRunning();
             return await process.enter(() => call(entry));
         },
         ownedFencing: () => running?.fencing,
--- a/packages/bench/src/faults/createEntryPorts.ts
+++ b/packages/bench/src/faults/createEntryPorts.ts
@@ -9,9 +9,9 @@
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import { createSidecarLink } from "./createSidecarLink.js";
 import type { EntryNode } from "./EntryNode.js";
-import { createJudgedSidecar } from "./judges/createJudgedSidecar.js";
+import { createCheckedSidecar } from "./judges/createCheckedSidecar.js";
 import type { SamplerNode } from "./SamplerNode.js";
-import type { World } from "./World.js";
+import type { Simulation } from "./Simulation.js";
 
 interface EntryPortsDeps {
     name: string;
@@ -28,8 +28,8 @@
 }
 
 /** Makes an entry's ports over the run's network. */
-export function createEntryPorts(world: World, deps: EntryPortsDeps): EntryPorts {
-    const { network, guards } = world;
+export function createEntryPorts(simulation: Simulation, deps: EntryPortsDeps): EntryPorts {
+    const { network, guards } = simulation;
     const { name, process } = deps;
 
     const peer = (address: string): EntryNode | undefined =>
@@ -92,7 +92,7 @@
     function connectSidecar(report: SamplerReport): SidecarPort {
         const node = deps.samplers().find(sampler => sampler.name === report.sampler)!;
         const link = createSidecarLink({ network, process, from: name, node, guards: guards.send });
-        return createJudgedSidecar(world, name, link);
+        return createCheckedSidecar(simulation, name, link);
     }
 
     return { callPeer: createPeerCall(), forwardPlain: createForwardPlain(), connectSidecar };
--- a/packages/bench/src/faults/createNetwork.ts
+++ b/packages/bench/src/faults/createNetwork.ts
@@ -4,11 +4,11 @@
 import type { Network } from "./Network.js";
 import type { NetworkFault } from "./NetworkFault.js";
 
-interface Strike {
+interface PendingFault {
     fault: NetworkFault;
     to: string;
     from: string | undefined;
-    onStruck: () => void;
+    onInjected: () => void;
 }
 
 const latencyMs = 1;
@@ -19,38 +19,39 @@
 /** Small calls beside the work share its way, but are struck only with it. */
 const controlSuffix = "#control";
 
-const bare = (name: string): string =>
+const withoutControlSuffix = (name: string): string =>
     name.endsWith(controlSuffix) ? name.slice(0, -controlSuffix.length) : name;
 
-const pairOf = (a: string, b: string): string => [bare(a), bare(b)].sort().join(" ");
+const pairOf = (a: string, b: string): string =>
+    [withoutControlSuffix(a), withoutControlSuffix(b)].sort().join(" ");
 
 /** Makes a network without faults. */
 export function createNetwork(clock: Clock, random: Random): Network {
     const processes = new Map<string, { isUp(): boolean; whenDown(): Promise<void>; }>();
     const cuts = new Set<string>();
-    let strikes: Strike[] = [];
-    let disorderMs = 0;
+    let pendingFaults: PendingFault[] = [];
+    let reorderDelayMs = 0;
 
     const isUp = (name: string): boolean => processes.get(name)?.isUp() ?? true;
-    const travel = (): Promise<void> => clock.sleep(latencyMs + random.nextUnit() * disorderMs);
+    const travel = (): Promise<void> => clock.sleep(latencyMs + random.nextUnit() * reorderDelayMs);
 
     /** The round trip is counted once, unless messages overtake each other. */
-    const travelBack = (): Promise<void> => disorderMs > 0 ? travel() : Promise.resolve();
+    const travelBack = (): Promise<void> => reorderDelayMs > 0 ? travel() : Promise.resolve();
 
-    function takeStrike(from: string, to: string): NetworkFault | undefined {
+    function takeFault(from: string, to: string): NetworkFault | undefined {
         if (from.endsWith(controlSuffix)) {
             return undefined;
         }
-        const strike = strikes.find(each =>
+        const pending = pendingFaults.find(each =>
             each.to === to && (each.from === undefined || each.from === from)
         );
-        strikes = strikes.filter(each => each !== strike);
-        strike?.onStruck();
-        return strike?.fault;
+        pendingFaults = pendingFaults.filter(each => each !== pending);
+        pending?.onInjected();
+        return pending?.fault;
     }
 
     /** Carries the request out, unless the receiver dies first. */
-    async function carryOut<T>(to: string, deliver: () => Promise<T>): Promise<Exchange<T>> {
+    async function deliverUnlessDown<T>(to: string, deliver: () => Promise<T>): Promise<Exchange<T>> {
         const down = processes.get(to)?.whenDown().then((): Exchange<T> => ({ kind: "broken" }));
         const answered = deliver().then((answer): Exchange<T> => ({ kind: "answered", answer }));
         return down === undefined ? await answered : await Promise.race([answered, down]);
@@ -75,7 +76,7 @@
     }
 
     async function exchange<T>(from: string, to: string, deliver: () => Promise<T>): Promise<Exchange<T>> {
-        const fault = takeStrike(from, to);
+        const fault = takeFault(from, to);
         if (!isUp(to) || cuts.has(pairOf(from, to)) || fault === "noConnection") {
             await clock.sleep(connectTimeoutMs);
             return { kind: "notSent" };
@@ -90,7 +91,7 @@
         if (fault === "requestTwice") {
             deliverLate(to, deliver);
         }
-        const result = await carryOut(to, deliver);
+        const result = await deliverUnlessDown(to, deliver);
         await travelBack();
         const isLost = fault === "answerLost" || cuts.has(pairOf(from, to));
         return isLost ? await breakLater() : result;
@@ -103,15 +104,15 @@
         heal: (a, b) => void cuts.delete(pairOf(a, b)),
         healAll: () => {
             cuts.clear();
-            strikes = [];
-            disorderMs = 0;
+            pendingFaults = [];
+            reorderDelayMs = 0;
         },
         isCut: (a, b) => cuts.has(pairOf(a, b)),
-        strikeNext: (fault, to, from, onStruck = () => undefined) => {
-            strikes.push({ fault, to, from, onStruck });
+        failNext: (fault, to, from, onStruck = () => undefined) => {
+            pendingFaults.push({ fault, to, from, onInjected: onStruck });
         },
-        setDisorder: maxDelayMs => {
-            disorderMs = maxDelayMs;
+        setReordering: maxDelayMs => {
+            reorderDelayMs = maxDelayMs;
         },
     };
 }
--- a/packages/bench/src/faults/createQuietLogger.ts
+++ b/packages/bench/src/faults/createNoopLogger.ts
@@ -1,7 +1,7 @@
 import type { Logger } from "@auburnarch/types/Logger";
 
 /** A logger that writes nothing. */
-export function createQuietLogger(): Logger {
+export function createNoopLogger(): Logger {
     const logger: Logger = {
         info: () => undefined,
         warn: () => undefined,
--- a/packages/bench/src/faults/createQuietMetrics.ts
+++ b/packages/bench/src/faults/createNoopMetrics.ts
@@ -1,7 +1,7 @@
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 
 /** Metrics that nobody reads. */
-export function createQuietMetrics(): Metrics {
+export function createNoopMetrics(): Metrics {
     return {
         count: () => undefined,
         set: () => undefined,
--- a/packages/bench/src/faults/createWitnessedEngine.ts
+++ b/packages/bench/src/faults/createObservedEngine.ts
@@ -3,15 +3,15 @@
 import type { EngineFinish } from "@auburnarch/types/EngineFinish";
 import type { EnginePort } from "@auburnarch/types/EnginePort";
 import type { EngineRequest } from "@auburnarch/types/EngineRequest";
-import type { Witness } from "./judges/Witness.js";
+import type { RunObserver } from "./judges/RunObserver.js";
 import type { SidecarProcess } from "./SidecarProcess.js";
 
-interface WitnessedEngineDeps {
+interface ObservedEngineDeps {
     node: string;
     engine: EnginePort;
     control: FakeEngineControl;
     clock: Clock;
-    witness: Witness;
+    observer: RunObserver;
     sidecar: () => SidecarProcess | undefined;
     /** Whether the sidecar is shown the fingerprints; the witness always sees them. */
     statesFingerprint: boolean;
@@ -25,8 +25,8 @@
 const versionIn = (fingerprint: string | undefined): number => Number(fingerprint?.split("@")[1] ?? -1);
 
 /** An engine whose every effect the witness sees. */
-export function createWitnessedEngine(deps: WitnessedEngineDeps): EnginePort {
-    const { engine, control, clock, witness, node } = deps;
+export function createObservedEngine(deps: ObservedEngineDeps): EnginePort {
+    const { engine, control, clock, observer: witness, node } = deps;
     let running = 0;
     const servedVersion = (): number => control.served()[0]?.version ?? -1;
 
@@ -34,17 +34,17 @@
         ...engine,
         generate: (request, onChunk, signal) => {
             if (control.isUp() && !signal.aborted && servedVersion() >= 0) {
-                witness.noteEngineStart(node, request);
+                witness.recordEngineStart(node, request);
             }
             running++;
             deps.onStart(request, () => running);
             const finished = engine.generate(request, chunk => {
-                witness.noteTokens(request.attempt, versionIn(chunk.fingerprint), chunk.tokens);
+                witness.recordTokens(request.attempt, versionIn(chunk.fingerprint), chunk.tokens);
                 onChunk(deps.statesFingerprint ? chunk : { ...chunk, fingerprint: undefined });
             }, signal);
             const end = (reason?: EngineFinish["reason"]): void => {
                 running--;
-                witness.noteEngineEnd(node, request.attempt, reason === "stop" || reason === "length");
+                witness.recordEngineEnd(node, request.attempt, reason === "stop" || reason === "length");
             };
             finished.then(({ reason }) => end(reason), () => end());
             return finished;
@@ -52,9 +52,9 @@
         order: order => {
             const sidecar = deps.sidecar();
             if (sidecar !== undefined && control.isUp()) {
-                witness.noteEngineOrder(node, order, servedVersion(), sidecar);
+                witness.recordEngineOrder(node, order, servedVersion(), sidecar);
                 if (order.kind === "load" && !deps.statesFingerprint && running > 0) {
-                    witness.noteMixedSwap(node, running);
+                    witness.recordMixedSwap(node, running);
                 }
             }
             return engine.order(order);
--- a/packages/bench/src/faults/createRunParts.ts
+++ b/packages/bench/src/faults/createRunParts.ts
@@ -9,10 +9,10 @@
 import { createCaller } from "./createCaller.js";
 import { createEntryNode } from "./createEntryNode.js";
 import { createSamplerNode } from "./createSamplerNode.js";
-import { createTrainerSide } from "./createTrainerSide.js";
+import { createSimulatedTrainer } from "./createSimulatedTrainer.js";
 import type { EntryNode } from "./EntryNode.js";
 import type { RunParts } from "./RunParts.js";
-import type { World } from "./World.js";
+import type { Simulation } from "./Simulation.js";
 
 /** One engine that states versions and fences, one that does neither, one that states only. */
 const modelKinds = [
@@ -20,7 +20,7 @@
     { name: "model-2", statesFingerprint: false, honoursFencing: false },
     { name: "model-3", statesFingerprint: true, honoursFencing: false },
 ];
-const entryPlaces = [
+const entryLocations = [
     { name: "entry-1", failureDomain: "Pamplona" as FailureDomain },
     { name: "entry-2", failureDomain: "Lugo" as FailureDomain },
 ];
@@ -30,21 +30,21 @@
 
 /** Builds the system of a run: two entries, three model samplers, two plain ones, a trainer and a caller. */
 export function createRunParts(
-    world: World,
+    simulation: Simulation,
     mayEnd: () => boolean,
-): Pick<RunParts, "world" | "entries" | "models" | "plains" | "caller" | "trainer"> {
-    const { clock } = world;
+): Pick<RunParts, "simulation" | "entries" | "models" | "plains" | "caller" | "trainer"> {
+    const { clock } = simulation;
     const { scoring } = createFakeScoring({ clock, latencyMs: scoringLatencyMs });
     const { weightStore } = createFakeWeightStore({ clock, transferMs: weightTransferMs, maxConcurrent: 2 });
-    const keep = createTestGroupStore();
-    const backends = createBackends(world);
+    const groupStore = createTestGroupStore();
+    const backends = createBackends(simulation);
     const entries: EntryNode[] = [];
 
-    const addresses = entryPlaces.map(place => place.name);
+    const addresses = entryLocations.map(place => place.name);
 
     const models = modelKinds.map(kind => {
         let control: FakeEngineControl | undefined;
-        const node = createSamplerNode(world, {
+        const node = createSamplerNode(simulation, {
             name: kind.name,
             service: "rollout" as ServiceId,
             weightStore,
@@ -60,7 +60,7 @@
     });
     const plains = plainNames.map(name => {
         let setLatencyMs: (latencyMs: number) => void = () => undefined;
-        const node = createSamplerNode(world, {
+        const node = createSamplerNode(simulation, {
             name,
             service: "tiles" as ServiceId,
             weightStore,
@@ -74,28 +74,30 @@
         });
         return { node, setLatencyMs: (latencyMs: number) => setLatencyMs(latencyMs) };
     });
-    for (const place of entryPlaces) {
-        entries.push(createEntryNode(world, {
+    for (const place of entryLocations) {
+        entries.push(createEntryNode(simulation, {
             ...place,
             entries: () => entries,
             addresses,
             samplers: () => [...models.map(model => model.node), ...plains.map(plain => plain.node)],
             scoring,
-            keep,
+            groupStore,
         }));
     }
-    world.setEntryAwake(() => entries.some(entry => entry.running()?.process.isPaused() === false));
+    simulation.setEntryActivityCheck(() =>
+        entries.some(entry => entry.running()?.process.isPaused() === false)
+    );
     return {
-        world,
+        simulation,
         entries,
         models,
         plains,
-        caller: createCaller(world, {
+        caller: createCaller(simulation, {
             team: "humoboira" as TeamId,
             service: "tiles" as ServiceId,
             entries,
             mayEnd,
         }),
-        trainer: createTrainerSide(world, { entries, mayEnd }),
+        trainer: createSimulatedTrainer(simulation, { entries, mayEnd }),
     };
 }
--- a/packages/bench/src/faults/createSamplerNode.ts
+++ b/packages/bench/src/faults/createSamplerNode.ts
@@ -14,7 +14,7 @@
 import type { EntryNode } from "./EntryNode.js";
 import type { SamplerNode } from "./SamplerNode.js";
 import type { SidecarProcess } from "./SidecarProcess.js";
-import type { World } from "./World.js";
+import type { Simulation } from "./Simulation.js";
 
 interface SamplerNodeDeps {
     name: string;
@@ -34,14 +34,14 @@
 }
 
 /** Makes a VM with a backend server and a sidecar, started at once. */
-export function createSamplerNode(world: World, deps: SamplerNodeDeps): SamplerNode {
-    const { clock, network, witness, vms } = world;
+export function createSamplerNode(simulation: Simulation, deps: SamplerNodeDeps): SamplerNode {
+    const { clock, network, observer: witness, vms } = simulation;
     const { name } = deps;
     let generation = 0;
     const vm = (): VmId => `vm-${name}-${generation}` as VmId;
-    let backend = deps.createBackend(() => sidecar, vm());
-    let sidecar: SidecarProcess | undefined;
-    let onOrder: (() => void) | undefined;
+    let backend = deps.createBackend(() => sidecarProcess, vm());
+    let sidecarProcess: SidecarProcess | undefined;
+    let orderListener: (() => void) | undefined;
 
     const record = (): VmRecord => ({
         vm: vm(),
@@ -54,7 +54,7 @@
     });
 
     function startSidecar(): void {
-        sidecar ??= createSidecarProcess(world, {
+        sidecarProcess ??= createSidecarProcess(simulation, {
             name,
             vm: vm(),
             service: deps.service,
@@ -67,8 +67,8 @@
     }
 
     function killSidecar(): void {
-        sidecar?.kill();
-        sidecar = undefined;
+        sidecarProcess?.kill();
+        sidecarProcess = undefined;
     }
 
     function replaceVm(): void {
@@ -77,16 +77,16 @@
         generation++;
         witness.setLeaving(name, undefined);
         backend.crash();
-        backend = deps.createBackend(() => sidecar, vm());
+        backend = deps.createBackend(() => sidecarProcess, vm());
         vms.add(record());
         startSidecar();
     }
 
-    function leave(goneInMs: number): void {
+    function leave(removedAfterMs: number): void {
         const leaving = vm();
         vms.markLeaving(leaving);
         witness.setLeaving(name, clock.monotonicMs());
-        clock.startTimer(goneInMs, () => {
+        clock.startTimer(removedAfterMs, () => {
             if (leaving === vm()) {
                 replaceVm();
             }
@@ -94,52 +94,53 @@
     }
 
     async function shutDown(deadlineMs: number): Promise<void> {
-        const before = sidecar;
+        const before = sidecarProcess;
         if (before === undefined) {
             return;
         }
         await before.process.enter(() => {
             before.shutdownAtMs = clock.monotonicMs();
-            return before.gate.shutdown(deadlineMs);
+            return before.sidecar.shutdown(deadlineMs);
         });
-        if (sidecar === before) {
+        if (sidecarProcess === before) {
             killSidecar();
             startSidecar();
         }
     }
 
     function port(): SidecarPort {
-        const present = sidecar!;
-        const { gate, process } = present;
-        const note = (work: { attempt: AttemptId; budgetMs: number; digest: ContentDigest; }): void =>
-            witness.noteArrival(name, work, present);
+        const present = sidecarProcess!;
+        const { sidecar, process } = present;
+        const recordArrival = (
+            work: { attempt: AttemptId; budgetMs: number; digest: ContentDigest; },
+        ): void => witness.recordArrival(name, work, present);
         return {
-            ...gate,
+            ...sidecar,
             runSample: (attempt, onSpan, signal) => {
                 return process.enter(() => {
-                    note(attempt);
-                    return gate.runSample(attempt, onSpan, signal);
+                    recordArrival(attempt);
+                    return sidecar.runSample(attempt, onSpan, signal);
                 });
             },
             order: order => {
-                const listener = onOrder;
-                onOrder = undefined;
+                const listener = orderListener;
+                orderListener = undefined;
                 listener?.();
-                witness.noteOrderArrival(order.order, present);
-                return process.enter(() => gate.order(order));
+                witness.recordOrderArrival(order.order, present);
+                return process.enter(() => sidecar.order(order));
             },
             callPlain: (request, signal) => {
                 return process.enter(() => {
-                    note(request);
-                    return gate.callPlain(request, signal);
+                    recordArrival(request);
+                    return sidecar.callPlain(request, signal);
                 });
             },
         };
     }
 
     network.register(name, {
-        isUp: () => sidecar !== undefined,
-        whenDown: () => sidecar?.whenDown() ?? Promise.resolve(),
+        isUp: () => sidecarProcess !== undefined,
+        whenDown: () => sidecarProcess?.whenDown() ?? Promise.resolve(),
     });
     vms.add(record());
     startSidecar();
@@ -148,11 +149,11 @@
         name,
         kind: backend.engine === undefined ? "plain" : "model",
         port,
-        sidecar: () => sidecar,
-        gate: () => sidecar?.gate,
+        sidecarProcess: () => sidecarProcess,
+        sidecar: () => sidecarProcess?.sidecar,
         vm,
         beforeNextOrder: listener => {
-            onOrder = listener;
+            orderListener = listener;
         },
         killSidecar,
         startSidecar,
--- a/packages/bench/src/faults/createSidecarLink.ts
+++ b/packages/bench/src/faults/createSidecarLink.ts
@@ -1,8 +1,8 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { TestProcess } from "@auburnarch/ownership/testing/TestProcess";
-import { createIncarnationMemory } from "@auburnarch/transport/createIncarnationMemory";
-import { resolveBroken } from "@auburnarch/transport/resolveBroken";
+import { createIncarnationTracker } from "@auburnarch/transport/createIncarnationTracker";
+import { resolveBrokenAttempt } from "@auburnarch/transport/resolveBrokenAttempt";
 import type { SendGuards } from "@auburnarch/transport/SendGuards";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
@@ -32,24 +32,25 @@
  */
 export function createSidecarLink(deps: SidecarLinkDeps): SidecarPort {
     const { network, process, from, node, guards } = deps;
-    const incarnations = createIncarnationMemory();
-    const carry = <T>(call: () => Promise<T>): Promise<Exchange<T>> =>
+    const incarnations = createIncarnationTracker();
+    const callWork = <T>(call: () => Promise<T>): Promise<Exchange<T>> =>
         network.exchange(from, node.name, call);
 
     /** Small calls beside the work. */
-    const ask = <T>(call: () => Promise<T>): Promise<Exchange<T>> =>
+    const callControl = <T>(call: () => Promise<T>): Promise<Exchange<T>> =>
         network.exchange(`${from}#control`, node.name, call);
 
     const wire = process.connect<Wire>({
-        runSample: (attempt, onSpan, signal) => carry(() => node.port().runSample(attempt, onSpan, signal)),
-        callPlain: (request, signal) => carry(() => node.port().callPlain(request, signal)),
-        queryAttempt: attempt => ask(() => node.port().queryAttempt(attempt)),
-        order: order => carry(() => node.port().order(order)),
-        readReport: () => ask(() => node.port().readReport()),
-        readUsage: () => ask(() => node.port().readUsage()),
+        runSample: (attempt, onSpan, signal) =>
+            callWork(() => node.port().runSample(attempt, onSpan, signal)),
+        callPlain: (request, signal) => callWork(() => node.port().callPlain(request, signal)),
+        queryAttempt: attempt => callControl(() => node.port().queryAttempt(attempt)),
+        order: order => callWork(() => node.port().order(order)),
+        readReport: () => callControl(() => node.port().readReport()),
+        readUsage: () => callControl(() => node.port().readUsage()),
     });
 
-    async function demand<T>(exchange: Promise<Exchange<T>>): Promise<T> {
+    async function requireAnswer<T>(exchange: Promise<Exchange<T>>): Promise<T> {
         const ended = await exchange;
         if (ended.kind !== "answered") {
             throw new ResultError(resultCodes.sidecarUnreachable, node.name);
@@ -58,14 +59,14 @@
     }
 
     async function queryAttempt(attempt: AttemptId): ReturnType<SidecarPort["queryAttempt"]> {
-        const state = await demand(wire.queryAttempt(attempt));
-        incarnations.note(state.incarnation);
+        const state = await requireAnswer(wire.queryAttempt(attempt));
+        incarnations.record(state.incarnation);
         return state;
     }
 
     async function readReport(): ReturnType<SidecarPort["readReport"]> {
-        const report = await demand(wire.readReport());
-        incarnations.note(report.incarnation);
+        const report = await requireAnswer(wire.readReport());
+        incarnations.record(report.incarnation);
         return report;
     }
 
@@ -73,10 +74,10 @@
         attempt: AttemptId,
         call: () => Promise<Exchange<AttemptOutcome<Answer>>>,
     ): Promise<AttemptOutcome<Answer>> {
-        if (incarnations.known() === undefined) {
+        if (incarnations.current() === undefined) {
             await readReport().catch(() => undefined);
         }
-        const sentTo = incarnations.known();
+        const sentTo = incarnations.current();
         const sentAtMs = process.clock.monotonicMs();
         const ended = await call();
         if (ended.kind === "notSent") {
@@ -86,7 +87,7 @@
             return ended.answer;
         }
         const { clock } = process;
-        return resolveBroken({ attempt, sentTo, sentAtMs, clock, query: queryAttempt, guards });
+        return resolveBrokenAttempt({ attempt, sentTo, sentAtMs, clock, query: queryAttempt, guards });
     }
 
     return {
@@ -95,7 +96,7 @@
         callPlain: (request, signal) => send(request.attempt, () => wire.callPlain(request, signal)),
         queryAttempt,
         readReport,
-        order: order => demand(wire.order(order)),
-        readUsage: () => demand(wire.readUsage()),
+        order: order => requireAnswer(wire.order(order)),
+        readUsage: () => requireAnswer(wire.readUsage()),
     };
 }
--- a/packages/bench/src/faults/createSidecarProcess.ts
+++ b/packages/bench/src/faults/createSidecarProcess.ts
@@ -1,7 +1,7 @@
 import { faultsOfDocument } from "@auburnarch/config/faultsOfDocument";
 import { createDocumentFollower } from "@auburnarch/documents/createDocumentFollower";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
-import { createReadFencing } from "@auburnarch/lease/createReadFencing";
+import { createFencingReader } from "@auburnarch/lease/createFencingReader";
 import { createReporter } from "@auburnarch/membership/createReporter";
 import { createTestProcess } from "@auburnarch/ownership/testing/createTestProcess";
 import { createSidecar } from "@auburnarch/sidecar/createSidecar";
@@ -19,11 +19,11 @@
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import type { VmId } from "@auburnarch/types/VmId";
 import type { WeightStore } from "@auburnarch/types/WeightStore";
-import { createQuietMetrics } from "./createQuietMetrics.js";
+import { createNoopMetrics } from "./createNoopMetrics.js";
 import { createStoreLink } from "./createStoreLink.js";
 import type { EntryNode } from "./EntryNode.js";
 import type { SidecarProcess } from "./SidecarProcess.js";
-import type { World } from "./World.js";
+import type { Simulation } from "./Simulation.js";
 
 interface SidecarDeps {
     name: string;
@@ -37,7 +37,7 @@
     addresses: string[];
 }
 
-const lateDocumentMs = 300;
+const staleDocumentDelayMs = 300;
 const reportTiming = {
     minReportIntervalMs: 600,
     maxReportIntervalMs: 1_000,
@@ -46,11 +46,11 @@
 };
 
 /** Starts a sidecar: the real gate, reporter and document set in a process of their own. */
-export function createSidecarProcess(world: World, deps: SidecarDeps): SidecarProcess {
-    const { guards, network, violations, logger } = world;
-    const process = createTestProcess(world.clock);
+export function createSidecarProcess(simulation: Simulation, deps: SidecarDeps): SidecarProcess {
+    const { guards, network, violations, logger } = simulation;
+    const process = createTestProcess(simulation.clock);
     const { clock } = process;
-    const random = world.random.fork();
+    const random = simulation.random.fork();
     const invariants = createInvariants(
         logger,
         (code, fields) => violations.add(code.name, `${deps.name} ${JSON.stringify(fields)}`),
@@ -63,44 +63,44 @@
         region: "norte" as Region,
         service: deps.service,
     };
-    const gateDeps: SidecarDependencies = {
+    const sidecarDeps: SidecarDependencies = {
         identity,
         clock,
         random: random.fork(),
         logger,
-        metrics: createQuietMetrics(),
+        metrics: createNoopMetrics(),
         invariants,
         engine: deps.engine === undefined ? undefined : process.connect(deps.engine),
         backend: deps.backend === undefined ? undefined : process.connect(deps.backend),
         weightStore: process.connect(deps.weightStore),
-        readFencing: createReadFencing(process.connect(createStoreLink(world, deps.name))),
+        readFencing: createFencingReader(process.connect(createStoreLink(simulation, deps.name))),
         initialConfigWaitMs,
     };
-    const gate = createSidecar(gateDeps, guards.gate);
-    let down = (): void => undefined;
-    const died = new Promise<void>(resolve => {
-        down = resolve;
+    const sidecar = createSidecar(sidecarDeps, guards.gate);
+    let markDown = (): void => undefined;
+    const whenDown = new Promise<void>(resolve => {
+        markDown = resolve;
     });
 
-    const taken = new Map<string, SharedDocument>();
+    const latestDocuments = new Map<string, SharedDocument>();
 
     /** Hands a document on, and the one before it once more, as a late answer of another entry would. */
-    function takeDocument(document: SharedDocument): void {
-        const before = taken.get(document.name);
-        taken.set(document.name, document);
+    function deliverDocument(document: SharedDocument): void {
+        const before = latestDocuments.get(document.name);
+        latestDocuments.set(document.name, document);
         offer(document);
         if (before !== undefined) {
-            clock.startTimer(lateDocumentMs, () => offer(before));
+            clock.startTimer(staleDocumentDelayMs, () => offer(before));
         }
     }
 
     function offer(document: SharedDocument): void {
         if (document.name === "manifest") {
             const version = document.version as ConfigVersion;
-            gate.offerManifest({ version, manifest: document.value as Manifest });
+            sidecar.offerManifest({ version, manifest: document.value as Manifest });
         }
         else {
-            gate.offerQuarantine(
+            sidecar.offerQuarantine(
                 document.version,
                 (document.value as { records: QuarantineRecord[]; }).records,
             );
@@ -109,7 +109,7 @@
 
     const follower = createDocumentFollower(
         { invariants, logger, faultsOf: faultsOfDocument, guards: guards.spread },
-        takeDocument,
+        deliverDocument,
     );
 
     async function exchange(address: string, message: unknown): Promise<unknown> {
@@ -130,12 +130,12 @@
         clock,
         random: random.fork(),
         logger,
-        report: gate.report,
+        report: sidecar.report,
         digest: follower.digest,
         wholeDocuments: follower.wholeDocuments,
         onDocuments: follower.receive,
-        onLeaving: gate.beginLeaving,
-        vmList: process.connect(world.vmList),
+        onLeaving: sidecar.beginLeaving,
+        vmList: process.connect(simulation.vmList),
         seeds: deps.addresses,
         exchange: process.connect(exchange),
         timing: reportTiming,
@@ -143,18 +143,18 @@
     reporter.start();
 
     return {
-        gate,
+        sidecar,
         process,
-        startedAtFencing: world.trueFencing(),
-        startedAtMs: world.clock.monotonicMs(),
+        startedAtFencing: simulation.trueFencing(),
+        startedAtMs: simulation.clock.monotonicMs(),
         shutdownAtMs: undefined,
         kill: () => {
-            gate.kill();
+            sidecar.kill();
             reporter.stop();
             process.kill();
-            down();
+            markDown();
         },
         stopReporting: reporter.stop,
-        whenDown: () => died,
+        whenDown: () => whenDown,
     };
 }
--- a/packages/bench/src/faults/createTrainerSide.ts
+++ b/packages/bench/src/faults/createSimulatedTrainer.ts
@@ -9,10 +9,10 @@
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { EntryNode } from "./EntryNode.js";
 import { pickEntry } from "./pickEntry.js";
-import type { TrainerSide } from "./TrainerSide.js";
-import type { World } from "./World.js";
+import type { SimulatedTrainer } from "./SimulatedTrainer.js";
+import type { Simulation } from "./Simulation.js";
 
-interface TrainerSideDeps {
+interface SimulatedTrainerDeps {
     entries: EntryNode[];
     mayEnd: () => boolean;
 }
@@ -33,17 +33,17 @@
 }
 
 /** Makes the trainer of a run; each call goes to an entry at random. */
-export function createTrainerSide(world: World, deps: TrainerSideDeps): TrainerSide {
-    const { network, clock, violations } = world;
-    const random = world.random.fork();
-    let toLose = 0;
+export function createSimulatedTrainer(simulation: Simulation, deps: SimulatedTrainerDeps): SimulatedTrainer {
+    const { network, clock, violations } = simulation;
+    const random = simulation.random.fork();
+    let answersToLose = 0;
     let extraPublishes = 0;
     let onBurst = (): void => undefined;
     let onPublish: (() => void) | undefined;
     let onLost = (): void => undefined;
     let onForged: (() => void) | undefined;
 
-    async function train(call: TrainerCall): Promise<unknown> {
+    async function callEntry(call: TrainerCall): Promise<unknown> {
         const entry = pickEntry(deps.entries, random);
         const ended = await network.exchange(
             "trainer",
@@ -53,8 +53,8 @@
         if (ended.kind !== "answered") {
             throw new ResultError(resultCodes.connectionBroken);
         }
-        if (toLose > 0) {
-            toLose--;
+        if (answersToLose > 0) {
+            answersToLose--;
             onLost();
             throw new ResultError(resultCodes.connectionBroken);
         }
@@ -62,33 +62,33 @@
     }
 
     /** A hostile read beside the true one. */
-    async function tryForged(call: Extract<TrainerCall, { kind: "readGroups"; }>): Promise<void> {
-        const forged = onForged;
-        if (forged === undefined || call.cursor === undefined) {
+    async function sendForged(call: Extract<TrainerCall, { kind: "readGroups"; }>): Promise<void> {
+        const onInjected = onForged;
+        if (onInjected === undefined || call.cursor === undefined) {
             return;
         }
         onForged = undefined;
-        const hostile = { ...call, cursor: forge(call.cursor), waitMs: 0 };
-        const code = await train(hostile).then(() => "taken", (error: unknown) => codeOf(error).name);
+        const forgedCall = { ...call, cursor: forge(call.cursor), waitMs: 0 };
+        const code = await callEntry(forgedCall).then(() => "taken", (error: unknown) => codeOf(error).name);
         if (code === "taken") {
             violations.add("forgedCursorTaken", `step ${call.step}`);
         }
         if (code === "taken" || code === "cursorInvalid") {
-            forged();
+            onInjected();
         }
         else {
-            onForged = forged;
+            onForged = onInjected;
         }
     }
 
     const route: TrainerConnection = {
-        openStep: spec => train({ kind: "openStep", job, spec }) as Promise<{ fencing: number; }>,
+        openStep: spec => callEntry({ kind: "openStep", job, spec }) as Promise<{ fencing: number; }>,
         publishWeights: weights =>
-            train({ kind: "publishWeights", job, weights }) as Promise<{ fencing: number; }>,
+            callEntry({ kind: "publishWeights", job, weights }) as Promise<{ fencing: number; }>,
         readGroups: async (step, cursor, waitMs) => {
             const call = { kind: "readGroups" as const, job, step, cursor, waitMs };
-            await tryForged(call);
-            return await train(call) as GroupsPage;
+            await sendForged(call);
+            return await callEntry(call) as GroupsPage;
         },
     };
 
@@ -121,12 +121,12 @@
         rereadChance: () => 0.3,
         loseAnswerChance: () => 0,
         trainMs: 200,
-        onPage: world.witness.judgePage,
+        onPage: simulation.observer.checkPage,
     });
     return {
         trainer,
         loseAnswers: (count, strike) => {
-            toLose = count;
+            answersToLose = count;
             onLost = strike;
         },
         publishMore: (count, strike) => {
--- a/packages/bench/src/faults/createWorld.ts
+++ b/packages/bench/src/faults/createSimulation.ts
@@ -6,12 +6,12 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import { createNetwork } from "./createNetwork.js";
-import { createQuietLogger } from "./createQuietLogger.js";
+import { createNoopLogger } from "./createNoopLogger.js";
 import type { FaultGuards } from "./FaultGuards.js";
-import { createJudgedStore } from "./judges/createJudgedStore.js";
+import { createCheckedStore } from "./judges/createCheckedStore.js";
+import { createRunObserver } from "./judges/createRunObserver.js";
 import { createViolations } from "./judges/createViolations.js";
-import { createWitness } from "./judges/createWitness.js";
-import type { World } from "./World.js";
+import type { Simulation } from "./Simulation.js";
 
 /** In every other run calls take time, so that faults also strike between effect and answer. */
 const storeLatencyMs = 3;
@@ -21,11 +21,11 @@
 const leaseKey = "leases/job/plume";
 
 /** Makes the outside world of one run: clock, network, platform and judges. All draws follow from the seed. */
-export function createWorld(
+export function createSimulation(
     seed: number,
     guards: FaultGuards,
-    createLogger: (clock: Clock) => Logger = createQuietLogger,
-): World {
+    createLogger: (clock: Clock) => Logger = createNoopLogger,
+): Simulation {
     const clock = createFakeClock();
     const random = createRandom(seed);
     const violations = createViolations(clock);
@@ -35,17 +35,17 @@
         latencyMs: seed % 2 === 0 ? storeLatencyMs : 0,
     });
     const { vmList, control: vms } = createFakeVmList({ clock, lagMs: vmListLagMs });
-    const judged = createJudgedStore(store, violations, leaseKey);
+    const checked = createCheckedStore(store, violations, leaseKey);
     const network = createNetwork(clock, random.fork());
     let isDown = false;
     let slowMs = 0;
-    const poison = new Map<string, { vms: Set<string>; runs: number; }>();
-    const poisonDeaths: { vm: string; bootId: string; atWallMs: number; }[] = [];
+    const crashRequests = new Map<string, { vms: Set<string>; runs: number; }>();
+    const inducedCrashes: { vm: string; bootId: string; atWallMs: number; }[] = [];
     const engineBoots = new Set<string>();
-    let isAwake = (): boolean => false;
-    let onSpoil: (() => void) | undefined;
+    let isActive = (): boolean => false;
+    let onCorrupted: (() => void) | undefined;
     /** Last time at which something kept a process, or all, from the store. */
-    const hamperedAtMs = new Map<string, number>();
+    const lastImpairedAtMs = new Map<string, number>();
 
     /** Contents with a death that has been listed for long enough to be known everywhere, with the latest death's time. */
     function listSuspects(): Map<string, number> {
@@ -53,29 +53,31 @@
         const knownBeforeMs = clock.wallMs() - reportedWithinMs;
         const counted = (stored?.records ?? []).map(({ digest, deaths, liftedAtMs = 0 }) => ({
             digest,
-            diedAtMs: deaths.map(death => death.atMs).filter(atMs => atMs > liftedAtMs),
+            crashedAtMs: deaths.map(death => death.atMs).filter(atMs => atMs > liftedAtMs),
         }));
-        const known = counted.filter(({ diedAtMs }) => diedAtMs.some(atMs => atMs < knownBeforeMs));
-        return new Map(known.map(({ digest, diedAtMs }) => [digest, Math.max(...diedAtMs)]));
+        const known = counted.filter(({ crashedAtMs: diedAtMs }) =>
+            diedAtMs.some(atMs => atMs < knownBeforeMs)
+        );
+        return new Map(known.map(({ digest, crashedAtMs: diedAtMs }) => [digest, Math.max(...diedAtMs)]));
     }
 
-    function poisonOf(prompt: string): { vms: Set<string>; runs: number; } {
-        const known = poison.get(prompt) ?? { vms: new Set<string>(), runs: 0 };
-        poison.set(prompt, known);
+    function crashRequestOf(prompt: string): { vms: Set<string>; runs: number; } {
+        const known = crashRequests.get(prompt) ?? { vms: new Set<string>(), runs: 0 };
+        crashRequests.set(prompt, known);
         return known;
     }
 
-    function isHampered(name: string): boolean {
+    function isStoreImpaired(name: string): boolean {
         return isDown || slowMs > 0 || network.isCut(name, "store");
     }
 
     /** Looked at often enough that no hindrance of interest falls between two looks. */
     function storeReachableForMs(name: string): number {
         const nowMs = clock.monotonicMs();
-        if (isHampered(name)) {
-            hamperedAtMs.set(name, nowMs);
+        if (isStoreImpaired(name)) {
+            lastImpairedAtMs.set(name, nowMs);
         }
-        return nowMs - Math.max(hamperedAtMs.get(name) ?? 0, hamperedAtMs.get("") ?? 0);
+        return nowMs - Math.max(lastImpairedAtMs.get(name) ?? 0, lastImpairedAtMs.get("") ?? 0);
     }
 
     return {
@@ -94,50 +96,51 @@
                 network.heal(a, b);
             },
         },
-        store: judged.store,
+        store: checked.store,
         storeControl: control,
         storeFaults: {
             setOutage: down => {
                 isDown = down;
-                hamperedAtMs.set("", clock.monotonicMs());
+                lastImpairedAtMs.set("", clock.monotonicMs());
                 control.setOutage(down);
             },
             setSlow: ms => {
                 slowMs = ms;
-                hamperedAtMs.set("", clock.monotonicMs());
+                lastImpairedAtMs.set("", clock.monotonicMs());
                 control.setSlow(ms);
             },
         },
         vmList,
         vms,
         violations,
-        witness: createWitness(clock, violations, listSuspects),
-        trueFencing: judged.trueFencing,
+        observer: createRunObserver(clock, violations, listSuspects),
+        trueFencing: checked.trueFencing,
         storeReachableForMs,
-        notePoison: prompt => {
-            poisonOf(prompt).runs++;
+        recordCrashRequestRun: prompt => {
+            crashRequestOf(prompt).runs++;
         },
-        notePoisonAlone: (prompt, vm) => void poisonOf(prompt).vms.add(vm),
-        notePoisonDeath: (vm, bootId) => void poisonDeaths.push({ vm, bootId, atWallMs: clock.wallMs() }),
-        noteBoot: bootId => void engineBoots.add(bootId),
-        isPoisonDeath: ({ vm, bootId, atMs }) =>
-            poisonDeaths.some(death =>
+        recordSoleCrash: (prompt, vm) => void crashRequestOf(prompt).vms.add(vm),
+        recordInducedCrash: (vm, bootId) =>
+            void inducedCrashes.push({ vm, bootId, atWallMs: clock.wallMs() }),
+        recordBoot: bootId => void engineBoots.add(bootId),
+        isInducedCrash: ({ vm, bootId, atMs }) =>
+            inducedCrashes.some(death =>
                 // A death that entries tell of names a sidecar's start, which only its time joins to an engine's.
                 engineBoots.has(bootId)
                     ? death.bootId === bootId
                     : death.vm === vm && Math.abs(death.atWallMs - atMs) < reportedWithinMs
             ),
-        isEntryAwake: () => isAwake(),
-        setEntryAwake: judge => {
-            isAwake = judge;
+        isAnyEntryActive: () => isActive(),
+        setEntryActivityCheck: judge => {
+            isActive = judge;
         },
-        poison: () => poison,
-        spoilNextAnswer: onSpoilt => {
-            onSpoil = onSpoilt;
+        crashRequests: () => crashRequests,
+        corruptNextAnswer: onSpoilt => {
+            onCorrupted = onSpoilt;
         },
-        takeSpoiling: () => {
-            const strike = onSpoil;
-            onSpoil = undefined;
+        takeAnswerCorruption: () => {
+            const strike = onCorrupted;
+            onCorrupted = undefined;
             strike?.();
             return strike !== undefined;
         },
--- a/packages/bench/src/faults/createStoreLink.ts
+++ b/packages/bench/src/faults/createStoreLink.ts
@@ -1,13 +1,13 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
-import type { World } from "./World.js";
+import type { Simulation } from "./Simulation.js";
 
 const cutTimeoutMs = 300;
 
 /** The object API as one process reaches it: a cut way answers nothing, neither before nor after the effect. */
-export function createStoreLink(world: World, from: string): ObjectStore {
-    const { store, network, clock } = world;
+export function createStoreLink(simulation: Simulation, from: string): ObjectStore {
+    const { store, network, clock } = simulation;
 
     async function call<T>(run: () => Promise<T>): Promise<T> {
         if (network.isCut(from, "store")) {
--- a/packages/bench/src/faults/createWatchedParts.ts
+++ b/packages/bench/src/faults/createTrackedOwnerParts.ts
@@ -3,16 +3,16 @@
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 
 /** The usual parts of an owner; `noteFencing` hears under which number it works, and undefined when it ends. */
-export function createWatchedParts(noteFencing: (fencing: FencingNumber | undefined) => void): OwnerParts {
+export function createTrackedOwnerParts(onFencing: (fencing: FencingNumber | undefined) => void): OwnerParts {
     return {
         ...defaultOwnerParts,
         createDispatcher: dispatcherDeps => {
-            noteFencing(dispatcherDeps.fencing);
+            onFencing(dispatcherDeps.fencing);
             const dispatcher = defaultOwnerParts.createDispatcher(dispatcherDeps);
             return {
                 ...dispatcher,
                 stop: () => {
-                    noteFencing(undefined);
+                    onFencing(undefined);
                     return dispatcher.stop();
                 },
             };
--- a/packages/bench/src/faults/faults.test.ts
+++ b/packages/bench/src/faults/faults.test.ts
@@ -32,7 +32,7 @@
 });
 
 /** A run that breaks a promise without the guard and none with it; undefined if there is none among the runs. */
-async function findLoss(name: string): Promise<number | undefined> {
+async function findSeedWithViolation(name: string): Promise<number | undefined> {
     const scripted = await runScripts(removeGuard(name)!);
     if (scripted.length > 0 && (await runScripts(defaultFaultGuards)).length === 0) {
         return 0;
@@ -53,7 +53,7 @@
 
 // Guards against: a check that protects a promise could be lost without anybody noticing.
 test.each(listGuardNames())("the loss of %s is noticed", async name => {
-    expect(await findLoss(name)).toBeDefined();
+    expect(await findSeedWithViolation(name)).toBeDefined();
 });
 
 test("an unknown guard is none", () => {
--- a/packages/bench/src/faults/focusKinds.ts
+++ b/packages/bench/src/faults/focusKinds.ts
@@ -1,6 +1,6 @@
 import type { FaultKind } from "./FaultKind.js";
 
-const kindsOfDeath: readonly FaultKind[] = [
+const crashKinds: readonly FaultKind[] = [
     "engineCrash",
     "poisonRequest",
     "sidecarKill",
@@ -42,6 +42,6 @@
     "keyRange.isSeen": ["nonIdempotentResend"],
     "quarantine.isConvicted": ["poisonRequest"],
     "quarantine.isTrialDue": ["poisonRequest"],
-    "quarantine.trials": kindsOfDeath,
-    "quarantine.explainedDeaths": kindsOfDeath,
+    "quarantine.trials": crashKinds,
+    "quarantine.explainedDeaths": crashKinds,
 };
--- a/packages/bench/src/faults/strikeFault.ts
+++ b/packages/bench/src/faults/injectFault.ts
@@ -1,7 +1,7 @@
 import { digestRequest } from "@auburnarch/entry/digestRequest";
 import type { TestProcess } from "@auburnarch/ownership/testing/TestProcess";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
-import { attemptMemoryMs } from "@auburnarch/types/attemptMemoryMs";
+import { attemptRetentionMs } from "@auburnarch/types/attemptRetentionMs";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { ObjectVersion } from "@auburnarch/types/ObjectVersion";
 import type { PlainRequest } from "@auburnarch/types/PlainRequest";
@@ -10,46 +10,46 @@
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { TeamId } from "@auburnarch/types/TeamId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
+import { createCrashRequest } from "./createCrashRequest.js";
 import { createManifest } from "./createManifest.js";
-import { createPoisonRequest } from "./createPoisonRequest.js";
 import type { EntryNode } from "./EntryNode.js";
 import type { FaultKind } from "./FaultKind.js";
+import { injectStoreFault } from "./injectStoreFault.js";
 import { maxQueuedPerTeam } from "./maxQueuedPerTeam.js";
 import type { NetworkFault } from "./NetworkFault.js";
 import type { RunParts } from "./RunParts.js";
 import type { SamplerNode } from "./SamplerNode.js";
-import { strikeStore } from "./strikeStore.js";
 
 const policy = "plume" as PolicyId;
 /** A sidecar forgets its older half of attempts as a newer one ends, each half after this time: two turns forget all. */
-const forgetTurnMs = attemptMemoryMs + 2_000;
-const freezeMs = 2 * forgetTurnMs + 2_000;
+const attemptForgetMs = attemptRetentionMs + 2_000;
+const freezeMs = 2 * attemptForgetMs + 2_000;
 /** More than a plain sampler runs and queues at once. */
 const burstRequests = 90;
 /** As many as a plain sampler runs at once; the others wait beyond their deadline. */
 const burstRunning = 64;
-const burstLookMs = 10;
+const burstCheckMs = 10;
 /** Long enough for a takeover of key ranges and twice the largest clock skew after it. */
 const longCutMs = 17_000;
-const lookForOwnersMs = 250;
+const ownerCheckMs = 250;
 /** Longer than the entries remember a key. */
-const allAsleepMs = 605_000;
+const pauseAllMs = 605_000;
 /** After the call was carried out, before its sender asks what became of it. */
-const afterAnswerMs = 250;
+const afterLostAnswerMs = 250;
 /** After an entry's death its key ranges have another owner by then. */
 const takeoverMs = 10_500;
 /** The requests are answered before everything falls asleep. */
-const beforeSleepMs = 400;
-const deafMs = 3_000;
+const beforePauseAllMs = 400;
+const storeCutMs = 3_000;
 const manifestKey = "config/manifest";
 
 function pickOne<T>(parts: RunParts, from: readonly T[]): T | undefined {
-    return from.length === 0 ? undefined : from[parts.world.random.nextInt(from.length)];
+    return from.length === 0 ? undefined : from[parts.simulation.random.nextInt(from.length)];
 }
 
 /** Milliseconds between two bounds. */
 function drawMs(parts: RunParts, minMs: number, maxMs: number): number {
-    return minMs + parts.world.random.nextUnit() * (maxMs - minMs);
+    return minMs + parts.simulation.random.nextUnit() * (maxMs - minMs);
 }
 
 const plainNodes = (parts: RunParts): SamplerNode[] => parts.plains.map(plain => plain.node);
@@ -58,22 +58,22 @@
     parts.entries.find(entry => entry.ownedFencing() !== undefined);
 
 /** Strikes the next exchange from an entry to some sidecar, model or plain. */
-function strikeSidecarCall(parts: RunParts, kind: FaultKind, fault: NetworkFault): void {
+function failSidecarCall(parts: RunParts, kind: FaultKind, fault: NetworkFault): void {
     const targets = [...parts.models.map(model => model.node), ...plainNodes(parts), ...plainNodes(parts)];
     const target = pickOne(parts, targets)!;
     const from = pickOne(parts, parts.entries)!;
-    parts.world.network.strikeNext(fault, target.name, from.name, () => parts.struck(kind));
+    parts.simulation.network.failNext(fault, target.name, from.name, () => parts.countFault(kind));
 }
 
 function restartLater(parts: RunParts, entry: EntryNode): void {
-    parts.world.clock.startTimer(drawMs(parts, 500, 8_000), entry.start);
+    parts.simulation.clock.startTimer(drawMs(parts, 500, 8_000), entry.start);
 }
 
 function killOwner(parts: RunParts): void {
     const owner = findOwner(parts);
     if (owner !== undefined) {
         owner.kill();
-        parts.struck("ownerKill");
+        parts.countFault("ownerKill");
         restartLater(parts, owner);
     }
 }
@@ -83,8 +83,8 @@
     const running = owner?.running();
     if (running !== undefined && !running.process.isPaused()) {
         running.process.pause();
-        parts.struck("ownerPause");
-        parts.world.clock.startTimer(drawMs(parts, 5_000, 8_000), running.process.resume);
+        parts.countFault("ownerPause");
+        parts.simulation.clock.startTimer(drawMs(parts, 5_000, 8_000), running.process.resume);
     }
 }
 
@@ -94,13 +94,16 @@
     model.node.killSidecar();
     model.control().crash();
     model.control().restart([{ policy, version: 0 as WeightVersion }]);
-    parts.world.network.cut(model.node.name, "store");
-    parts.world.clock.startTimer(deafMs, () => parts.world.network.heal(model.node.name, "store"));
-    parts.world.clock.startTimer(drawMs(parts, 20, 400), model.node.startSidecar);
+    parts.simulation.network.cut(model.node.name, "store");
+    parts.simulation.clock.startTimer(
+        storeCutMs,
+        () => parts.simulation.network.heal(model.node.name, "store"),
+    );
+    parts.simulation.clock.startTimer(drawMs(parts, 20, 400), model.node.startSidecar);
 }
 
 /** Requests with keys minted now, each sent several times, through either entry. */
-function resendAround(parts: RunParts, count: number): void {
+function sendRepeatedly(parts: RunParts, count: number): void {
     for (let sent = 0; sent < count; sent++) {
         void parts.caller.sendOne(false, 3);
     }
@@ -108,7 +111,7 @@
 
 /** The owner's way to the object API is cut, so that another takes over while it lives and is reachable. */
 function makeTwoOwners(parts: RunParts): void {
-    const { network, clock, random } = parts.world;
+    const { network, clock, random } = parts.simulation;
     const owner = findOwner(parts);
     if (owner === undefined || network.isCut(owner.name, "store")) {
         return;
@@ -117,37 +120,37 @@
     const isLong = random.nextUnit() < 0.3;
     const durationMs = isLong ? longCutMs : drawMs(parts, 5_000, 8_000);
     network.cut(owner.name, "store");
-    parts.holdHealingFor(durationMs);
+    parts.delayHealing(durationMs);
     clock.startTimer(durationMs, () => network.heal(owner.name, "store"));
     if (isLong) {
         // By then keys are minted that only the newer owner of their range may run.
-        clock.startTimer(durationMs - 1_500, () => resendAround(parts, 6));
+        clock.startTimer(durationMs - 1_500, () => sendRepeatedly(parts, 6));
     }
-    function look(): void {
+    function check(): void {
         const others = parts.entries.filter(entry => entry !== owner && entry.ownedFencing() !== undefined);
         if (others.length > 0 && owner?.ownedFencing() === number) {
-            parts.struck("twoOwners");
+            parts.countFault("twoOwners");
             restartSampler(parts);
         }
         else if (network.isCut(owner!.name, "store")) {
-            clock.startTimer(lookForOwnersMs, look);
+            clock.startTimer(ownerCheckMs, check);
         }
     }
-    look();
+    check();
 }
 
-function disorder(parts: RunParts): void {
-    const { network, clock } = parts.world;
-    parts.struck("disorder");
-    network.setDisorder(drawMs(parts, 100, 700));
-    clock.startTimer(drawMs(parts, 1_000, 3_000), () => network.setDisorder(0));
+function reorderMessages(parts: RunParts): void {
+    const { network, clock } = parts.simulation;
+    parts.countFault("disorder");
+    network.setReordering(drawMs(parts, 100, 700));
+    clock.startTimer(drawMs(parts, 1_000, 3_000), () => network.setReordering(0));
 }
 
 function crashEngine(parts: RunParts): void {
     const model = pickOne(parts, parts.models)!;
     if (model.control().isUp()) {
         model.control().crash();
-        parts.struck("engineCrash");
+        parts.countFault("engineCrash");
     }
 }
 
@@ -156,13 +159,13 @@
     const model = pickOne(parts, parts.models)!;
     const control = model.control();
     const published = parts.trainer.trainer.publishedVersion();
-    const other = Math.max(0, published - 3 + parts.world.random.nextInt(3)) as WeightVersion;
+    const other = Math.max(0, published - 3 + parts.simulation.random.nextInt(3)) as WeightVersion;
     if (!control.isUp()) {
         return;
     }
-    parts.struck("engineOtherWeights");
-    if (parts.world.random.nextUnit() < 0.5) {
-        control.serveSilently(policy, other);
+    parts.countFault("engineOtherWeights");
+    if (parts.simulation.random.nextUnit() < 0.5) {
+        control.setServedVersion(policy, other);
     }
     else {
         control.crash();
@@ -172,21 +175,23 @@
 
 function failSwap(parts: RunParts): void {
     const model = pickOne(parts, parts.models)!;
-    const leaves = (["old", "new"] as const)[parts.world.random.nextInt(2)]!;
+    const outcome = (["old", "new"] as const)[parts.simulation.random.nextInt(2)]!;
     const published = parts.trainer.trainer.publishedVersion();
-    const left = parts.world.random.nextUnit() < 0.4 ? Math.max(0, published - 2) as WeightVersion : leaves;
-    parts.struck("swapFails");
-    model.control().failNextLoad(left);
+    const served = parts.simulation.random.nextUnit() < 0.4
+        ? Math.max(0, published - 2) as WeightVersion
+        : outcome;
+    parts.countFault("swapFails");
+    model.control().failNextLoad(served);
 }
 
 /** Half of the time right after it has carried out a call whose answer is lost, so that nobody can vouch for it. */
 function killSidecar(parts: RunParts): void {
-    const { network, clock, random } = parts.world;
+    const { network, clock, random } = parts.simulation;
     const node = pickOne(parts, [...parts.models.map(model => model.node), ...plainNodes(parts)])!;
     function kill(): void {
-        if (node.sidecar() !== undefined) {
+        if (node.sidecarProcess() !== undefined) {
             node.killSidecar();
-            parts.struck("sidecarKill");
+            parts.countFault("sidecarKill");
             clock.startTimer(drawMs(parts, 50, 1_500), node.startSidecar);
         }
     }
@@ -194,26 +199,26 @@
         kill();
         return;
     }
-    network.strikeNext("answerLost", node.name, undefined, () =>
-        clock.startTimer(afterAnswerMs, () => {
+    network.failNext("answerLost", node.name, undefined, () =>
+        clock.startTimer(afterLostAnswerMs, () => {
             node.killSidecar();
-            parts.struck("sidecarKill");
+            parts.countFault("sidecarKill");
             node.startSidecar();
         }));
 }
 
 /** A VM leaves, and for a while the reports of its sidecar do not get through. */
 function leaveVm(parts: RunParts): void {
-    const { network, clock } = parts.world;
+    const { network, clock } = parts.simulation;
     const node = pickOne(parts, [...parts.models.map(model => model.node), ...plainNodes(parts)])!;
-    if (node.sidecar() === undefined) {
+    if (node.sidecarProcess() === undefined) {
         return;
     }
-    parts.struck("vmLeaving");
+    parts.countFault("vmLeaving");
     node.leave(drawMs(parts, 4_000, 6_000));
-    const deaf = pickOne(parts, parts.entries)!;
-    clock.startTimer(drawMs(parts, 1_800, 2_600), () => network.cut(`${node.name}#reports`, deaf.name));
-    clock.startTimer(drawMs(parts, 5_000, 7_000), () => network.heal(`${node.name}#reports`, deaf.name));
+    const entry = pickOne(parts, parts.entries)!;
+    clock.startTimer(drawMs(parts, 1_800, 2_600), () => network.cut(`${node.name}#reports`, entry.name));
+    clock.startTimer(drawMs(parts, 5_000, 7_000), () => network.heal(`${node.name}#reports`, entry.name));
 }
 
 function shutDownEntry(parts: RunParts): void {
@@ -222,7 +227,7 @@
     if (entry === undefined || others.length === 0 || entry.running()!.process.isPaused()) {
         return;
     }
-    parts.struck("entryShutdown");
+    parts.countFault("entryShutdown");
     void entry.shutDown(3_000).then(() => restartLater(parts, entry));
 }
 
@@ -230,12 +235,12 @@
 function shutDownSidecar(parts: RunParts): void {
     const node = pickOne(parts, [...parts.models.map(model => model.node), ...plainNodes(parts)])!;
     function shutDown(): void {
-        if (node.sidecar() !== undefined && node.sidecar()?.shutdownAtMs === undefined) {
-            parts.struck("sidecarShutdown");
+        if (node.sidecarProcess() !== undefined && node.sidecarProcess()?.shutdownAtMs === undefined) {
+            parts.countFault("sidecarShutdown");
             void node.shutDown(2_000);
         }
     }
-    if (parts.world.random.nextUnit() < 0.5) {
+    if (parts.simulation.random.nextUnit() < 0.5) {
         shutDown();
         return;
     }
@@ -243,10 +248,10 @@
 }
 
 /** A content that kills every engine that runs it, sent again and again under new ids. */
-async function sendPoison(parts: RunParts): Promise<void> {
-    const { clock } = parts.world;
-    const request = createPoisonRequest(parts.nextKiller());
-    parts.poisonDigests.add(digestRequest(request));
+async function sendCrashRequests(parts: RunParts): Promise<void> {
+    const { clock } = parts.simulation;
+    const request = createCrashRequest(parts.nextCrashPrompt());
+    parts.crashRequestDigests.add(digestRequest(request));
     for (let sent = 0; sent < 4; sent++) {
         const entry = pickOne(parts, parts.entries)!;
         const crashes = (): number => parts.models.reduce((sum, model) => sum + model.control().crashes(), 0);
@@ -254,7 +259,7 @@
         const call = entry.enter(present => present.call(request, new AbortController().signal));
         await Promise.race([call.catch(() => undefined), clock.sleep(1_500)]);
         if (crashes() > before) {
-            parts.struck("poisonRequest");
+            parts.countFault("poisonRequest");
         }
         await clock.sleep(700);
     }
@@ -262,10 +267,10 @@
 
 /** Two operators publish against the same version; one wins, the other is told. A third one's manifest has faults. */
 async function raceOperators(parts: RunParts): Promise<void> {
-    const { store, random, violations } = parts.world;
-    parts.struck("operatorsRace");
-    const standing = await store.read(manifestKey).catch(() => undefined);
-    const expected = standing?.version ?? 0 as ObjectVersion;
+    const { store, random, violations } = parts.simulation;
+    parts.countFault("operatorsRace");
+    const current = await store.read(manifestKey).catch(() => undefined);
+    const expected = current?.version ?? 0 as ObjectVersion;
     const manifests = [createManifest(random.nextInt(1_000)), createManifest(1_000 + random.nextInt(1_000))];
     if (random.nextUnit() < 0.3) {
         manifests.push({ ...createManifest(0), teams: [] });
@@ -279,11 +284,11 @@
 }
 
 function partitionEntry(parts: RunParts): void {
-    const { network, clock } = parts.world;
+    const { network, clock } = parts.simulation;
     const entry = pickOne(parts, parts.entries)!;
     const nodes = [...parts.models.map(model => model.node), ...plainNodes(parts)]
-        .filter(() => parts.world.random.nextUnit() < 0.5);
-    parts.struck("entrySidecarPartition");
+        .filter(() => parts.simulation.random.nextUnit() < 0.5);
+    parts.countFault("entrySidecarPartition");
     nodes.forEach(node => network.cut(entry.name, node.name));
     clock.startTimer(drawMs(parts, 1_000, 5_000), () => {
         nodes.forEach(node => network.heal(entry.name, node.name));
@@ -295,19 +300,19 @@
  * which then dies, and the request comes again once its key range has another owner.
  */
 function resendNonIdempotent(parts: RunParts): void {
-    const { network, random, clock } = parts.world;
+    const { network, random, clock } = parts.simulation;
     if (random.nextUnit() < 0.5) {
         const target = pickOne(parts, plainNodes(parts))!;
-        network.strikeNext("answerLost", target.name, undefined, () => parts.struck("nonIdempotentResend"));
-        resendAround(parts, 1);
+        network.failNext("answerLost", target.name, undefined, () => parts.countFault("nonIdempotentResend"));
+        sendRepeatedly(parts, 1);
         return;
     }
     const entry = pickOne(parts, parts.entries)!;
     const other = parts.entries.find(each => each !== entry);
-    network.strikeNext("answerLost", entry.name, "caller", () => {
+    network.failNext("answerLost", entry.name, "caller", () => {
         if (other?.running()?.process.isPaused() === false) {
-            clock.startTimer(afterAnswerMs, () => {
-                parts.struck("nonIdempotentResend");
+            clock.startTimer(afterLostAnswerMs, () => {
+                parts.countFault("nonIdempotentResend");
                 entry.kill();
                 restartLater(parts, entry);
             });
@@ -320,64 +325,64 @@
 
 /** An entry sleeps past the sidecars' memory right after the answer to one of its requests was lost. */
 function freezeSender(parts: RunParts): void {
-    const { network, clock, random } = parts.world;
+    const { network, clock, random } = parts.simulation;
     if (random.nextUnit() < 0.3) {
-        sleepAll(parts);
+        pauseAll(parts);
         return;
     }
     const entry = pickOne(parts, parts.entries)!;
     const target = pickOne(parts, plainNodes(parts))!;
-    network.strikeNext("answerLost", target.name, entry.name, () => {
+    network.failNext("answerLost", target.name, entry.name, () => {
         const running = entry.running();
         const others = parts.entries.filter(each => each !== entry);
         const isOtherAwake = others.some(each => each.running()?.process.isPaused() === false);
         if (running !== undefined && !running.process.isPaused() && isOtherAwake && !parts.isFrozen()) {
-            parts.struck("senderFreeze");
+            parts.countFault("senderFreeze");
             running.process.pause();
-            parts.noteFrozen(freezeMs);
+            parts.recordFrozen(freezeMs);
             clock.startTimer(freezeMs, running.process.resume);
-            clock.startTimer(forgetTurnMs, () => sendDirectly(parts, target, 1_000));
-            clock.startTimer(2 * forgetTurnMs, () => sendDirectly(parts, target, 1_000));
+            clock.startTimer(attemptForgetMs, () => sendDirectly(parts, target, 1_000));
+            clock.startTimer(2 * attemptForgetMs, () => sendDirectly(parts, target, 1_000));
         }
     });
-    resendAround(parts, 2);
+    sendRepeatedly(parts, 2);
 }
 
 /** Every process sleeps for longer than the entries remember keys; requests from before come again after it. */
-function sleepAll(parts: RunParts): void {
-    const { clock } = parts.world;
+function pauseAll(parts: RunParts): void {
+    const { clock } = parts.simulation;
     const listProcesses = (): (TestProcess | undefined)[] => {
         const nodes = [...parts.models.map(model => model.node), ...plainNodes(parts)];
-        return [...parts.entries.map(entry => entry.running()), ...nodes.map(node => node.sidecar())]
+        return [...parts.entries.map(entry => entry.running()), ...nodes.map(node => node.sidecarProcess())]
             .map(each => each?.process);
     };
-    const areAwake = (): boolean =>
+    const areAllRunning = (): boolean =>
         listProcesses().every(process => process !== undefined && !process.isPaused());
-    if (parts.isFrozen() || !areAwake()) {
+    if (parts.isFrozen() || !areAllRunning()) {
         return;
     }
-    parts.struck("senderFreeze");
+    parts.countFault("senderFreeze");
     for (let sent = 0; sent < 4; sent++) {
-        void parts.caller.sendOne(false, 2, allAsleepMs + 4_000);
+        void parts.caller.sendOne(false, 2, pauseAllMs + 4_000);
     }
-    clock.startTimer(beforeSleepMs, () => {
-        if (!areAwake()) {
-            parts.caller.endLongWaits();
+    clock.startTimer(beforePauseAllMs, () => {
+        if (!areAllRunning()) {
+            parts.caller.resendNow();
             return;
         }
         const processes = listProcesses();
         processes.forEach(process => process!.pause());
-        parts.noteFrozen(0);
-        parts.holdHealingFor(allAsleepMs + 1_000);
-        clock.startTimer(allAsleepMs, () => processes.forEach(process => process!.resume()));
+        parts.recordFrozen(0);
+        parts.delayHealing(pauseAllMs + 1_000);
+        clock.startTimer(pauseAllMs, () => processes.forEach(process => process!.resume()));
     });
 }
 
 /** A request of one of the many other entries that a fleet has. */
 function sendDirectly(parts: RunParts, node: SamplerNode, budgetMs: number): void {
-    const { world } = parts;
+    const { simulation } = parts;
     const request: PlainRequest = {
-        attempt: world.random.nextId() as AttemptId,
+        attempt: simulation.random.nextId() as AttemptId,
         service: "tiles" as ServiceId,
         team: "humoboira" as TeamId,
         method: "GET",
@@ -390,58 +395,58 @@
     };
     const { signal } = new AbortController();
     const call = (): ReturnType<SidecarPort["callPlain"]> => node.port().callPlain(request, signal);
-    void world.network.exchange("other-entry", node.name, call).catch(() => undefined);
+    void simulation.network.exchange("other-entry", node.name, call).catch(() => undefined);
 }
 
 /** Many entries send to one sampler at once; its queue stays bounded and says so. */
 function burst(parts: RunParts): void {
-    const { world } = parts;
+    const { simulation } = parts;
     const plain = pickOne(parts, parts.plains)!;
-    if (plain.node.sidecar() === undefined) {
+    if (plain.node.sidecarProcess() === undefined) {
         return;
     }
-    parts.struck("requestBurst");
+    parts.countFault("requestBurst");
     plain.setLatencyMs(400);
-    world.clock.startTimer(1_000, () => plain.setLatencyMs(20));
+    simulation.clock.startTimer(1_000, () => plain.setLatencyMs(20));
     for (let sent = 0; sent < burstRequests; sent++) {
         sendDirectly(parts, plain.node, sent < burstRunning ? 2_000 : 300);
     }
-    world.clock.startTimer(burstLookMs, () => {
-        const report = plain.node.gate()?.report();
+    simulation.clock.startTimer(burstCheckMs, () => {
+        const report = plain.node.sidecar()?.report();
         const waiting = report?.waiting ?? 0;
         // Before it has a manifest a sidecar knows no bound of the manifest's.
         if (report?.configVersion !== 0 && waiting > maxQueuedPerTeam) {
-            world.violations.add("queueUnbounded", `${plain.node.name}: ${waiting} waiting`);
+            simulation.violations.add("queueUnbounded", `${plain.node.name}: ${waiting} waiting`);
         }
     });
 }
 
 /** Several versions in quick order, while an order for the first is late on its way. */
 function publishBurst(parts: RunParts): void {
-    const { network, random } = parts.world;
+    const { network, random } = parts.simulation;
     const count = 2 + random.nextInt(2);
     parts.trainer.publishMore(count, () => {
-        parts.struck("publishBurst");
+        parts.countFault("publishBurst");
         if (random.nextUnit() < 0.5) {
-            network.strikeNext("requestLate", pickOne(parts, parts.models)!.node.name);
+            network.failNext("requestLate", pickOne(parts, parts.models)!.node.name);
         }
     });
 }
 
 /** Strikes one fault of the kind, if it finds something to strike. */
-export function strikeFault(parts: RunParts, kind: FaultKind): void {
-    const strikes: Record<FaultKind, () => void> = {
+export function injectFault(parts: RunParts, kind: FaultKind): void {
+    const injectors: Record<FaultKind, () => void> = {
         ownerKill: () => killOwner(parts),
         ownerPause: () => pauseOwner(parts),
         twoOwners: () => makeTwoOwners(parts),
-        storeOutage: () => strikeStore(parts, "storeOutage"),
-        storeSlow: () => strikeStore(parts, "storeSlow"),
-        storeAnswerLost: () => strikeStore(parts, "storeAnswerLost"),
-        storeStaleRead: () => strikeStore(parts, "storeStaleRead"),
-        cutBeforeSend: () => strikeSidecarCall(parts, "cutBeforeSend", "noConnection"),
-        cutAfterSend: () => strikeSidecarCall(parts, "cutAfterSend", "answerLost"),
-        lateArrival: () => strikeSidecarCall(parts, "lateArrival", lateFault(parts)),
-        disorder: () => disorder(parts),
+        storeOutage: () => injectStoreFault(parts, "storeOutage"),
+        storeSlow: () => injectStoreFault(parts, "storeSlow"),
+        storeAnswerLost: () => injectStoreFault(parts, "storeAnswerLost"),
+        storeStaleRead: () => injectStoreFault(parts, "storeStaleRead"),
+        cutBeforeSend: () => failSidecarCall(parts, "cutBeforeSend", "noConnection"),
+        cutAfterSend: () => failSidecarCall(parts, "cutAfterSend", "answerLost"),
+        lateArrival: () => failSidecarCall(parts, "lateArrival", lateFault(parts)),
+        disorder: () => reorderMessages(parts),
         engineCrash: () => crashEngine(parts),
         engineOtherWeights: () => changeWeights(parts),
         swapFails: () => failSwap(parts),
@@ -449,20 +454,20 @@
         vmLeaving: () => leaveVm(parts),
         entryShutdown: () => shutDownEntry(parts),
         sidecarShutdown: () => shutDownSidecar(parts),
-        poisonRequest: () => void sendPoison(parts),
-        trainerAnswerLost: () => parts.trainer.loseAnswers(2, () => parts.struck("trainerAnswerLost")),
+        poisonRequest: () => void sendCrashRequests(parts),
+        trainerAnswerLost: () => parts.trainer.loseAnswers(2, () => parts.countFault("trainerAnswerLost")),
         operatorsRace: () => void raceOperators(parts),
         entrySidecarPartition: () => partitionEntry(parts),
         nonIdempotentResend: () => resendNonIdempotent(parts),
         senderFreeze: () => freezeSender(parts),
         requestBurst: () => burst(parts),
         publishBurst: () => publishBurst(parts),
-        spoiltAnswer: () => parts.world.spoilNextAnswer(() => parts.struck("spoiltAnswer")),
-        hostileCursor: () => parts.trainer.forgeNextCursor(() => parts.struck("hostileCursor")),
+        spoiltAnswer: () => parts.simulation.corruptNextAnswer(() => parts.countFault("spoiltAnswer")),
+        hostileCursor: () => parts.trainer.forgeNextCursor(() => parts.countFault("hostileCursor")),
     };
-    strikes[kind]();
+    injectors[kind]();
 }
 
 function lateFault(parts: RunParts): NetworkFault {
-    return parts.world.random.nextUnit() < 0.7 ? "requestLate" : "requestTwice";
+    return parts.simulation.random.nextUnit() < 0.7 ? "requestLate" : "requestTwice";
 }
--- a/packages/bench/src/faults/judges/Witness.ts
+++ b/packages/bench/src/faults/judges/RunObserver.ts
@@ -9,35 +9,35 @@
 import type { SidecarProcess } from "../SidecarProcess.js";
 
 /** Sees what truly happens at the backend servers, and judges by it. */
-export interface Witness {
+export interface RunObserver {
     /** Work reached a sidecar. */
-    noteArrival(
+    recordArrival(
         node: string,
         work: { attempt: AttemptId; budgetMs: number; digest: ContentDigest; },
-        sidecar: SidecarProcess,
+        process: SidecarProcess,
     ): void;
-    noteSample(attempt: SampleAttempt): void;
+    recordSample(attempt: SampleAttempt): void;
     /** A sender was told how its attempt ended. */
-    noteOutcome(attempt: string, outcome: AttemptOutcome<unknown>): void;
+    recordOutcome(attempt: string, outcome: AttemptOutcome<unknown>): void;
     /** Prompts of samples of which an attempt ended without an answer: what a death may be blamed on. */
-    promptsCutShort(): string[];
+    listInterruptedPrompts(): string[];
     /** An engine began to run an attempt. */
-    noteEngineStart(node: string, request: EngineRequest): void;
-    noteEngineEnd(node: string, attempt: string, isClean: boolean): void;
+    recordEngineStart(node: string, request: EngineRequest): void;
+    recordEngineEnd(node: string, attempt: string, isClean: boolean): void;
     /** An order reached a sidecar. */
-    noteOrderArrival(order: EngineOrder, sidecar: SidecarProcess): void;
+    recordOrderArrival(order: EngineOrder, process: SidecarProcess): void;
     /** An engine made tokens of an attempt with `version`. */
-    noteTokens(attempt: string, version: number, tokens: number): void;
-    noteEngineOrder(node: string, order: EngineOrder, served: number, sidecar: SidecarProcess): void;
+    recordTokens(attempt: string, version: number, tokens: number): void;
+    recordEngineOrder(node: string, order: EngineOrder, served: number, process: SidecarProcess): void;
     /** An engine that states no versions was told to swap while `running` samples ran. */
-    noteMixedSwap(node: string, running: number): void;
-    notePlainStart(node: string, request: PlainRequest): void;
+    recordMixedSwap(node: string, running: number): void;
+    recordPlainStart(node: string, request: PlainRequest): void;
     /** The platform marked the node's VM as leaving; undefined once a fresh VM is there. */
     setLeaving(node: string, sinceMs: number | undefined): void;
     /** A trainer took a page in. */
-    judgePage(page: GroupsPage): void;
+    checkPage(page: GroupsPage): void;
     /** Judgements that need the whole run. */
-    judgeEnd(): void;
+    checkAtEnd(): void;
     /** How often requests with this key truly ran. */
-    plainRuns(key: string): number;
+    countPlainRuns(key: string): number;
 }
--- a/packages/bench/src/faults/judges/judgeServed.ts
+++ b/packages/bench/src/faults/judges/checkPromptsServed.ts
@@ -8,8 +8,8 @@
  * again. None of them kills engines, so all must be made, whatever deaths they were in flight at. What the product
  * itself takes for guilty plays no part here. True if they were.
  */
-export async function judgeServed({ world, trainer }: RunParts): Promise<boolean> {
-    const prompts = world.witness.promptsCutShort();
+export async function checkPromptsServed({ simulation, trainer }: RunParts): Promise<boolean> {
+    const prompts = simulation.observer.listInterruptedPrompts();
     if (prompts.length === 0) {
         return true;
     }
@@ -17,9 +17,9 @@
     void trainer.trainer.runExtraStep(prompts).then(() => {
         isServed = true;
     });
-    await world.clock.runUntil(() => isServed, servedWithinMs);
+    await simulation.clock.runUntil(() => isServed, servedWithinMs);
     if (!isServed) {
-        world.violations.add("innocentRefused", `${prompts.length} prompts asked for again`);
+        simulation.violations.add("innocentRefused", `${prompts.length} prompts asked for again`);
     }
     return isServed;
 }
--- a/packages/bench/src/faults/judges/judgeKnowledge.ts
+++ b/packages/bench/src/faults/judges/checkReport.ts
@@ -3,7 +3,7 @@
 import type { Violations } from "./Violations.js";
 
 /** What the sidecar itself reports must not speak against running the sample. */
-export function judgeKnowledge(
+export function checkReport(
     violations: Violations,
     node: string,
     attempt: SampleAttempt,
--- a/packages/bench/src/faults/judges/judgeRun.ts
+++ b/packages/bench/src/faults/judges/checkRun.ts
@@ -5,49 +5,49 @@
 import { initialConfigWaitMs } from "@auburnarch/sidecar/initialConfigWaitMs";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
-import { createPoisonRequest } from "../createPoisonRequest.js";
+import { createCrashRequest } from "../createCrashRequest.js";
 import type { RunParts } from "../RunParts.js";
 import type { SamplerNode } from "../SamplerNode.js";
-import { judgeServed } from "./judgeServed.js";
+import { checkPromptsServed } from "./checkPromptsServed.js";
 
 const manifestKey = "config/manifest";
-const askMs = 1_000;
+const requestTimeoutMs = 1_000;
 /** Without word from an entry a sidecar takes work after this time. */
-const startMs = initialConfigWaitMs + 150;
+const sidecarStartMs = initialConfigWaitMs + 150;
 /** A process that has just started hears of the manifest and the quarantine within this time. */
-const learnMs = 2_000;
+const propagationMs = 2_000;
 
 /** The judgements that need a settled system: liveness, usage, configuration. */
-export async function judgeRun(parts: RunParts, isOver: boolean): Promise<void> {
-    const { world, trainer, entries } = parts;
-    const { violations, storeControl } = world;
+export async function checkRun(parts: RunParts, isOver: boolean): Promise<void> {
+    const { simulation, trainer, entries } = parts;
+    const { violations, storeControl } = simulation;
     const { report } = trainer.trainer;
 
     report.problems.forEach(problem => violations.add(problem.split(" ")[0]!, problem));
-    judgeQuarantine();
+    checkQuarantine();
     if (!isOver) {
         violations.add("notFinished", `${report.stepsDone} steps, caller ${parts.caller.isFinished()}`);
         return;
     }
-    judgeConfig();
-    if (!await judgeServed(parts)) {
+    checkConfig();
+    if (!await checkPromptsServed(parts)) {
         return;
     }
-    await judgeUsage();
-    await probePoison();
+    await checkUsage();
+    await probeCrashRequests();
 
     /**
      * Nothing may be refused for what a killing content did. A content that was in flight at two crashes of other
      * causes is not judged here but by `judgeServed`.
      */
-    function judgeQuarantine(): void {
+    function checkQuarantine(): void {
         const stored = storeControl.peek("quarantine") as { records: QuarantineRecord[]; } | undefined;
         const convicted = (stored?.records ?? []).filter(record =>
-            isConvicted(record, world.clock.wallMs(), stored!.records)
+            isConvicted(record, simulation.clock.wallMs(), stored!.records)
         );
         const innocent = convicted.filter(record =>
-            !parts.poisonDigests.has(record.digest)
-            && record.deaths.every(world.isPoisonDeath)
+            !parts.crashRequestDigests.has(record.digest)
+            && record.deaths.every(simulation.isInducedCrash)
         );
         if (innocent.length > 0) {
             violations.add("bystanderConvicted", `${innocent.length} of ${convicted.length}`);
@@ -55,72 +55,79 @@
     }
 
     /** Whether the node's sidecar has run for long enough to have heard of what is known everywhere. */
-    function hasLearned(node: SamplerNode): boolean {
-        const sidecar = node.sidecar();
-        return sidecar !== undefined && sidecar.startedAtMs < world.clock.monotonicMs() - learnMs;
+    function hasReceivedState(node: SamplerNode): boolean {
+        const sidecar = node.sidecarProcess();
+        return sidecar !== undefined && sidecar.startedAtMs < simulation.clock.monotonicMs() - propagationMs;
     }
 
     /** Sends the content through every entry that is awake, and straight to the sidecars if `direct`; true if it ran. */
-    async function sendPoison(prompt: string, direct: boolean): Promise<boolean> {
-        const before = world.poison().get(prompt)!.runs;
-        const request = createPoisonRequest(prompt);
+    async function sendCrashRequest(prompt: string, direct: boolean): Promise<boolean> {
+        const before = simulation.crashRequests().get(prompt)!.runs;
+        const request = createCrashRequest(prompt);
         const { signal } = new AbortController();
         const awake = entries.filter(entry => entry.running()?.process.isPaused() === false);
         awake.forEach(entry =>
             void entry.enter(present => present.call(request, signal)).catch(() => undefined)
         );
-        const plain = { ...request, idempotent: true, digest: digestRequest(request), budgetMs: askMs };
+        const plain = {
+            ...request,
+            idempotent: true,
+            digest: digestRequest(request),
+            budgetMs: requestTimeoutMs,
+        };
         const targets = direct ? parts.models.map(({ node }) => node.port()) : [];
         targets.forEach(port =>
-            void port.callPlain({ ...plain, attempt: world.random.nextId() as AttemptId }, signal)
+            void port.callPlain({ ...plain, attempt: simulation.random.nextId() as AttemptId }, signal)
         );
-        const hasRun = (): boolean => world.poison().get(prompt)!.runs > before;
-        await world.clock.runUntil(hasRun, askMs);
+        const hasRun = (): boolean => simulation.crashRequests().get(prompt)!.runs > before;
+        await simulation.clock.runUntil(hasRun, requestTimeoutMs);
         return hasRun();
     }
 
     /** Sidecars that were started again and cannot reach an entry know no list, and take work all the same. */
-    async function forgetAtSidecars(): Promise<void> {
+    async function restartIsolatedSidecars(): Promise<void> {
         for (const { node } of parts.models) {
-            entries.forEach(entry => world.network.cut(`${node.name}#reports`, entry.name));
+            entries.forEach(entry => simulation.network.cut(`${node.name}#reports`, entry.name));
             node.killSidecar();
             node.startSidecar();
         }
-        await world.clock.runUntil(() => false, startMs);
+        await simulation.clock.runUntil(() => false, sidecarStartMs);
     }
 
     /** What has killed engines on two VMs is refused by sidecars whatever entry sends it, and by every entry. */
-    async function probePoison(): Promise<void> {
-        const killers = [...world.poison()].filter(([, { vms }]) => vms.size > 1).map(([prompt]) => prompt);
-        for (const prompt of killers) {
-            if (await sendPoison(prompt, true)) {
+    async function probeCrashRequests(): Promise<void> {
+        const prompts = [...simulation.crashRequests()].filter(([, { vms }]) => vms.size > 1).map((
+            [prompt],
+        ) => prompt);
+        for (const prompt of prompts) {
+            if (await sendCrashRequest(prompt, true)) {
                 violations.add("poisonRanAgain", `${prompt} at a sidecar`);
                 return;
             }
         }
         // The sidecars know no list from here on, so this comes after all the probes that ask them.
-        await forgetAtSidecars();
-        for (const prompt of killers) {
-            if (await sendPoison(prompt, false)) {
+        await restartIsolatedSidecars();
+        for (const prompt of prompts) {
+            if (await sendCrashRequest(prompt, false)) {
                 violations.add("poisonRanAgain", `${prompt} through an entry`);
             }
         }
     }
 
-    function judgeConfig(): void {
+    function checkConfig(): void {
         const manifest = storeControl.peek(manifestKey);
         if (validateManifest(manifest).kind === "invalid") {
             return;
         }
         const versions = [...parts.models.map(model => model.node), ...parts.plains.map(plain => plain.node)]
-            .filter(hasLearned)
-            .map(node => node.gate()!.report().configVersion);
+            .filter(hasReceivedState)
+            .map(node => node.sidecar()!.report().configVersion);
         if (new Set(versions).size !== 1) {
             violations.add("configNotEverywhere", versions.join());
         }
     }
 
-    async function judgeUsage(): Promise<void> {
+    async function checkUsage(): Promise<void> {
         const awake = entries.filter(entry => entry.running()?.process.isPaused() === false);
         const owner = awake.find(entry => entry.ownedFencing() !== undefined);
         const asked = owner?.receive("jobStatus", { job: "plume" }).catch(() => undefined);
@@ -128,7 +135,7 @@
         void asked?.then(answer => {
             status = answer as OwnerStatus | undefined;
         });
-        await world.clock.runUntil(() => status !== undefined, askMs);
+        await simulation.clock.runUntil(() => status !== undefined, requestTimeoutMs);
         const delivered = Math.round(status?.deliveredEngineMs ?? -1);
         if (delivered !== Math.round(report.engineMs)) {
             violations.add(
--- a/packages/bench/src/faults/judges/createJudgedStore.ts
+++ b/packages/bench/src/faults/judges/createCheckedStore.ts
@@ -8,16 +8,20 @@
     published?: { version: number; };
 }
 
-interface JudgedStore {
+interface CheckedStore {
     store: ObjectStore;
     /** The job lease's number as it truly stands; a write whose answer was lost shows at the next renewal. */
     trueFencing(): number;
 }
 
 /** The object API with a judge: fencing numbers and published versions in it only ever rise. */
-export function createJudgedStore(store: ObjectStore, violations: Violations, leaseKey: string): JudgedStore {
+export function createCheckedStore(
+    store: ObjectStore,
+    violations: Violations,
+    leaseKey: string,
+): CheckedStore {
     let fencing = 0;
-    const standing = new Map<string, { value: FencedValue; version: number; }>();
+    const latest = new Map<string, { value: FencedValue; version: number; }>();
 
     function compare(key: string, earlier: FencedValue, later: FencedValue): void {
         if ((later.fencing ?? 0) < (earlier.fencing ?? 0)) {
@@ -32,20 +36,20 @@
     }
 
     /** Answers may come in another order than the writes took effect in; the versions tell that order. */
-    function judge(key: string, value: FencedValue, version: number): void {
-        const known = standing.get(key);
+    function check(key: string, value: FencedValue, version: number): void {
+        const known = latest.get(key);
         if (known !== undefined && known.version > version) {
             compare(key, value, known.value);
             return;
         }
         compare(key, known?.value ?? {}, value);
-        standing.set(key, { value, version });
+        latest.set(key, { value, version });
     }
 
     const write: ObjectStore["write"] = async (key, value, expected) => {
         const outcome = await store.write(key, value, expected);
         if (outcome.kind === "written" && fencedKeys.test(key)) {
-            judge(key, value as FencedValue, outcome.version);
+            check(key, value as FencedValue, outcome.version);
         }
         if (outcome.kind === "written" && key === leaseKey) {
             fencing = Math.max(fencing, (value as FencedValue).fencing ?? outcome.version);
--- a/packages/bench/src/faults/judges/createWitness.ts
+++ b/packages/bench/src/faults/judges/createRunObserver.ts
@@ -1,14 +1,14 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
 import type { SidecarProcess } from "../SidecarProcess.js";
-import { createCompanyJudge } from "./createCompanyJudge.js";
+import { checkReport } from "./checkReport.js";
+import { createSuspectIsolationCheck } from "./createSuspectIsolationCheck.js";
 import { createTokenRecord } from "./createTokenRecord.js";
-import { judgeKnowledge } from "./judgeKnowledge.js";
+import type { RunObserver } from "./RunObserver.js";
 import type { Violations } from "./Violations.js";
-import type { Witness } from "./Witness.js";
 
 /** A leaving VM gets no new work after this. */
-const leaveMs = 3_000;
+const leavingGraceMs = 3_000;
 const deadlineSlackMs = 50;
 
 interface Arrival {
@@ -16,31 +16,31 @@
     atMs: number;
     budgetMs: number;
     digest: string;
-    sidecar: SidecarProcess;
+    process: SidecarProcess;
 }
 
 const keyHeader = "idempotency-key";
 
 /** Makes a witness. */
-export function createWitness(
+export function createRunObserver(
     clock: Clock,
     violations: Violations,
     listSuspects: () => ReadonlyMap<string, number>,
-): Witness {
+): RunObserver {
     const arrivals = new Map<string, Arrival>();
     const samples = new Map<string, SampleAttempt>();
     const started = new Set<string>();
     const notRun = new Set<string>();
-    const promptsCutShort = new Set<string>();
+    const interruptedPrompts = new Set<string>();
     const runsByKey = new Map<string, number>();
     const leavingSinceMs = new Map<string, number | undefined>();
     const tokens = createTokenRecord();
-    const company = createCompanyJudge(violations, clock.wallMs, listSuspects);
+    const suspectIsolation = createSuspectIsolationCheck(violations, clock.wallMs, listSuspects);
     /** Orders that arrived after the shutdown of their sidecar had begun. */
     const lateOrders = new Map<SidecarProcess, Set<string>>();
     const highestStarted = new Map<SidecarProcess, number>();
 
-    function judgeStart(attempt: string): void {
+    function checkStart(attempt: string): void {
         const arrival = arrivals.get(attempt);
         if (started.has(attempt)) {
             violations.add("ranTwice", `attempt ${attempt}`);
@@ -49,11 +49,11 @@
         if (arrival === undefined) {
             return;
         }
-        const leftAtMs = leavingSinceMs.get(arrival.node);
-        if (leftAtMs !== undefined && arrival.atMs > leftAtMs + leaveMs) {
-            violations.add("workAfterLeave", `${arrival.node}, ${arrival.atMs - leftAtMs} ms after`);
+        const leavingAtMs = leavingSinceMs.get(arrival.node);
+        if (leavingAtMs !== undefined && arrival.atMs > leavingAtMs + leavingGraceMs) {
+            violations.add("workAfterLeave", `${arrival.node}, ${arrival.atMs - leavingAtMs} ms after`);
         }
-        const { shutdownAtMs } = arrival.sidecar;
+        const { shutdownAtMs } = arrival.process;
         if (shutdownAtMs !== undefined && arrival.atMs > shutdownAtMs) {
             violations.add("workAfterShutdown", arrival.node);
         }
@@ -62,74 +62,74 @@
         }
     }
 
-    function judgeFencing(attempt: SampleAttempt): void {
-        const sidecar = arrivals.get(attempt.attempt)?.sidecar;
-        if (sidecar === undefined) {
+    function checkFencing(attempt: SampleAttempt): void {
+        const process = arrivals.get(attempt.attempt)?.process;
+        if (process === undefined) {
             return;
         }
-        const highest = highestStarted.get(sidecar) ?? 0;
+        const highest = highestStarted.get(process) ?? 0;
         if (attempt.fencing < highest) {
             violations.add("fencedWorkRan", `${attempt.sample}: ${attempt.fencing} after ${highest}`);
         }
-        highestStarted.set(sidecar, Math.max(highest, attempt.fencing));
+        highestStarted.set(process, Math.max(highest, attempt.fencing));
     }
 
     return {
-        noteArrival: (node, { attempt, budgetMs, digest }, sidecar) => {
+        recordArrival: (node, { attempt, budgetMs, digest }, process) => {
             if (!arrivals.has(attempt)) {
-                arrivals.set(attempt, { node, atMs: clock.monotonicMs(), budgetMs, digest, sidecar });
+                arrivals.set(attempt, { node, atMs: clock.monotonicMs(), budgetMs, digest, process });
             }
         },
-        noteSample: attempt => {
+        recordSample: attempt => {
             samples.set(attempt.attempt, attempt);
-            tokens.noteAttempt(attempt);
+            tokens.recordAttempt(attempt);
         },
-        noteOutcome: (attempt, outcome) => {
+        recordOutcome: (attempt, outcome) => {
             if (outcome.kind === "notRun") {
                 notRun.add(attempt);
             }
             const sample = samples.get(attempt);
             if (outcome.kind === "unknown" && sample !== undefined) {
-                promptsCutShort.add(sample.prompt);
+                interruptedPrompts.add(sample.prompt);
             }
         },
-        promptsCutShort: () => [...promptsCutShort],
-        noteEngineStart: (node, request) => {
-            judgeStart(request.attempt);
-            company.start(node, request.attempt, arrivals.get(request.attempt));
+        listInterruptedPrompts: () => [...interruptedPrompts],
+        recordEngineStart: (node, request) => {
+            checkStart(request.attempt);
+            suspectIsolation.start(node, request.attempt, arrivals.get(request.attempt));
             const attempt = samples.get(request.attempt);
             if (attempt === undefined) {
                 return;
             }
-            judgeFencing(attempt);
-            judgeKnowledge(violations, node, attempt, arrivals.get(attempt.attempt)?.sidecar.gate.report());
+            checkFencing(attempt);
+            checkReport(violations, node, attempt, arrivals.get(attempt.attempt)?.process.sidecar.report());
             tokens.begin(request.attempt, request.resumeTokens);
         },
-        noteEngineEnd: company.end,
-        noteOrderArrival: (order, sidecar) => {
-            if (order.kind === "load" && sidecar.shutdownAtMs !== undefined) {
-                const late = lateOrders.get(sidecar) ?? new Set<string>();
-                lateOrders.set(sidecar, late.add(`${order.version} ${order.fencing}`));
+        recordEngineEnd: suspectIsolation.end,
+        recordOrderArrival: (order, process) => {
+            if (order.kind === "load" && process.shutdownAtMs !== undefined) {
+                const late = lateOrders.get(process) ?? new Set<string>();
+                lateOrders.set(process, late.add(`${order.version} ${order.fencing}`));
             }
         },
-        noteTokens: tokens.add,
-        noteEngineOrder: (node, order, served, sidecar) => {
+        recordTokens: tokens.add,
+        recordEngineOrder: (node, order, served, process) => {
             if (order.kind !== "load") {
                 return;
             }
-            if (order.fencing < sidecar.startedAtFencing) {
-                violations.add("oldOrderRan", `${node}: ${order.fencing} before ${sidecar.startedAtFencing}`);
+            if (order.fencing < process.startedAtFencing) {
+                violations.add("oldOrderRan", `${node}: ${order.fencing} before ${process.startedAtFencing}`);
             }
             if (order.version < served) {
                 violations.add("weightsWentBack", `${node}: ${served} to ${order.version}`);
             }
-            if (lateOrders.get(sidecar)?.has(`${order.version} ${order.fencing}`) === true) {
+            if (lateOrders.get(process)?.has(`${order.version} ${order.fencing}`) === true) {
                 violations.add("orderAfterShutdown", node);
             }
         },
-        noteMixedSwap: (node, running) => violations.add("swappedUnderSample", `${node}: ${running} running`),
-        notePlainStart: (_node, request) => {
-            judgeStart(request.attempt);
+        recordMixedSwap: (node, count) => violations.add("swappedUnderSample", `${node}: ${count} running`),
+        recordPlainStart: (_node, request) => {
+            checkStart(request.attempt);
             const key = request.headers[keyHeader];
             if (key === undefined) {
                 return;
@@ -140,19 +140,19 @@
             }
         },
         setLeaving: (node, sinceMs) => void leavingSinceMs.set(node, sinceMs),
-        judgePage: page => {
+        checkPage: page => {
             const wrong = page.groups.flatMap(group =>
                 group.samples.flatMap(sample => tokens.findWrong(sample) ?? [])
             );
             wrong.forEach(detail => violations.add("provenanceWrong", detail));
         },
-        judgeEnd: () => {
+        checkAtEnd: () => {
             for (const attempt of notRun) {
                 if (started.has(attempt)) {
                     violations.add("notRunButRan", `attempt ${attempt}`);
                 }
             }
         },
-        plainRuns: key => runsByKey.get(key) ?? 0,
+        countPlainRuns: key => runsByKey.get(key) ?? 0,
     };
 }
--- a/packages/bench/src/faults/judges/createCompanyJudge.ts
+++ b/packages/bench/src/faults/judges/createSuspectIsolationCheck.ts
@@ -2,11 +2,11 @@
 import type { Violations } from "./Violations.js";
 
 /** Judges in whose company contents run. */
-interface CompanyJudge {
+interface SuspectIsolationCheck {
     start(
         node: string,
         attempt: string,
-        arrival: { digest: string; sidecar: SidecarProcess; } | undefined,
+        arrival: { digest: string; process: SidecarProcess; } | undefined,
     ): void;
     end(node: string, attempt: string, isClean: boolean): void;
 }
@@ -15,11 +15,11 @@
  * Makes the judge: two contents that are known as suspects everywhere, or to the sidecar itself, must not run beside each
  * other. One that has run to its end since its latest death is none any more, also while the list does not say so yet.
  */
-export function createCompanyJudge(
+export function createSuspectIsolationCheck(
     violations: Violations,
     wallMs: () => number,
     listSuspects: () => ReadonlyMap<string, number>,
-): CompanyJudge {
+): SuspectIsolationCheck {
     const cleanEndAtMs = new Map<string, number>();
     const running = new Map<string, Map<string, string>>();
 
@@ -35,9 +35,9 @@
                 return;
             }
             const others = [...runningAt(node).values()].filter(digest => digest !== arrival.digest);
-            const own = arrival.sidecar.gate.report().suspects.map(each => each.digest);
+            const own = arrival.process.sidecar.report().suspects.map(each => each.digest);
             const listed = [...listSuspects()]
-                .filter(([digest, diedAtMs]) => diedAtMs > (cleanEndAtMs.get(digest) ?? 0))
+                .filter(([digest, lastCrashAtMs]) => lastCrashAtMs > (cleanEndAtMs.get(digest) ?? 0))
                 .map(([digest]) => digest);
             const suspects = new Set<string>([...listed, ...own]);
             if (suspects.has(arrival.digest) && others.some(digest => suspects.has(digest))) {
--- a/packages/bench/src/faults/judges/createTokenRecord.ts
+++ b/packages/bench/src/faults/judges/createTokenRecord.ts
@@ -3,7 +3,7 @@
 
 /** Which weights truly made each token of each attempt. */
 interface TokenRecord {
-    noteAttempt(attempt: SampleAttempt): void;
+    recordAttempt(attempt: SampleAttempt): void;
     /** An attempt starts behind `resumeTokens` tokens of earlier ones. */
     begin(attempt: string, resumeTokens: number): void;
     add(attempt: string, version: number, tokens: number): void;
@@ -22,7 +22,7 @@
         (attemptsOf.get(sample.sample) ?? []).some(attempt => versionsOf.get(attempt)?.[index] === version);
 
     return {
-        noteAttempt: ({ sample, attempt }) => {
+        recordAttempt: ({ sample, attempt }) => {
             attemptsOf.set(sample, [...attemptsOf.get(sample) ?? [], attempt]);
         },
         begin: (attempt, resumeTokens) => {
--- a/packages/bench/src/faults/parseFaultOptions.ts
+++ b/packages/bench/src/faults/parseFaultOptions.ts
@@ -15,9 +15,9 @@
 }
 
 /** A whole number in bounds, or undefined. */
-function parseCount(text: string, least: number): number | undefined {
+function parseCount(text: string, min: number): number | undefined {
     const value = Number(text);
-    return Number.isSafeInteger(value) && value >= least ? value : undefined;
+    return Number.isSafeInteger(value) && value >= min ? value : undefined;
 }
 
 const isKind = (text: string): text is FaultKind => (faultKinds as readonly string[]).includes(text);
--- a/packages/bench/src/faults/removedMechanisms.ts
+++ b/packages/bench/src/faults/removedMechanisms.ts
@@ -4,7 +4,7 @@
 
 const vmsToConvict = 2;
 
-function hasDeathsOnTwoVms(record: QuarantineRecord, nowMs: number): boolean {
+function hasCrashesOnTwoVms(record: QuarantineRecord, nowMs: number): boolean {
     return new Set(countedCrashes(record, nowMs).map(death => death.vm)).size >= vmsToConvict;
 }
 
@@ -13,5 +13,5 @@
     /** A refused content stays refused. */
     "quarantine.trials": { isTrialDue: () => false },
     /** Each death counts for all that were in flight at it. */
-    "quarantine.explainedDeaths": { isConvicted: hasDeathsOnTwoVms },
+    "quarantine.explainedDeaths": { isConvicted: hasCrashesOnTwoVms },
 };
--- a/packages/bench/src/faults/runFaultSeries.ts
+++ b/packages/bench/src/faults/runFaultSeries.ts
@@ -6,7 +6,7 @@
 import { runScripts } from "./scripts/runScripts.js";
 import type { SeriesOptions } from "./SeriesOptions.js";
 
-const keptViolations = 100;
+const maxDetailedViolations = 100;
 /** Seeds of the runs of a series lie apart from those of a neighbouring series. */
 const seedStride = 1_000_003;
 
@@ -14,7 +14,7 @@
     for (const kind of faultKinds) {
         summary.strikes[kind] += run.strikes[kind];
     }
-    const left = keptViolations - summary.violations.length;
+    const left = maxDetailedViolations - summary.violations.length;
     summary.violations.push(...run.violations.slice(0, left).map(each => ({ seed: run.seed, ...each })));
     summary.violationCount += run.violations.length;
     summary.simulatedMs += Math.round(run.simulatedMs);
--- a/packages/bench/src/faults/runWithFaults.ts
+++ b/packages/bench/src/faults/runWithFaults.ts
@@ -4,14 +4,14 @@
 import type { Random } from "@auburnarch/types/Random";
 import { createManifest } from "./createManifest.js";
 import { createRunParts } from "./createRunParts.js";
-import { createWorld } from "./createWorld.js";
+import { createSimulation } from "./createSimulation.js";
 import type { FaultGuards } from "./FaultGuards.js";
 import type { FaultKind } from "./FaultKind.js";
 import { faultKinds } from "./faultKinds.js";
 import type { FaultRun } from "./FaultRun.js";
-import { judgeRun } from "./judges/judgeRun.js";
+import { injectFault } from "./injectFault.js";
+import { checkRun } from "./judges/checkRun.js";
 import type { RunParts } from "./RunParts.js";
-import { strikeFault } from "./strikeFault.js";
 import { watchRun } from "./watchRun.js";
 
 const manifestKey = "config/manifest";
@@ -22,8 +22,8 @@
 const healAtMs = 10_500;
 const endLimitMs = 120_000;
 const faultsPerRun = 10;
-const twiceChance = 0.4;
-const twiceWithinMs = 1_500;
+const repeatChance = 0.4;
+const repeatWithinMs = 1_500;
 const settleMs = 3_000;
 
 /** Kinds that often find nothing to strike are drawn more often; a long sleep takes most of a run's time. */
@@ -45,27 +45,27 @@
 
 /** Draws the run's faults, many of them twice in short order. */
 function schedule(parts: RunParts, only: readonly FaultKind[] | undefined): void {
-    const { clock, random } = parts.world;
+    const { clock, random } = parts.simulation;
     const kinds = only ?? faultKinds;
     for (let drawn = 0; drawn < faultsPerRun; drawn++) {
         const kind = drawKind(kinds, random);
         const untilMs = slowKinds.includes(kind) ? slowFaultsUntilMs : faultsUntilMs;
         const atMs = faultsFromMs + random.nextUnit() * (untilMs - faultsFromMs);
-        clock.startTimer(atMs - clock.monotonicMs(), () => strikeFault(parts, kind));
-        if (random.nextUnit() < twiceChance) {
-            const againMs = atMs + random.nextUnit() * twiceWithinMs;
-            clock.startTimer(againMs - clock.monotonicMs(), () => strikeFault(parts, kind));
+        clock.startTimer(atMs - clock.monotonicMs(), () => injectFault(parts, kind));
+        if (random.nextUnit() < repeatChance) {
+            const againMs = atMs + random.nextUnit() * repeatWithinMs;
+            clock.startTimer(againMs - clock.monotonicMs(), () => injectFault(parts, kind));
         }
     }
 }
 
 /** Ends every fault that lasts, so that what is left must settle. */
 function heal(parts: RunParts): void {
-    const { world, entries, models, plains } = parts;
-    world.network.healAll();
-    world.storeFaults.setOutage(false);
-    world.storeFaults.setSlow(0);
-    world.storeControl.setStaleReads(0);
+    const { simulation, entries, models, plains } = parts;
+    simulation.network.healAll();
+    simulation.storeFaults.setOutage(false);
+    simulation.storeFaults.setSlow(0);
+    simulation.storeControl.setStaleReads(0);
     entries.forEach(entry => entry.start());
     [...models.map(model => model.node), ...plains.map(plain => plain.node)].forEach(node =>
         node.startSidecar()
@@ -82,7 +82,7 @@
     /** Where the log of all processes goes; nowhere by default. */
     createLogger?: (clock: Clock) => Logger;
     /** Hears of each fault that truly struck. */
-    onStrike?: (kind: FaultKind, atMs: number) => void;
+    onFault?: (kind: FaultKind, atMs: number) => void;
 }
 
 /** One randomised run of the real entries, sidecars and owners; the same seed gives the same run. */
@@ -91,30 +91,30 @@
     guards: FaultGuards,
     options: RunOptions = {},
 ): Promise<FaultRun> {
-    const world = createWorld(seed, guards, options.createLogger);
-    const { clock, violations } = world;
+    const simulation = createSimulation(seed, guards, options.createLogger);
+    const { clock, violations } = simulation;
     const strikes = Object.fromEntries(faultKinds.map(kind => [kind, 0])) as FaultRun["strikes"];
     let isHealed = false;
     let frozenUntilMs = 0;
-    let killersSent = 0;
-    let healNotBeforeMs = 0;
-    void world.store.write(manifestKey, createManifest(0), 0 as ObjectVersion);
+    let crashPromptsSent = 0;
+    let earliestHealAtMs = 0;
+    void simulation.store.write(manifestKey, createManifest(0), 0 as ObjectVersion);
     const parts: RunParts = {
-        ...createRunParts(world, () => isHealed),
-        poisonDigests: new Set(),
-        nextKiller: () => {
-            const number = killersSent++ % (options.killers ?? 1);
+        ...createRunParts(simulation, () => isHealed),
+        crashRequestDigests: new Set(),
+        nextCrashPrompt: () => {
+            const number = crashPromptsSent++ % (options.killers ?? 1);
             return number === 0 ? "poison" : `poison ${number}`;
         },
-        struck: kind => {
+        countFault: kind => {
             strikes[kind]++;
-            options.onStrike?.(kind, clock.monotonicMs());
+            options.onFault?.(kind, clock.monotonicMs());
         },
-        noteFrozen: durationMs => {
+        recordFrozen: durationMs => {
             frozenUntilMs = clock.monotonicMs() + durationMs;
         },
-        holdHealingFor: durationMs => {
-            healNotBeforeMs = Math.max(healNotBeforeMs, clock.monotonicMs() + durationMs);
+        delayHealing: durationMs => {
+            earliestHealAtMs = Math.max(earliestHealAtMs, clock.monotonicMs() + durationMs);
         },
         isFrozen: () => clock.monotonicMs() < frozenUntilMs,
     };
@@ -126,25 +126,25 @@
     void parts.caller.run();
     schedule(parts, options.only);
     await clock.runUntil(stopsNow, healAtMs - clock.monotonicMs());
-    await clock.runUntil(stopsNow, Math.max(0, healNotBeforeMs - clock.monotonicMs()));
+    await clock.runUntil(stopsNow, Math.max(0, earliestHealAtMs - clock.monotonicMs()));
     heal(parts);
     isHealed = true;
     const isOver = (): boolean => parts.trainer.trainer.isFinished() && parts.caller.isFinished();
     await clock.runUntil(() => stopsNow() || isOver(), endLimitMs);
     await clock.runUntil(stopsNow, settleMs);
     if (!stopsNow()) {
-        await judgeRun(parts, isOver());
+        await checkRun(parts, isOver());
     }
     if (!stopsNow() && frozenUntilMs > clock.monotonicMs()) {
         // What is left of a long sleep concerns the sleeper and the plain samplers only.
         const awake = parts.entries.filter(entry => entry.running()?.process.isPaused() === false);
         awake.forEach(entry => entry.kill());
         parts.models.forEach(model => model.node.killSidecar());
-        parts.plains.forEach(plain => plain.node.sidecar()?.stopReporting());
+        parts.plains.forEach(plain => plain.node.sidecarProcess()?.stopReporting());
         await clock.runUntil(stopsNow, frozenUntilMs + settleMs - clock.monotonicMs());
     }
-    parts.caller.judgeEnd();
-    world.witness.judgeEnd();
+    parts.caller.checkAtEnd();
+    simulation.observer.checkAtEnd();
     watch.stop();
     return {
         seed,
--- a/packages/bench/src/faults/scripts/runBystanderScript.ts
+++ b/packages/bench/src/faults/scripts/runBystanderScript.ts
@@ -4,7 +4,7 @@
 import { createFakeObjectStore } from "@auburnarch/fakes/createFakeObjectStore";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { VmId } from "@auburnarch/types/VmId";
-import { createQuietLogger } from "../createQuietLogger.js";
+import { createNoopLogger } from "../createNoopLogger.js";
 import type { FaultGuards } from "../FaultGuards.js";
 import type { ScriptedViolation } from "./ScriptedViolation.js";
 
@@ -23,15 +23,15 @@
         store,
         clock,
         random,
-        logger: createQuietLogger(),
+        logger: createNoopLogger(),
     });
-    const deaths: [string, string[]][] = [
+    const crashes: [string, string[]][] = [
         ["vm-1", ["first killer", bystander]],
         ["vm-2", ["second killer", bystander]],
         ["vm-3", ["first killer"]],
         ["vm-4", ["second killer"]],
     ];
-    for (const [vm, contents] of deaths) {
+    for (const [vm, contents] of crashes) {
         const death = { vm: vm as VmId, bootId: `boot of ${vm}`, contents: contents.length };
         const suspects = contents.map(digest => ({ digest: digest as ContentDigest, deaths: [death] }));
         quarantine.recordSuspects({ suspects });
--- a/packages/bench/src/faults/scripts/runShutdownScript.ts
+++ b/packages/bench/src/faults/scripts/runShutdownScript.ts
@@ -12,23 +12,23 @@
  * what is in flight at its shutdown. Taken then, it leaves the engine in the middle of a load that nobody watches.
  */
 export async function runShutdownScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
-    const { sidecar: gate, clock, attempt, load } = createSidecarFixture({
+    const { sidecar, clock, attempt, load } = createSidecarFixture({
         guards: guards.gate,
         engine: { tokensPerSecond: 10 },
     });
     await clock.advance(describedMs);
-    void gate.runSample(attempt("slow"), () => undefined, new AbortController().signal);
-    void gate.shutdown(shutdownDeadlineMs);
+    void sidecar.runSample(attempt("slow"), () => undefined, new AbortController().signal);
+    void sidecar.shutdown(shutdownDeadlineMs);
     let ended: SamplerOrderResult | undefined;
-    const take = (result: SamplerOrderResult): void => {
+    const recordResult = (result: SamplerOrderResult): void => {
         ended = result;
     };
     // Ended by `kill` below, an order that was taken rejects.
-    void gate.order(load(2, 5)).then(take, () => undefined);
+    void sidecar.order(load(2, 5)).then(recordResult, () => undefined);
     await clock.advance(orderMs);
     const refused = (ended as SamplerOrderResult | undefined)?.kind === "refused";
     const atMs = clock.monotonicMs();
-    gate.kill();
+    sidecar.kill();
     return refused
         ? undefined
         : { promise: "orderAfterShutdown", detail: "a load was taken while the sidecar shut down", atMs };
--- a/packages/bench/src/faults/scripts/runSuspectsScript.ts
+++ b/packages/bench/src/faults/scripts/runSuspectsScript.ts
@@ -7,29 +7,29 @@
 
 const describedMs = 1_500;
 const startedMs = 10;
-const deathVm = "vm-elsewhere" as VmId;
+const crashedVm = "vm-elsewhere" as VmId;
 
 /**
  * A scripted run for what the random ones bring about too rarely: two contents that one death counts against arrive
  * at one sampler within a moment. If both start there, that sampler's death would convict the bystander among them.
  */
 export async function runSuspectsScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
-    const { sidecar: gate, clock, control, attempt } = createSidecarFixture({ guards: guards.gate });
+    const { sidecar, clock, control, attempt } = createSidecarFixture({ guards: guards.gate });
     await clock.advance(describedMs);
     const record = (digest: string): QuarantineRecord => ({
         digest: digest as ContentDigest,
-        deaths: [{ vm: deathVm, bootId: "boot", atMs: clock.wallMs() }],
+        deaths: [{ vm: crashedVm, bootId: "boot", atMs: clock.wallMs() }],
         expiresAtMs: clock.wallMs() + 3_600_000,
         liftedAtMs: undefined,
     });
     const attempts = [attempt("killer"), attempt("bystander")];
-    gate.offerQuarantine(1, attempts.map(each => record(each.digest)));
+    sidecar.offerQuarantine(1, attempts.map(each => record(each.digest)));
     for (const each of attempts) {
-        void gate.runSample(each, () => undefined, new AbortController().signal);
+        void sidecar.runSample(each, () => undefined, new AbortController().signal);
     }
     await clock.advance(startedMs);
-    const started = attempts.filter(each => control.starts().has(each.attempt)).length;
-    gate.kill();
+    const started = attempts.filter(each => control.startsByAttempt().has(each.attempt)).length;
+    sidecar.kill();
     return started < attempts.length
         ? undefined
         : {
--- a/packages/bench/src/faults/scripts/runTrialScript.ts
+++ b/packages/bench/src/faults/scripts/runTrialScript.ts
@@ -10,15 +10,15 @@
  * other work runs. If both ran at once and the sampler died, its death would tell as little as those before it.
  */
 export async function runTrialScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
-    const { sidecar: gate, clock, control, attempt } = createSidecarFixture({ guards: guards.gate });
+    const { sidecar, clock, control, attempt } = createSidecarFixture({ guards: guards.gate });
     await clock.advance(describedMs);
     const attempts = [attempt("before"), attempt("trial", { isTrial: true }), attempt("after")];
     for (const each of attempts) {
-        void gate.runSample(each, () => undefined, new AbortController().signal);
+        void sidecar.runSample(each, () => undefined, new AbortController().signal);
         await clock.advance(startedMs);
     }
-    const running = attempts.filter(each => control.starts().has(each.attempt)).length;
-    gate.kill();
+    const running = attempts.filter(each => control.startsByAttempt().has(each.attempt)).length;
+    sidecar.kill();
     return running < 2
         ? undefined
         : {
--- a/packages/bench/src/faults/scripts/runUninformedScript.ts
+++ b/packages/bench/src/faults/scripts/runUninformedScript.ts
@@ -3,23 +3,23 @@
 import type { ScriptedViolation } from "./ScriptedViolation.js";
 
 const describedMs = 1_500;
-const learnWithinMs = 10_000;
+const initialConfigWaitMs = 10_000;
 
 /**
  * A scripted run for what the random ones bring about too rarely: work arrives at a sidecar that has just started, from
  * a sender that does not know that its content is refused, and before the sidecar has heard of it.
  */
 export async function runUninformedScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
-    const { sidecar: gate, clock, control, attempt } = createSidecarFixture({
+    const { sidecar, clock, control, attempt } = createSidecarFixture({
         guards: guards.gate,
-        initialConfigWaitMs: learnWithinMs,
+        initialConfigWaitMs,
     });
     await clock.advance(describedMs);
     const sent = attempt("refused elsewhere");
-    void gate.runSample(sent, () => undefined, new AbortController().signal);
+    void sidecar.runSample(sent, () => undefined, new AbortController().signal);
     await clock.advance(1);
-    const hasStarted = control.starts().has(sent.attempt);
-    gate.kill();
+    const hasStarted = control.startsByAttempt().has(sent.attempt);
+    sidecar.kill();
     return hasStarted
         ? {
             promise: "ranUninformed",
--- a/packages/bench/src/faults/watchRun.ts
+++ b/packages/bench/src/faults/watchRun.ts
@@ -1,6 +1,6 @@
 import type { RunParts } from "./RunParts.js";
 
-const lookEveryMs = 400;
+const checkIntervalMs = 400;
 interface RunWatch {
     stop(): void;
     /** Owners that the job has had. */
@@ -9,43 +9,43 @@
 
 /** Looks at every process a few times a second: configuration only goes forward. */
 export function watchRun(parts: RunParts): RunWatch {
-    const { clock, violations } = parts.world;
+    const { clock, violations } = parts.simulation;
     const nodes = [...parts.models.map(model => model.node), ...parts.plains.map(plain => plain.node)];
     const versions = new Map<string, number>();
-    const numbers = new Set<number>();
+    const fencingNumbers = new Set<number>();
     let isStopped = false;
 
     /** `run` names one run of a process: after a restart it learns anew. */
-    function lookAtConfig(run: string, version: number): void {
+    function checkConfig(run: string, version: number): void {
         if (version < (versions.get(run) ?? 0)) {
             violations.add("configReverted", `${run}: ${versions.get(run)} to ${version}`);
         }
         versions.set(run, version);
     }
 
-    function look(): void {
+    function check(): void {
         for (const node of nodes) {
-            const report = node.gate()?.report();
+            const report = node.sidecar()?.report();
             if (report !== undefined) {
-                lookAtConfig(report.incarnation, report.configVersion);
+                checkConfig(report.incarnation, report.configVersion);
             }
         }
         for (const entry of parts.entries) {
             const fencing = entry.ownedFencing();
             if (fencing !== undefined) {
-                numbers.add(fencing);
+                fencingNumbers.add(fencing);
             }
-            parts.world.storeReachableForMs(entry.name);
+            parts.simulation.storeReachableForMs(entry.name);
         }
         if (!isStopped) {
-            clock.startTimer(lookEveryMs, look);
+            clock.startTimer(checkIntervalMs, check);
         }
     }
-    look();
+    check();
     return {
         stop: () => {
             isStopped = true;
         },
-        owners: () => numbers.size,
+        owners: () => fencingNumbers.size,
     };
 }
--- a/packages/bench/src/path/PathProcesses.ts
+++ b/packages/bench/src/path/PathProcesses.ts
@@ -2,7 +2,7 @@
 
 /** The processes of one run of the path bench. */
 export interface PathProcesses {
-    standIn: RoleProcess;
+    plainService: RoleProcess;
     engines: RoleProcess[];
     plainSidecar: RoleProcess;
     modelSidecars: RoleProcess[];
--- a/packages/bench/src/path/PathReport.ts
+++ b/packages/bench/src/path/PathReport.ts
@@ -1,7 +1,7 @@
 import type { Failures } from "./Failures.js";
 
 /** Latency of one way at a fixed rate, in milliseconds. */
-interface WayLatency {
+interface RouteLatency {
     requests: number;
     failures: Failures;
     p50Ms: number;
@@ -19,8 +19,8 @@
 export interface PathReport {
     plainAtRate: {
         requestsPerSecond: number;
-        direct: WayLatency;
-        through: WayLatency;
+        direct: RouteLatency;
+        through: RouteLatency;
         addedP50Ms: number;
         addedP99Ms: number;
     };
--- a/packages/bench/src/path/callOnce.ts
+++ b/packages/bench/src/path/callOnce.ts
@@ -10,7 +10,7 @@
     onChunk?: (chunk: Buffer) => void;
 }
 
-const maxFaultChars = 60;
+const maxErrorBodyChars = 60;
 
 /** One HTTP request of the load generator; resolves once the answer is whole, rejects if it is not one of status 200. */
 export function callOnce(call: Call): Promise<void> {
@@ -26,13 +26,13 @@
         });
         request.on("error", reject);
         request.on("response", (response: IncomingMessage) => {
-            let fault = "";
+            let errorBody = "";
             response.on("data", (chunk: Buffer) => {
                 if (response.statusCode === 200) {
                     call.onChunk?.(chunk);
                 }
-                else if (fault.length < maxFaultChars) {
-                    fault += chunk.toString("utf8");
+                else if (errorBody.length < maxErrorBodyChars) {
+                    errorBody += chunk.toString("utf8");
                 }
             });
             response.on("error", reject);
@@ -41,7 +41,9 @@
                     resolve();
                 }
                 else {
-                    reject(new Error(`status ${response.statusCode} ${fault.slice(0, maxFaultChars)}`));
+                    reject(
+                        new Error(`status ${response.statusCode} ${errorBody.slice(0, maxErrorBodyChars)}`),
+                    );
                 }
             });
         });
--- a/packages/bench/src/path/noteFailure.ts
+++ b/packages/bench/src/path/countFailure.ts
@@ -1,7 +1,7 @@
 import type { Failures } from "./Failures.js";
 
 /** Counts a failed request under its message. */
-export function noteFailure(failures: Failures, error: unknown): void {
+export function countFailure(failures: Failures, error: unknown): void {
     const reason = error instanceof Error ? error.message : String(error);
     failures[reason] = (failures[reason] ?? 0) + 1;
 }
--- a/packages/bench/src/path/measureAtRate.ts
+++ b/packages/bench/src/path/measureAtRate.ts
@@ -2,8 +2,8 @@
 import { build, type Histogram } from "hdr-histogram-js";
 import { Agent } from "node:http";
 import { callOnce } from "./callOnce.js";
+import { countFailure } from "./countFailure.js";
 import type { Failures } from "./Failures.js";
-import { noteFailure } from "./noteFailure.js";
 import type { PathReport } from "./PathReport.js";
 
 interface RateOptions {
@@ -15,7 +15,7 @@
     durationMs: number;
 }
 
-interface Way {
+interface Route {
     agent: Agent;
     url: URL;
     histogram: Histogram;
@@ -30,19 +30,19 @@
  */
 export async function measureAtRate(options: RateOptions): Promise<PathReport["plainAtRate"]> {
     const { clock, requestsPerSecond } = options;
-    const ways = [options.direct, options.through].map(startWay);
-    const intervalMs = 1_000 / requestsPerSecond / ways.length;
+    const routes = [options.direct, options.through].map(createRoute);
+    const intervalMs = 1_000 / requestsPerSecond / routes.length;
     const calls: Promise<void>[] = [];
     const startMs = clock.monotonicMs();
     const count = Math.floor(options.durationMs / intervalMs);
     for (let at = 0; at < count; at++) {
         const dueMs = startMs + at * intervalMs;
         await clock.sleep(Math.max(0, dueMs - clock.monotonicMs()));
-        calls.push(timeCall(options, ways[at % ways.length]!));
+        calls.push(timeCall(options, routes[at % routes.length]!));
     }
     await Promise.all(calls);
-    const [direct, through] = ways.map(summarize);
-    ways.forEach(way => way.agent.destroy());
+    const [direct, through] = routes.map(summarize);
+    routes.forEach(way => way.agent.destroy());
     return {
         requestsPerSecond,
         direct: direct!,
@@ -52,27 +52,27 @@
     };
 }
 
-function startWay(url: URL): Way {
+function createRoute(url: URL): Route {
     const histogram = build({ lowestDiscernibleValue: 1, highestTrackableValue: 60_000_000 });
     return { agent: new Agent({ keepAlive: true }), url, histogram, failures: {} };
 }
 
-async function timeCall({ clock, token }: RateOptions, way: Way): Promise<void> {
+async function timeCall({ clock, token }: RateOptions, route: Route): Promise<void> {
     const startedAtMs = clock.monotonicMs();
     try {
-        await callOnce({ agent: way.agent, url: way.url, method: "GET", token });
-        way.histogram.recordValue(Math.round((clock.monotonicMs() - startedAtMs) * microsecondsPerMs));
+        await callOnce({ agent: route.agent, url: route.url, method: "GET", token });
+        route.histogram.recordValue(Math.round((clock.monotonicMs() - startedAtMs) * microsecondsPerMs));
     }
     catch (error) {
-        noteFailure(way.failures, error);
+        countFailure(route.failures, error);
     }
 }
 
-function summarize(way: Way): PathReport["plainAtRate"]["direct"] {
+function summarize(route: Route): PathReport["plainAtRate"]["direct"] {
     return {
-        requests: way.histogram.totalCount,
-        failures: way.failures,
-        p50Ms: way.histogram.getValueAtPercentile(50) / microsecondsPerMs,
-        p99Ms: way.histogram.getValueAtPercentile(99) / microsecondsPerMs,
+        requests: route.histogram.totalCount,
+        failures: route.failures,
+        p50Ms: route.histogram.getValueAtPercentile(50) / microsecondsPerMs,
+        p99Ms: route.histogram.getValueAtPercentile(99) / microsecondsPerMs,
     };
 }
--- a/packages/bench/src/path/measureStreams.ts
+++ b/packages/bench/src/path/measureStreams.ts
@@ -1,8 +1,8 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import { Agent } from "node:http";
 import { callOnce } from "./callOnce.js";
+import { countFailure } from "./countFailure.js";
 import type { Failures } from "./Failures.js";
-import { noteFailure } from "./noteFailure.js";
 
 interface StreamOptions {
     clock: Clock;
@@ -53,7 +53,7 @@
             await callOnce({ agent, url: urls[index % urls.length]!, method: "POST", token, body, onChunk });
         }
         catch (error) {
-            noteFailure(failures, error);
+            countFailure(failures, error);
         }
     }
 
--- a/packages/bench/src/path/measureFlatOut.ts
+++ b/packages/bench/src/path/measureThroughput.ts
@@ -1,10 +1,10 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import { Agent } from "node:http";
 import { callOnce } from "./callOnce.js";
+import { countFailure } from "./countFailure.js";
 import type { Failures } from "./Failures.js";
-import { noteFailure } from "./noteFailure.js";
 
-interface FlatOutOptions {
+interface ThroughputOptions {
     clock: Clock;
     token: string;
     url: URL;
@@ -13,8 +13,8 @@
 }
 
 /** Requests a second that `connections` callers get done who send the next request as soon as the last is answered. */
-export async function measureFlatOut(
-    options: FlatOutOptions,
+export async function measureThroughput(
+    options: ThroughputOptions,
 ): Promise<{ perSecond: number; failures: Failures; }> {
     const { clock, url, connections, token } = options;
     const agent = new Agent({ keepAlive: true, maxSockets: connections });
@@ -30,7 +30,7 @@
                 done++;
             }
             catch (error) {
-                noteFailure(failures, error);
+                countFailure(failures, error);
             }
         }
     }
--- a/packages/bench/src/path/roleMain.ts
+++ b/packages/bench/src/path/roleMain.ts
@@ -4,20 +4,20 @@
 import type { RoleMessage } from "./RoleMessage.js";
 import type { RoleSpec } from "./RoleSpec.js";
 import { startDaemon } from "./startDaemon.js";
-import { startEngineStandIn } from "./startEngineStandIn.js";
-import { startPlatform } from "./startPlatform.js";
-import { startStandIn } from "./startStandIn.js";
+import { startFakeEngine } from "./startFakeEngine.js";
+import { startFakePlainService } from "./startFakePlainService.js";
+import { startFakePlatformService } from "./startFakePlatformService.js";
 
 const clock = createSystemClock();
 const random = createRandom(process.pid);
 
-function tell(message: RoleMessage): void {
+function sendMessage(message: RoleMessage): void {
     process.send?.(message);
 }
 
-function tellUse(): void {
+function sendUse(): void {
     const { user, system } = process.cpuUsage();
-    tell({
+    sendMessage({
         kind: "use",
         cpuMs: (user + system) / 1_000,
         atMs: clock.monotonicMs(),
@@ -30,17 +30,17 @@
 function start(): Promise<number> {
     switch (spec.role) {
         case "standIn":
-            return startStandIn(clock);
+            return startFakePlainService(clock);
         case "engineStandIn":
-            return startEngineStandIn(clock, random);
+            return startFakeEngine(clock, random);
         case "daemon":
             return startDaemon(spec.settings, clock, random);
         default:
-            return startPlatform(spec.role, clock, random);
+            return startFakePlatformService(spec.role, clock, random);
     }
 }
 
 const port = await start();
-process.on("message", tellUse);
+process.on("message", sendUse);
 process.on("disconnect", () => process.exit(0));
-tell({ kind: "listening", address: `http://127.0.0.1:${port}` });
+sendMessage({ kind: "listening", address: `http://127.0.0.1:${port}` });
--- a/packages/bench/src/path/runPath.ts
+++ b/packages/bench/src/path/runPath.ts
@@ -3,8 +3,8 @@
 import { addFailures } from "./addFailures.js";
 import { callOnce } from "./callOnce.js";
 import { measureAtRate } from "./measureAtRate.js";
-import { measureFlatOut } from "./measureFlatOut.js";
 import { measureStreams } from "./measureStreams.js";
+import { measureThroughput } from "./measureThroughput.js";
 import type { PathProcesses } from "./PathProcesses.js";
 import type { PathReport } from "./PathReport.js";
 import { startPath } from "./startPath.js";
@@ -64,9 +64,9 @@
 async function measurePath(options: PathOptions, path: PathProcesses): Promise<PathReport> {
     const { clock, phaseMs, onPhase, requestsPerSecond, streams } = options;
     const { token } = path;
-    const watched = [path.entry, path.plainSidecar, path.modelSidecars[0]!, path.standIn];
+    const watched = [path.entry, path.plainSidecar, path.modelSidecars[0]!, path.plainService];
     const processes: PathReport["processes"] = {};
-    const direct = new URL("/tile", path.standIn.address);
+    const direct = new URL("/tile", path.plainService.address);
     const through = new URL("/v1/services/tiles/tile", path.entry.address);
     const model = new URL("/v1/services/model/v1/completions", path.entry.address);
 
@@ -87,7 +87,7 @@
     }
 
     const flat = (url: URL, durationMs: number) =>
-        measureFlatOut({ clock, token, url, connections, durationMs });
+        measureThroughput({ clock, token, url, connections, durationMs });
     const tokensPerStream = Math.round(tokensPerSecondOfStream * phaseMs / 1_000);
     const streamed = (urls: URL[]) => measureStreams({ clock, token, urls, streams, tokensPerStream });
 
--- a/packages/bench/src/path/startEngineStandIn.ts
+++ b/packages/bench/src/path/startFakeEngine.ts
@@ -6,7 +6,7 @@
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
 /** Serves the stand-in engine: one token a chunk and 50 tokens a second for each stream. Gives its port. */
-export async function startEngineStandIn(clock: Clock, random: Random): Promise<number> {
+export async function startFakeEngine(clock: Clock, random: Random): Promise<number> {
     const { engine } = createFakeEngine({
         clock,
         random,
--- a/packages/bench/src/path/startPlatform.ts
+++ b/packages/bench/src/path/startFakePlatformService.ts
@@ -14,7 +14,7 @@
 const latencyMs = 2;
 
 /** Serves one of the platform's parts as a stand-in; gives its port. */
-export async function startPlatform(
+export async function startFakePlatformService(
     part: "objectApi" | "vmList" | "weightStore" | "scoring",
     clock: Clock,
     random: Random,
--- a/packages/bench/src/path/startPath.ts
+++ b/packages/bench/src/path/startPath.ts
@@ -98,8 +98,8 @@
             }),
         );
 
-    const standIn = await start("standIn", { role: "standIn" });
-    const plainSidecar = await startSidecar("tiles-1", "tiles", { backendUrl: standIn.address });
+    const plainService = await start("standIn", { role: "standIn" });
+    const plainSidecar = await startSidecar("tiles-1", "tiles", { backendUrl: plainService.address });
     const engines: RoleProcess[] = [];
     const modelSidecars: RoleProcess[] = [];
     for (let index = 0; index < enginePairs; index++) {
@@ -108,7 +108,7 @@
         modelSidecars.push(await startSidecar(modelName(index), "model", { engineUrl: engine.address }));
     }
     return {
-        standIn,
+        plainService,
         engines,
         plainSidecar,
         modelSidecars,
--- a/packages/bench/src/path/startRole.ts
+++ b/packages/bench/src/path/startRole.ts
@@ -24,9 +24,9 @@
         name,
         address,
         readUse: () => {
-            const told = next("use");
+            const message = next("use");
             child.send("use");
-            return told;
+            return message;
         },
         stop: async () => {
             const ended = once(child, "exit");
--- a/packages/bench/src/policy/JobMeasures.ts
+++ b/packages/bench/src/policy/JobMeasures.ts
@@ -16,6 +16,6 @@
     overBound: number;
     delivered: number;
     deliveredTokens: number[];
-    remade: number;
+    regenerated: number;
     isFinished: boolean;
 }
--- a/packages/bench/src/policy/computeBound.ts
+++ b/packages/bench/src/policy/computeBound.ts
@@ -69,7 +69,7 @@
 }
 
 /** Tokens a millisecond of each job: capacity by share among those with work, each job's oldest step first. */
-function rates(jobs: FluidJob[], capacity: number): Map<FluidStep, number> {
+function computeRates(jobs: FluidJob[], capacity: number): Map<FluidStep, number> {
     const busy = jobs.flatMap(job => {
         const step = job.steps.find(open => open.leftTokens > tolerance);
         return step === undefined ? [] : [{ step, share: Math.max(0.001, job.share) }];
@@ -166,7 +166,7 @@
     let nowMs = 0;
     settleAll(jobs, scenario, workload, nowMs);
     while (jobs.some(job => job.endMs === undefined)) {
-        const rateOf = rates(jobs, tokensPerMsAt(scenario, nowMs));
+        const rateOf = computeRates(jobs, tokensPerMsAt(scenario, nowMs));
         const nextMs = nextEventMs(jobs, rateOf, scenario, nowMs);
         if (!Number.isFinite(nextMs)) {
             throw new Error("the bound cannot be reached: no capacity is left");
--- a/packages/bench/src/policy/createJobMeasures.ts
+++ b/packages/bench/src/policy/createJobMeasures.ts
@@ -14,7 +14,7 @@
         overBound: 0,
         delivered: 0,
         deliveredTokens: [],
-        remade: 0,
+        regenerated: 0,
         isFinished: false,
     };
 }
--- a/packages/bench/src/policy/createReportFeed.ts
+++ b/packages/bench/src/policy/createReportFeed.ts
@@ -13,7 +13,7 @@
 }
 
 /** Reports missed in a row until a sampler is suspected down. */
-const missedUntilSuspected = 4;
+const missedReportsUntilSuspected = 4;
 
 /** Starts the feed of a gate; `isSilent` holds while the VM sends nothing. */
 export function createReportFeed(
@@ -25,7 +25,7 @@
 ): ReportFeed {
     let latest: SamplerReport | undefined;
     let madeAtMs = 0;
-    let cancelBeat = (): void => {};
+    let cancelNext = (): void => {};
 
     function send(): void {
         if (isSilent() || random.nextUnit() < reports.lossRatio) {
@@ -39,13 +39,13 @@
         });
     }
 
-    function beat(): void {
+    function sendPeriodically(): void {
         send();
-        cancelBeat = clock.startTimer(reports.intervalMs, beat);
+        cancelNext = clock.startTimer(reports.intervalMs, sendPeriodically);
     }
 
-    cancelBeat = clock.startTimer(random.nextUnit() * reports.intervalMs, beat);
-    const suspectedAfterMs = missedUntilSuspected * reports.intervalMs + reports.lagMs;
+    cancelNext = clock.startTimer(random.nextUnit() * reports.intervalMs, sendPeriodically);
+    const suspectedAfterMs = missedReportsUntilSuspected * reports.intervalMs + reports.lagMs;
     return {
         view: () => {
             if (latest === undefined) {
@@ -61,6 +61,6 @@
                 suspected: reportAgeMs > suspectedAfterMs,
             };
         },
-        stop: () => cancelBeat(),
+        stop: () => cancelNext(),
     };
 }
--- a/packages/bench/src/policy/createShareMeter.ts
+++ b/packages/bench/src/policy/createShareMeter.ts
@@ -21,17 +21,17 @@
     loops: ReturnType<typeof createTrainerLoop>[],
 ): ShareMeter {
     const teams = [...new Set(scenario.jobs.map(job => job.team))];
-    const places = scenario.samplers.reduce((sum, group) => sum + group.count * group.maxBatch, 0);
-    const totals = new Map(teams.map(team => [team, { got: 0, due: 0 }]));
+    const batchSlots = scenario.samplers.reduce((sum, group) => sum + group.count * group.maxBatch, 0);
+    const totals = new Map(teams.map(team => [team, { usedMs: 0, dueMs: 0 }]));
     let before = new Map<string, number>();
     let cancel = (): void => {};
 
     const shareOf = (team: string): number => scenario.shares[team] ?? 0;
     const hasDemand = (team: string): boolean => {
-        const unmade = loops
+        const pending = loops
             .filter(loop => loop.measures.team === team)
-            .reduce((sum, loop) => sum + loop.unmade(), 0);
-        return unmade >= Math.max(1, shareOf(team) * places);
+            .reduce((sum, loop) => sum + loop.countPending(), 0);
+        return pending >= Math.max(1, shareOf(team) * batchSlots);
     };
     const ownersOf = (team: string): string[] => [
         ...scenario.jobs.filter(job => job.team === team).map(job => policyOf(job.job)),
@@ -47,8 +47,8 @@
         const windowTotal = sum(used) - sum(before);
         for (const team of teams.filter(name => demanding.has(name) && hasDemand(name))) {
             const total = totals.get(team)!;
-            total.got += usedBy(team, used) - usedBy(team, before);
-            total.due += shareOf(team) * windowTotal;
+            total.usedMs += usedBy(team, used) - usedBy(team, before);
+            total.dueMs += shareOf(team) * windowTotal;
         }
         before = used;
         demanding = new Set(teams.filter(hasDemand));
@@ -58,7 +58,12 @@
     closeWindow();
     return {
         error: () =>
-            Math.max(0, ...[...totals.values()].map(({ got, due }) => due === 0 ? 0 : (due - got) / due)),
+            Math.max(
+                0,
+                ...[...totals.values()].map(({ usedMs: got, dueMs: due }) =>
+                    due === 0 ? 0 : (due - got) / due
+                ),
+            ),
         stop: () => cancel(),
     };
 }
--- a/packages/bench/src/policy/createStepLedger.ts
+++ b/packages/bench/src/policy/createStepLedger.ts
@@ -1,17 +1,17 @@
-import type { MadeSample } from "@auburnarch/types/MadeSample";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { SampleTask } from "@auburnarch/types/SampleTask";
 import type { StepLedger } from "./StepLedger.js";
 
 interface GroupState {
     tasks: SampleTask[];
-    made: Map<string, MadeSample>;
+    made: Map<string, GeneratedSample>;
     isDelivered: boolean;
 }
 
 /** Makes an empty ledger. */
 export function createStepLedger(): StepLedger {
     const steps = new Map<number, Map<number, GroupState>>();
-    let unmade = 0;
+    let pending = 0;
 
     function groupOf(task: SampleTask): GroupState {
         const groups = steps.get(task.step) ?? new Map<number, GroupState>();
@@ -24,7 +24,7 @@
     return {
         open: tasks => {
             tasks.forEach(task => groupOf(task).tasks.push(task));
-            unmade += tasks.length;
+            pending += tasks.length;
         },
         take: made => {
             const group = groupOf(made.task);
@@ -32,28 +32,28 @@
                 throw new Error(`${made.task.sample} was made twice`);
             }
             group.made.set(made.task.sample, made);
-            unmade--;
+            pending--;
         },
         deliver: (step, minVersion) => {
-            const delivered: MadeSample[] = [];
-            const remake: SampleTask[] = [];
+            const delivered: GeneratedSample[] = [];
+            const regenerate: SampleTask[] = [];
             for (const group of steps.get(step)?.values() ?? []) {
                 const isWhole = !group.isDelivered && group.made.size === group.tasks.length;
                 const stale = !isWhole ? [] : [...group.made.values()]
                     .filter(made => made.answer.spans.some(span => span.version < minVersion));
                 for (const made of stale) {
                     group.made.delete(made.task.sample);
-                    remake.push(made.task);
-                    unmade++;
+                    regenerate.push(made.task);
+                    pending++;
                 }
                 if (isWhole && stale.length === 0) {
                     group.isDelivered = true;
                     delivered.push(...group.made.values());
                 }
             }
-            return { delivered, remake };
+            return { delivered, regenerate };
         },
         isDelivered: step => [...steps.get(step)?.values() ?? []].every(group => group.isDelivered),
-        unmade: () => unmade,
+        countPending: () => pending,
     };
 }
--- a/packages/bench/src/policy/createTrainerLoop.ts
+++ b/packages/bench/src/policy/createTrainerLoop.ts
@@ -3,10 +3,10 @@
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 import type { LimitsManifest } from "@auburnarch/types/LimitsManifest";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { Random } from "@auburnarch/types/Random";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import { createSwapRoller } from "@auburnarch/weights/createSwapRoller";
@@ -16,7 +16,7 @@
 import { createJobMeasures } from "./createJobMeasures.js";
 import { createStepLedger } from "./createStepLedger.js";
 import type { JobMeasures } from "./JobMeasures.js";
-import { noteDelivered } from "./noteDelivered.js";
+import { recordDelivery } from "./recordDelivery.js";
 import type { Scenario } from "./Scenario.js";
 import { toTasks } from "./toTasks.js";
 import type { Workload } from "./Workload.js";
@@ -39,7 +39,7 @@
 interface TrainerLoop {
     measures: JobMeasures;
     /** Samples opened and not made yet. */
-    unmade(): number;
+    countPending(): number;
     stop(): Promise<void>;
 }
 
@@ -51,7 +51,7 @@
     const ledger = createStepLedger();
     const publishedAtMs: number[] = [];
     const openedAtMs: number[] = [];
-    const unmadeOf: number[] = [];
+    const pendingOf: number[] = [];
     let published = 0 as WeightVersion;
     const bound = scenario.maxStalenessVersions;
     let wakeTrainer = (): void => {};
@@ -82,14 +82,14 @@
         ...common,
         job: () => manifest,
         isAboutToSwap: roller.isAboutToSwap,
-        onSampleGenerated: take,
+        onSampleGenerated: onGenerated,
     }, policy.dispatch);
 
-    function take(made: MadeSample): void {
+    function onGenerated(made: GeneratedSample): void {
         const step = made.task.step;
         ledger.take(made);
-        unmadeOf[step]!--;
-        if (unmadeOf[step] === 0) {
+        pendingOf[step]!--;
+        if (pendingOf[step] === 0) {
             measures.stepMs[step] = clock.monotonicMs() - openedAtMs[step]!;
         }
         wakeTrainer();
@@ -103,7 +103,7 @@
             minVersion: minVersion(),
         });
         openedAtMs[step] = clock.monotonicMs();
-        unmadeOf[step] = tasks.length;
+        pendingOf[step] = tasks.length;
         ledger.open(tasks);
         dispatcher.submit(tasks);
     }
@@ -116,12 +116,12 @@
     }
 
     function deliver(step: number): void {
-        const { delivered, remake } = ledger.deliver(step, minVersion());
+        const { delivered, regenerate: remake } = ledger.deliver(step, minVersion());
         const nowMs = clock.monotonicMs();
-        delivered.forEach(made => noteDelivered(measures, made, { published, publishedAtMs, nowMs, bound }));
-        measures.remade += remake.length;
+        delivered.forEach(made => recordDelivery(measures, made, { published, publishedAtMs, nowMs, bound }));
+        measures.regenerated += remake.length;
         if (remake.length > 0) {
-            unmadeOf[step]! += remake.length;
+            pendingOf[step]! += remake.length;
             dispatcher.submit(remake);
         }
     }
@@ -171,7 +171,7 @@
     void run();
     return {
         measures,
-        unmade: ledger.unmade,
+        countPending: ledger.countPending,
         stop: async () => {
             roller.stop();
             await dispatcher.stop();
--- a/packages/bench/src/policy/drawWorkload.ts
+++ b/packages/bench/src/policy/drawWorkload.ts
@@ -13,7 +13,7 @@
 }
 
 const charsPerToken = 4;
-const least = 8;
+const minTokens = 8;
 const secondMs = 1_000;
 
 function fill(label: string, tokens: number): string {
@@ -49,7 +49,7 @@
     const base = prompt.medianTokens * Math.exp(length.sampleSigma * drawNormal(random));
     const isStraggler = random.nextUnit() < prompt.stragglerRatio;
     const tokens = Math.round(isStraggler ? base * length.stragglerFactor : base);
-    return Math.min(length.maxTokens, Math.max(least, tokens));
+    return Math.min(length.maxTokens, Math.max(minTokens, tokens));
 }
 
 function drawJob(
@@ -93,7 +93,7 @@
     while (atMs < scenario.maxMs) {
         atMs += -Math.log(1 - random.nextUnit()) / load.requestsPerSecond * secondMs;
         const tokens = Math.max(
-            least,
+            minTokens,
             Math.round(load.medianTokens * Math.exp(load.sigma * drawNormal(random))),
         );
         requests.push({ atMs, tokens });
--- a/packages/bench/src/policy/parseSeeds.ts
+++ b/packages/bench/src/policy/parseSeeds.ts
@@ -1,4 +1,4 @@
-const form = /^(\d+)(?:-(\d+))?$/;
+const seedPattern = /^(\d+)(?:-(\d+))?$/;
 
 /**
  * Reads seeds such as `7`, `1-10` or `1,3,101-110`.
@@ -6,7 +6,7 @@
  */
 export function parseSeeds(text: string): number[] {
     return text.split(",").flatMap(part => {
-        const found = form.exec(part.trim()) ?? undefined;
+        const found = seedPattern.exec(part.trim()) ?? undefined;
         if (found === undefined) {
             throw new Error(`"${part}" is no seed and no range of seeds such as 1-10.`);
         }
--- a/packages/bench/src/policy/plotPolicies.ts
+++ b/packages/bench/src/policy/plotPolicies.ts
@@ -45,9 +45,9 @@
 
 function drawPanel(panel: Panel, rows: PolicyMedians[], left: number): string {
     const bound = panel.bound?.(rows[0]!);
-    const most = Math.max(1e-9, bound ?? 0, ...rows.map(panel.value));
+    const maxValue = Math.max(1e-9, bound ?? 0, ...rows.map(panel.value));
     const barSpace = panelWidth - labelWidth - valueWidth;
-    const scale = (value: number): number => Math.round(value / most * barSpace * 10) / 10;
+    const scale = (value: number): number => Math.round(value / maxValue * barSpace * 10) / 10;
     const barLeft = left + labelWidth;
     const bars = rows.map((row, index) => {
         const top = headHeight + index * barHeight;
--- a/packages/bench/src/policy/noteDelivered.ts
+++ b/packages/bench/src/policy/recordDelivery.ts
@@ -1,4 +1,4 @@
-import type { MadeSample } from "@auburnarch/types/MadeSample";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { JobMeasures } from "./JobMeasures.js";
 
 interface Delivery {
@@ -11,7 +11,7 @@
 }
 
 /** Adds a delivered sample to the measures of its job. */
-export function noteDelivered(measures: JobMeasures, made: MadeSample, delivery: Delivery): void {
+export function recordDelivery(measures: JobMeasures, made: GeneratedSample, delivery: Delivery): void {
     const { spans } = made.answer;
     const oldest = Math.min(...spans.map(span => span.version));
     const staleness = delivery.published - oldest;
--- a/packages/bench/src/policy/runPolicy.ts
+++ b/packages/bench/src/policy/runPolicy.ts
@@ -18,7 +18,7 @@
 import { toManifest } from "./toManifest.js";
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
-const unmetered: Metrics = {
+const noopMetrics: Metrics = {
     count: () => {},
     set: () => {},
     observeMs: () => {},
@@ -26,7 +26,7 @@
 };
 /** Keeps the draws of the run apart from those of the workload, which is the same for every policy. */
 const warmUpIntervals = 6;
-const runSalt = 7_919;
+const runSeedFactor = 7_919;
 
 /**
  * Runs one policy on one scenario and seed: real dispatchers, swap rollers and gates before fake engines, under
@@ -36,16 +36,16 @@
     scenario: Scenario,
     policy: BenchPolicy,
     seed: number,
-    toLogger: (clock: Clock) => Logger = () => silent,
+    createLogger: (clock: Clock) => Logger = () => silent,
 ): Promise<RunResult> {
     const startedAtMs = performance.now();
     const clock = createFakeClock();
-    const logger = toLogger(clock);
-    const random = createRandom(seed * runSalt);
+    const logger = createLogger(clock);
+    const random = createRandom(seed * runSeedFactor);
     const workload = drawWorkload(scenario, seed);
     const meter = createEngineMeter(clock);
     const manifest = toManifest(scenario);
-    const shared = { clock, logger, metrics: unmetered };
+    const shared = { clock, logger, metrics: noopMetrics };
     const fleet = createFleet({ ...shared, scenario, workload, manifest, meter, random: random.fork() });
     const loops = scenario.jobs.map((job, index) =>
         createTrainerLoop({
@@ -93,7 +93,7 @@
             policy,
             seed,
             logger,
-            metrics: unmetered,
+            metrics: noopMetrics,
         }),
         shareError: shares.error(),
         violations: fleet.violations(),
--- a/packages/bench/src/slopes/Fleet.ts
+++ b/packages/bench/src/slopes/Fleet.ts
@@ -20,7 +20,7 @@
     /** Stops the entry at an address for good. */
     kill(address: string): void;
     /** Entries that know and trust the one at an address. */
-    knowers(address: string): number;
+    countEntriesTrusting(address: string): number;
     /** Adds to the latency of all calls to an address. */
     slow(address: string, latencyMs: number): void;
     cutRegions(cut: boolean): void;
--- a/packages/bench/src/slopes/SpreadPoint.ts
+++ b/packages/bench/src/slopes/PropagationPoint.ts
@@ -1,5 +1,5 @@
 /** Time for one change of configuration to come into force. */
-export interface SpreadPoint {
+export interface PropagationPoint {
     entries: number;
     samplers: number;
     condition: "clean" | "loss" | "deadRelay" | "slowRelay";
--- a/packages/bench/src/slopes/CutPoint.ts
+++ b/packages/bench/src/slopes/RegionPartitionPoint.ts
@@ -1,5 +1,5 @@
 /** Two regions that lose each other for some minutes. */
-export interface CutPoint {
+export interface RegionPartitionPoint {
     entries: number;
     cutMs: number;
     /** Peers trusted by the entry that trusts fewest, at the end of the cut. */
--- a/packages/bench/src/slopes/SlopesFigures.ts
+++ b/packages/bench/src/slopes/SlopesFigures.ts
@@ -1,9 +1,9 @@
 import type { CallCost } from "./CallCost.js";
 import type { ChangePoint } from "./ChangePoint.js";
-import type { CutPoint } from "./CutPoint.js";
 import type { DetectionPoint } from "./DetectionPoint.js";
 import type { LeasePoint } from "./LeasePoint.js";
-import type { SpreadPoint } from "./SpreadPoint.js";
+import type { PropagationPoint } from "./PropagationPoint.js";
+import type { RegionPartitionPoint } from "./RegionPartitionPoint.js";
 import type { SteadyPoint } from "./SteadyPoint.js";
 
 /** Everything that `slopes` measured; docs/CAPACITY.md is computed from it. */
@@ -15,9 +15,9 @@
     steady: { entries: SteadyPoint[]; samplers: SteadyPoint[]; jobs: SteadyPoint[]; changes: SteadyPoint[]; };
     /** Entries doubled with 10.25 samplers each, as in the target. */
     scaled: SteadyPoint[];
-    spread: SpreadPoint[];
+    spread: PropagationPoint[];
     detection: DetectionPoint[];
-    cut: CutPoint[];
+    cut: RegionPartitionPoint[];
     leases: LeasePoint[];
     change: ChangePoint[];
     /** Points left out because the time was up. */
--- a/packages/bench/src/slopes/createFleet.test.ts
+++ b/packages/bench/src/slopes/createFleet.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { createFleet } from "./createFleet.js";
 import { measureDetection } from "./measureDetection.js";
-import { measureSpread } from "./measureSpread.js";
+import { measurePropagation } from "./measurePropagation.js";
 
 const options = {
     entries: 12,
@@ -30,7 +30,7 @@
 
 test("a change is in force everywhere within 14 s with messages lost and with a relay dead or slow", async () => {
     for (const condition of ["clean", "loss", "deadRelay", "slowRelay"] as const) {
-        const { everywhereMs } = await measureSpread(options, condition);
+        const { everywhereMs } = await measurePropagation(options, condition);
         expect(everywhereMs).toBeLessThan(14_000);
     }
 });
--- a/packages/bench/src/slopes/createFleet.ts
+++ b/packages/bench/src/slopes/createFleet.ts
@@ -8,13 +8,13 @@
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 import type { VmRecord } from "@auburnarch/types/VmRecord";
 import { createFleetEntry } from "./createFleetEntry.js";
+import { createFleetManifest } from "./createFleetManifest.js";
 import { createFleetNetwork } from "./createFleetNetwork.js";
 import { createFleetSidecar } from "./createFleetSidecar.js";
 import { createSuspicionLogger } from "./createSuspicionLogger.js";
 import type { Fleet } from "./Fleet.js";
 import type { FleetNetwork } from "./FleetNetwork.js";
 import type { FleetOptions } from "./FleetOptions.js";
-import { makeManifest } from "./makeManifest.js";
 
 const storeLatencyMs = 4;
 const priorities = 10;
@@ -96,13 +96,13 @@
     let priority = 0;
 
     const [first] = entries.values();
-    ownedDocuments(options.jobs).forEach(document => first!.spread.offer(document));
+    ownedDocuments(options.jobs).forEach(document => first!.documentSync.offer(document));
 
     async function publish(): Promise<number> {
         priority = priority % priorities + 1;
         const writing = store.write(
             "config/manifest",
-            makeManifest(options.samplers, options.jobs, priority),
+            createFleetManifest(options.samplers, options.jobs, priority),
             published,
         );
         await clock.advance(storeLatencyMs * 3);
@@ -122,13 +122,13 @@
         network.remove(address);
     }
 
-    const knowers = (address: string): number =>
+    const countEntriesTrusting = (address: string): number =>
         [...entries.values()]
             .filter(entry => entry.membership.listPeers().some(peer => peer.address === address))
             .length;
 
-    const isBehind = (version: number) => (holder: { manifestVersion(): number; }): boolean =>
-        holder.manifestVersion() < version;
+    const isBehind = (version: number) => (process: { manifestVersion(): number; }): boolean =>
+        process.manifestVersion() < version;
 
     return {
         clock,
@@ -147,7 +147,7 @@
         suspicions: suspicion.count,
         relays,
         kill,
-        knowers,
+        countEntriesTrusting,
         slow: network.slow,
         cutRegions: network.cutRegions,
         stop: () => {
--- a/packages/bench/src/slopes/createFleetEntry.ts
+++ b/packages/bench/src/slopes/createFleetEntry.ts
@@ -10,7 +10,7 @@
 /** The control part of an entry. */
 interface FleetEntry {
     membership: Membership;
-    spread: DocumentSync;
+    documentSync: DocumentSync;
     manifestVersion(): number;
     stop(): void;
 }
@@ -23,11 +23,11 @@
         ...deps,
         seeds: [],
         exchange: (address, message) => network.call(from, address, "gossip", message),
-        newerDocuments: theirs => spread.transfersFor(theirs),
-        absentDocuments: theirs => spread.absentFrom(theirs),
-        acceptDocuments: documents => spread.applyAbsent(documents),
+        newerDocuments: theirs => documentSync.transfersFor(theirs),
+        absentDocuments: theirs => documentSync.absentFrom(theirs),
+        acceptDocuments: documents => documentSync.applyAbsent(documents),
     });
-    const spread: DocumentSync = createDocumentSync({
+    const documentSync: DocumentSync = createDocumentSync({
         ...deps,
         listPeers: membership.listPeers,
         isRelay: membership.isRelay,
@@ -36,18 +36,18 @@
     });
     network.listen(self.address, self.region, {
         gossip: membership.receiveGossip,
-        spread: spread.receive,
+        spread: documentSync.receive,
         report: membership.receiveReport,
     });
     membership.start();
-    spread.start();
+    documentSync.start();
     return {
         membership,
-        spread,
-        manifestVersion: () => spread.get("manifest")?.version ?? 0,
+        documentSync,
+        manifestVersion: () => documentSync.get("manifest")?.version ?? 0,
         stop: () => {
             membership.stop();
-            spread.stop();
+            documentSync.stop();
         },
     };
 }
--- a/packages/bench/src/slopes/makeManifest.ts
+++ b/packages/bench/src/slopes/createFleetManifest.ts
@@ -5,7 +5,7 @@
 const minJobs = 1;
 
 /** A valid manifest with the given numbers of samplers and jobs; `priority` tells two of them apart. */
-export function makeManifest(samplers: number, jobs: number, priority: number): Manifest {
+export function createFleetManifest(samplers: number, jobs: number, priority: number): Manifest {
     const tokenDigests = [createHash("sha256").update("bench").digest("hex")];
     return {
         name: "slopes",
--- a/packages/bench/src/slopes/measureCall.ts
+++ b/packages/bench/src/slopes/measureCall.ts
@@ -2,7 +2,7 @@
 import type { AddressInfo, Socket } from "node:net";
 import type { CallCost } from "./CallCost.js";
 
-const warmCalls = 300;
+const warmUpCalls = 300;
 const measuredCalls = 2_000;
 
 /** Length of a message and of its answer as entries exchange them in the steady state. */
@@ -63,7 +63,7 @@
         JSON.parse(text);
     }
 
-    for (let call = 0; call < warmCalls; call++) {
+    for (let call = 0; call < warmUpCalls; call++) {
         await callOnce();
     }
     const bytesBefore = socket!.bytesWritten + socket!.bytesRead;
--- a/packages/bench/src/slopes/measureChange.ts
+++ b/packages/bench/src/slopes/measureChange.ts
@@ -6,8 +6,8 @@
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import type { ChangePoint } from "./ChangePoint.js";
 import { collectGarbage } from "./collectGarbage.js";
+import { createFleetManifest } from "./createFleetManifest.js";
 import { createSuspicionLogger } from "./createSuspicionLogger.js";
-import { makeManifest } from "./makeManifest.js";
 
 const changes = 20;
 const jobs = 10;
@@ -39,7 +39,7 @@
 export function measureChange(samplers: number): ChangePoint {
     const [from, to] = [createSet(), createSet()];
     const publish = (version: number): void => {
-        const value = makeManifest(samplers, jobs, version % priorities + 1);
+        const value = createFleetManifest(samplers, jobs, version % priorities + 1);
         from.apply({ name: "manifest", version, value });
     };
     const cross = (transfer: DocumentTransfer): string => JSON.stringify(transfer);
--- a/packages/bench/src/slopes/measureDetection.ts
+++ b/packages/bench/src/slopes/measureDetection.ts
@@ -2,7 +2,7 @@
 import type { DetectionPoint } from "./DetectionPoint.js";
 import type { FleetOptions } from "./FleetOptions.js";
 
-const warmMs = 40_000;
+const warmUpMs = 40_000;
 const limitMs = 120_000;
 const resolutionMs = 100;
 
@@ -10,10 +10,10 @@
 export async function measureDetection(options: FleetOptions): Promise<DetectionPoint> {
     const fleet = createFleet(options);
     await fleet.publish();
-    await fleet.clock.advance(warmMs);
+    await fleet.clock.advance(warmUpMs);
     const falseSuspicions = fleet.suspicions();
-    const [victim] = fleet.relays();
-    fleet.kill(victim!);
+    const [removedAddress] = fleet.relays();
+    fleet.kill(removedAddress!);
     const startedMs = fleet.clock.monotonicMs();
     const others = options.entries - 1;
     let halfMs: number | undefined;
@@ -21,9 +21,9 @@
     while (allMs === undefined && fleet.clock.monotonicMs() - startedMs < limitMs) {
         await fleet.clock.advance(resolutionMs);
         const elapsedMs = fleet.clock.monotonicMs() - startedMs;
-        const knowers = fleet.knowers(victim!);
-        halfMs ??= knowers <= others / 2 ? elapsedMs : undefined;
-        allMs = knowers === 0 ? elapsedMs : undefined;
+        const trusting = fleet.countEntriesTrusting(removedAddress!);
+        halfMs ??= trusting <= others / 2 ? elapsedMs : undefined;
+        allMs = trusting === 0 ? elapsedMs : undefined;
     }
     fleet.stop();
     return { entries: options.entries, halfMs, allMs, falseSuspicions };
--- a/packages/bench/src/slopes/measureLeases.ts
+++ b/packages/bench/src/slopes/measureLeases.ts
@@ -2,7 +2,7 @@
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { createFakeObjectStore } from "@auburnarch/fakes/createFakeObjectStore";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
-import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
+import { createLeaseManager } from "@auburnarch/lease/createLeaseManager";
 import { jobLeaseKey } from "@auburnarch/lease/jobLeaseKey";
 import type { JobId } from "@auburnarch/types/JobId";
 import { createSuspicionLogger } from "./createSuspicionLogger.js";
@@ -21,7 +21,7 @@
         latencyMs: storeLatencyMs,
     });
     const { logger } = createSuspicionLogger();
-    const keeper = createLeaseKeeper({
+    const keeper = createLeaseManager({
         store,
         clock,
         random,
--- a/packages/bench/src/slopes/measureSpread.ts
+++ b/packages/bench/src/slopes/measurePropagation.ts
@@ -1,9 +1,9 @@
 import { createFleet } from "./createFleet.js";
 import type { Fleet } from "./Fleet.js";
 import type { FleetOptions } from "./FleetOptions.js";
-import type { SpreadPoint } from "./SpreadPoint.js";
+import type { PropagationPoint } from "./PropagationPoint.js";
 
-const warmMs = 30_000;
+const warmUpMs = 30_000;
 const limitMs = 60_000;
 const resolutionMs = 50;
 const slowRelayMs = 2_000;
@@ -20,7 +20,7 @@
     return fleet.clock.monotonicMs() - startedMs;
 }
 
-function strike(fleet: Fleet, condition: SpreadPoint["condition"]): void {
+function applyCondition(fleet: Fleet, condition: PropagationPoint["condition"]): void {
     const [relay] = fleet.relays();
     if (condition === "deadRelay") {
         fleet.kill(relay!);
@@ -31,14 +31,14 @@
 }
 
 /** Publishes one change to a settled fleet under a condition and measures until it is in force. */
-export async function measureSpread(
+export async function measurePropagation(
     options: FleetOptions,
-    condition: SpreadPoint["condition"],
-): Promise<SpreadPoint> {
+    condition: PropagationPoint["condition"],
+): Promise<PropagationPoint> {
     const fleet = createFleet({ ...options, loss: condition === "loss" ? lossRatio : 0 });
     await fleet.publish();
-    await fleet.clock.advance(warmMs);
-    strike(fleet, condition);
+    await fleet.clock.advance(warmUpMs);
+    applyCondition(fleet, condition);
     const startedMs = fleet.clock.monotonicMs();
     const version = await fleet.publish();
     const entriesMs = await timeUntil(fleet, startedMs, () => fleet.behind(version).entries === 0);
--- a/packages/bench/src/slopes/measureCut.ts
+++ b/packages/bench/src/slopes/measureRegionPartition.ts
@@ -1,17 +1,17 @@
 import { createFleet } from "./createFleet.js";
-import type { CutPoint } from "./CutPoint.js";
 import type { FleetOptions } from "./FleetOptions.js";
+import type { RegionPartitionPoint } from "./RegionPartitionPoint.js";
 
-const warmMs = 30_000;
+const warmUpMs = 30_000;
 const cutMs = 180_000;
 const limitMs = 180_000;
 const resolutionMs = 250;
 
 /** Cuts two regions off from each other for three minutes, publishes a change meanwhile and joins them again. */
-export async function measureCut(options: FleetOptions): Promise<CutPoint> {
+export async function measureRegionPartition(options: FleetOptions): Promise<RegionPartitionPoint> {
     const fleet = createFleet({ ...options, regions: 2 });
     await fleet.publish();
-    await fleet.clock.advance(warmMs);
+    await fleet.clock.advance(warmUpMs);
     fleet.cutRegions(true);
     await fleet.clock.advance(cutMs / 2);
     const version = await fleet.publish();
--- a/packages/bench/src/slopes/measureSteady.ts
+++ b/packages/bench/src/slopes/measureSteady.ts
@@ -4,9 +4,9 @@
 import type { FleetOptions } from "./FleetOptions.js";
 import type { SteadyPoint } from "./SteadyPoint.js";
 
-const minWarmMs = 30_000;
+const minWarmUpMs = 30_000;
 /** Until the news of so many starts is told. */
-const warmMsPerEntry = 400;
+const warmUpMsPerEntry = 400;
 const measuredMs = 20_000;
 const msPerHour = 3_600_000;
 const seconds = measuredMs / 1_000;
@@ -32,7 +32,7 @@
 export async function measureSteady(options: FleetOptions, changesPerHour: number): Promise<SteadyPoint> {
     const fleet = createFleet(options);
     await fleet.publish();
-    await fleet.clock.advance(minWarmMs + options.entries * warmMsPerEntry);
+    await fleet.clock.advance(minWarmUpMs + options.entries * warmUpMsPerEntry);
     const storeBefore = countCalls(fleet);
     const suspicionsBefore = fleet.suspicions();
     fleet.resetCounts();
--- a/packages/bench/src/slopes/projectCapacity.ts
+++ b/packages/bench/src/slopes/projectCapacity.ts
@@ -1,7 +1,7 @@
 import type { CapacityRow } from "./CapacityRow.js";
 import { fitLine } from "./fitLine.js";
+import type { PropagationPoint } from "./PropagationPoint.js";
 import type { SlopesFigures } from "./SlopesFigures.js";
-import type { SpreadPoint } from "./SpreadPoint.js";
 import type { SteadyPoint } from "./SteadyPoint.js";
 import type { Target } from "./Target.js";
 
@@ -32,7 +32,11 @@
     return fitLine(fitted.map(point => [point.changesPerHour / secondsPerHour, read(point)])).slope;
 }
 
-function spreadMs(figures: SlopesFigures, condition: SpreadPoint["condition"], entries: number): number {
+function entryPropagationMs(
+    figures: SlopesFigures,
+    condition: PropagationPoint["condition"],
+    entries: number,
+): number {
     const points = figures.spread.filter(point =>
         point.condition === condition && point.entriesMs !== undefined
     );
@@ -160,13 +164,13 @@
 
 function timeRows(figures: SlopesFigures, target: Target): CapacityRow[] {
     const waitMs = sidecarWaitMs(figures);
-    const rowOf = (condition: SpreadPoint["condition"], said: string): CapacityRow => {
+    const rowOf = (condition: PropagationPoint["condition"], conditionText: string): CapacityRow => {
         const points = figures.spread.filter(point => point.condition === condition);
         return {
             role: "all",
-            quantity: `change in force everywhere, ${said}`,
+            quantity: `change in force everywhere, ${conditionText}`,
             measured: `${last(points).entries} entries`,
-            projected: (spreadMs(figures, condition, target.entries) + waitMs) / 1_000,
+            projected: (entryPropagationMs(figures, condition, target.entries) + waitMs) / 1_000,
             budget: target.configMs / 1_000,
             unit: "s",
             extrapolated: true,
--- a/packages/bench/src/slopes/renderPlot.ts
+++ b/packages/bench/src/slopes/renderPlot.ts
@@ -23,10 +23,10 @@
         marginPx + (Math.log2(x) - left) / Math.max(1, right - left) * (widthPx - 2 * marginPx);
     const toY = (y: number): number =>
         heightPx - marginPx - (Math.log2(y) - low) / Math.max(1, high - low) * (heightPx - 2 * marginPx);
-    const text = (x: number, y: number, said: string, more = ""): string =>
+    const text = (x: number, y: number, content: string, more = ""): string =>
         `<text x="${x.toFixed(1)}" y="${
             y.toFixed(1)
-        }" font-family="sans-serif" font-size="12"${more}>${said}</text>`;
+        }" font-family="sans-serif" font-size="12"${more}>${content}</text>`;
     const ticksX = Array.from({ length: right - left + 1 }, (_, at) => 2 ** (left + at)).map(value =>
         text(toX(value), heightPx - marginPx + 18, String(value), ` text-anchor="middle"`)
     );
--- a/packages/bench/src/slopes/renderPlots.ts
+++ b/packages/bench/src/slopes/renderPlots.ts
@@ -1,8 +1,8 @@
+import type { PropagationPoint } from "./PropagationPoint.js";
 import { renderPlot } from "./renderPlot.js";
 import type { SlopesFigures } from "./SlopesFigures.js";
-import type { SpreadPoint } from "./SpreadPoint.js";
 
-const conditions: SpreadPoint["condition"][] = ["clean", "loss", "deadRelay", "slowRelay"];
+const conditions: PropagationPoint["condition"][] = ["clean", "loss", "deadRelay", "slowRelay"];
 
 /** Plots by file name. */
 export function renderPlots(figures: SlopesFigures): Record<string, string> {
--- a/packages/bench/src/slopes/runSlopes.ts
+++ b/packages/bench/src/slopes/runSlopes.ts
@@ -1,13 +1,13 @@
 import type { FleetOptions } from "./FleetOptions.js";
 import { measureCall } from "./measureCall.js";
 import { measureChange } from "./measureChange.js";
-import { measureCut } from "./measureCut.js";
 import { measureDetection } from "./measureDetection.js";
 import { measureLeases } from "./measureLeases.js";
-import { measureSpread } from "./measureSpread.js";
+import { measurePropagation } from "./measurePropagation.js";
+import { measureRegionPartition } from "./measureRegionPartition.js";
 import { measureSteady } from "./measureSteady.js";
+import type { PropagationPoint } from "./PropagationPoint.js";
 import type { SlopesFigures } from "./SlopesFigures.js";
-import type { SpreadPoint } from "./SpreadPoint.js";
 
 /** The run ends by itself within five minutes: nothing new is started after this. */
 const startLimitMs = 235_000;
@@ -26,7 +26,7 @@
 const cutCounts = [12, 48];
 const changeSizes = [128, 256, 512, 1_024, 2_048, 4_096];
 const leaseCounts = [4, 8, 16, 32, 64, 128];
-const conditions: SpreadPoint["condition"][] = ["clean", "loss", "deadRelay", "slowRelay"];
+const conditions: PropagationPoint["condition"][] = ["clean", "loss", "deadRelay", "slowRelay"];
 
 /** Measures all series, small sizes first, and reports each point to `onPoint`. */
 export async function runSlopes(seed: number, onPoint: (label: string) => void): Promise<SlopesFigures> {
@@ -67,13 +67,13 @@
         detectionCounts,
         count => measureDetection(optionsOf(count, 0, 10)),
     );
-    const cut = await series("cut", cutCounts, count => measureCut(optionsOf(count, 0, 10)));
+    const cut = await series("cut", cutCounts, count => measureRegionPartition(optionsOf(count, 0, 10)));
     const spreadPoints = spreadCounts.flatMap(count => conditions.map(condition => ({ count, condition })));
     const spread = await series("spread", spreadPoints, ({ count, condition }) => {
         // Sidecars hear of a change with the answers to their reports, whatever becomes of the relays.
         const ratio = count <= maxFullSpreadEntries ? samplersPerEntry : largeSpreadSamplersPerEntry;
         const samplers = condition === "clean" ? Math.round(count * ratio) : 0;
-        return measureSpread(optionsOf(count, samplers, 10), condition);
+        return measurePropagation(optionsOf(count, samplers, 10), condition);
     });
     const scaled = await series(
         "scaled",
--- a/packages/cli/src/checkArguments.ts
+++ b/packages/cli/src/checkArguments.ts
@@ -8,11 +8,11 @@
 export function checkArguments(definition: ArgsDef, args: string[]): string | undefined {
     const flags = Object.keys(definition).filter(name => definition[name]!.type !== "positional");
     const positionals = Object.keys(definition).filter(name => definition[name]!.type === "positional");
-    let words = 0;
+    let positionalCount = 0;
     for (let at = 0; at < args.length; at++) {
         const arg = args[at]!;
         if (!arg.startsWith("-")) {
-            words++;
+            positionalCount++;
             continue;
         }
         const [name, value] = arg.replace(/^-+/u, "").split("=", 2) as [string, string | undefined];
@@ -26,8 +26,10 @@
             }
         }
     }
-    if (words > positionals.length) {
+    if (positionalCount > positionals.length) {
         return `Too many arguments; expected ${positionals.length}.`;
     }
-    return words < positionals.length ? `Missing argument: ${positionals[words]!.toUpperCase()}.` : undefined;
+    return positionalCount < positionals.length
+        ? `Missing argument: ${positionals[positionalCount]!.toUpperCase()}.`
+        : undefined;
 }
