--- a/packages/cli/src/createApplyCommand.ts
+++ b/packages/cli/src/createApplyCommand.ts
@@ -47,10 +47,12 @@
     if (current === undefined) {
         return output;
     }
-    const won = diffManifests(before, current.manifest);
+    const winningChanges = diffManifests(before, current.manifest);
     const lines = [
         `Lost to version ${current.version}, which was published first. What it changed:`,
-        ...(won.length === 0 ? ["  (nothing beside its version)"] : won.map(line => `  ${line}`)),
+        ...(winningChanges.length === 0
+            ? ["  (nothing beside its version)"]
+            : winningChanges.map(line => `  ${line}`)),
     ];
     return { ...output, lines: [...output.lines, ...lines] };
 }
@@ -68,9 +70,9 @@
 ): Promise<ApplyOutput> {
     const difference = diffManifests(before.manifest, manifest);
     if (difference.length === 0) {
-        const said = `Version ${before.version} is the same already; nothing published.`;
+        const message = `Version ${before.version} is the same already; nothing published.`;
         const json = { version: before.version, changed: false, difference };
-        return { exitCode: exitCodes.done, version: before.version, json, lines: [said] };
+        return { exitCode: exitCodes.done, version: before.version, json, lines: [message] };
     }
     try {
         const { version } = await publishManifest(client, manifest, before.version);
@@ -86,7 +88,7 @@
     }
 }
 
-async function waitInForce(
+async function waitUntilActive(
     io: CliIo,
     client: OperatorClient,
     published: ApplyOutput,
@@ -97,17 +99,17 @@
     const everywhere = await waitUntil(io, limitMs, async () => {
         const { members } = await client.get("/operator/status") as OperatorStatus;
         behind = members.filter(member => member.configVersion < version).map(member => member.name);
-        const there = members.length - behind.length;
-        const progress = `version ${version} in force on ${there} of ${members.length} processes`;
+        const activeCount = members.length - behind.length;
+        const progress = `version ${version} in force on ${activeCount} of ${members.length} processes`;
         return { done: behind.length === 0, progress };
     });
-    const said = everywhere
+    const messages = everywhere
         ? ["It is in force on every process known."]
         : [`Not yet in force on: ${behind.join(", ")}.`, "Look at `auburnarch status`."];
     return {
         exitCode: everywhere ? exitCodes.done : exitCodes.timedOut,
         json: { ...published.json as object, everywhere, behind },
-        lines: [...published.lines, ...said],
+        lines: [...published.lines, ...messages],
     };
 }
 
@@ -139,7 +141,7 @@
             if (args.wait !== true || published.exitCode !== exitCodes.done) {
                 return published;
             }
-            return waitInForce(io, client, published, limitMs);
+            return waitUntilActive(io, client, published, limitMs);
         },
     }) as CommandDef;
 }
--- a/packages/cli/src/createDrainCommand.ts
+++ b/packages/cli/src/createDrainCommand.ts
@@ -38,8 +38,8 @@
             const body = { sampler: args.sampler as SamplerId };
             const drained = await client.post("/operator/drain", body) as OperatorDrained;
             if (args.wait !== true) {
-                const said = `${args.sampler} takes no new work; ${drained.running} attempts go on there.`;
-                return { exitCode: exitCodes.done, json: drained, lines: [said] };
+                const message = `${args.sampler} takes no new work; ${drained.running} attempts go on there.`;
+                return { exitCode: exitCodes.done, json: drained, lines: [message] };
             }
             const empty = await waitUntil(io, limitMs, async () => {
                 const running = await countRunning(client, args.sampler);
--- a/packages/cli/src/createQuarantineCommand.ts
+++ b/packages/cli/src/createQuarantineCommand.ts
@@ -56,8 +56,8 @@
             const client = await connect(io, args);
             const body = { digest: args.digest };
             const answer = await client.post("/operator/quarantine/lift", body) as OperatorQuarantine;
-            const said = `Lifted ${args.digest}; it runs again once the lift has spread, within seconds.`;
-            return { exitCode: exitCodes.done, json: answer, lines: [said] };
+            const message = `Lifted ${args.digest}; it runs again once the lift has spread, within seconds.`;
+            return { exitCode: exitCodes.done, json: answer, lines: [message] };
         },
     }) as CommandDef;
 }
--- a/packages/cli/src/findLogLines.ts
+++ b/packages/cli/src/findLogLines.ts
@@ -14,7 +14,7 @@
 const eventPattern = /event=(\S+)/u;
 
 /** True where the id stands as a whole: as a value, or as a part of one between `/`, `,` or `:`. */
-function concerns(line: string, id: string): boolean {
+function mentionsId(line: string, id: string): boolean {
     const values = [...line.matchAll(valuePattern)].map(found => found[1]!);
     return values.some(value => value === id || value.split(/["/,:\s]+/u).includes(id));
 }
@@ -27,7 +27,7 @@
     const found: FoundLine[] = [];
     for (const line of logs.flatMap(log => log.split("\n"))) {
         const time = timePattern.exec(line) ?? undefined;
-        if (time !== undefined && concerns(line, id)) {
+        if (time !== undefined && mentionsId(line, id)) {
             found.push({
                 time: time[1]!,
                 process: processPattern.exec(line)?.[1] ?? "",
--- a/packages/cli/src/publishManifest.ts
+++ b/packages/cli/src/publishManifest.ts
@@ -7,7 +7,7 @@
 import { OperatorFailure } from "./OperatorFailure.js";
 
 /** Answers after which the change may or may not have been published. */
-const doubtful: number[] = [resultCodes.peerUnreachable.number, resultCodes.storeUnavailable.number];
+const ambiguousCodes: number[] = [resultCodes.peerUnreachable.number, resultCodes.storeUnavailable.number];
 
 /**
  * Publishes a manifest against the version it was compared with. If the answer is lost, what stands published is
@@ -22,15 +22,15 @@
         return await client.post("/operator/manifest", { manifest, expectedVersion }) as OperatorApplied;
     }
     catch (error) {
-        if (!(error instanceof OperatorFailure) || !doubtful.includes(error.error.code)) {
+        if (!(error instanceof OperatorFailure) || !ambiguousCodes.includes(error.error.code)) {
             throw error;
         }
-        const standing = await client.get("/operator/manifest") as OperatorManifest;
-        const isOurs = standing.manifest !== undefined
-            && standing.version > expectedVersion
-            && diffManifests(standing.manifest, manifest).length === 0;
+        const published = await client.get("/operator/manifest") as OperatorManifest;
+        const isOurs = published.manifest !== undefined
+            && published.version > expectedVersion
+            && diffManifests(published.manifest, manifest).length === 0;
         if (isOurs) {
-            return { version: standing.version, changed: true };
+            return { version: published.version, changed: true };
         }
         throw error;
     }
--- a/packages/cli/src/runCli.test.ts
+++ b/packages/cli/src/runCli.test.ts
@@ -260,18 +260,18 @@
 });
 
 test("when the answer to a publication is lost, what stands is read back before anything is said", async () => {
-    let standing: { version: number; manifest?: unknown; } = { version: 0 };
+    let published: { version: number; manifest?: unknown; } = { version: 0 };
     const routes: Routes = {
-        "GET /operator/manifest": () => ({ body: standing }),
+        "GET /operator/manifest": () => ({ body: published }),
         "POST /operator/manifest": body => {
-            standing = { version: 8, manifest: (body as { manifest: unknown; }).manifest };
+            published = { version: 8, manifest: (body as { manifest: unknown; }).manifest };
             return "hangUp";
         },
     };
     const applied = await runAgainst(routes, ["apply", manifestPath, "--json"]);
     expect(applied.exitCode).toBe(0);
     expect(JSON.parse(applied.out)).toMatchObject({ version: 8, changed: true });
-    standing = { version: 0 };
+    published = { version: 0 };
     routes["POST /operator/manifest"] = () => "hangUp";
     expect((await runAgainst(routes, ["apply", manifestPath])).exitCode).toBe(5);
 });
@@ -295,7 +295,7 @@
     const env = { AUBURNARCH_ENTRY: entry, AUBURNARCH_OPERATOR_TOKEN: "wrong" };
     expect(await run(["status"], env)).toMatchSnapshot("wrong token");
     expect(await run(["status", "--json"], env)).toMatchSnapshot("wrong token as JSON");
-    const dead = await run(["status", "--entry", "http://127.0.0.1:1"]);
-    expect(dead.exitCode).toBe(5);
-    expect(dead.err).toContain("peerUnreachable");
+    const unreachable = await run(["status", "--entry", "http://127.0.0.1:1"]);
+    expect(unreachable.exitCode).toBe(5);
+    expect(unreachable.err).toContain("peerUnreachable");
 });
--- a/packages/cli/src/runCli.ts
+++ b/packages/cli/src/runCli.ts
@@ -49,7 +49,7 @@
     }
 }
 
-function refuseUsage(io: CliIo, message: string, command: string): number {
+function reportWrongUsage(io: CliIo, message: string, command: string): number {
     io.writeError(`${message}\nSee \`${command} --help\`.\n`);
     return exitCodes.wrongUsage;
 }
@@ -62,14 +62,18 @@
         return exitCodes.done;
     }
     if (names.length > 0) {
-        const said = unknown === undefined
+        const message = unknown === undefined
             ? "Name a command."
             : `There is no command "${unknown}".${suggestName(unknown, names)}`;
-        return refuseUsage(io, said, "auburnarch");
+        return reportWrongUsage(io, message, "auburnarch");
     }
     const fault = checkArguments((command.args ?? {}) as ArgsDef, rest);
     if (fault !== undefined) {
-        return refuseUsage(io, fault, `auburnarch ${args.slice(0, args.length - rest.length).join(" ")}`);
+        return reportWrongUsage(
+            io,
+            fault,
+            `auburnarch ${args.slice(0, args.length - rest.length).join(" ")}`,
+        );
     }
     const output = await runFound(command, rest);
     print(io, output, rest.includes("--json"));
--- a/packages/cli/src/summarizeSteps.ts
+++ b/packages/cli/src/summarizeSteps.ts
@@ -4,7 +4,7 @@
 
 type Fields = LogLine["fields"];
 
-const mostPart = 0.9;
+const mostRatio = 0.9;
 
 const numberOf = (fields: Fields, name: string): number | undefined =>
     fields.has(name) ? Number(fields.get(name)) : undefined;
@@ -32,20 +32,20 @@
     };
 }
 
-function noteRecorded(row: StepRow, fields: Fields, sinceMs: number): void {
+function recordResults(row: StepRow, fields: Fields, sinceMs: number): void {
     const recorded = numberOf(fields, "recorded") ?? 0;
     row.records++;
     row.halfMs ??= recorded >= row.items / 2 ? sinceMs : undefined;
-    row.mostMs ??= recorded >= row.items * mostPart ? sinceMs : undefined;
+    row.mostMs ??= recorded >= row.items * mostRatio ? sinceMs : undefined;
     row.allMs ??= recorded >= row.items ? sinceMs : undefined;
 }
 
-const takers: Readonly<Record<string, (row: StepRow, fields: Fields, sinceMs: number) => void>> = {
+const eventHandlers: Readonly<Record<string, (row: StepRow, fields: Fields, sinceMs: number) => void>> = {
     lotTaken: (row, fields) => void row.runners.push(fields.get("process") ?? ""),
     lotEnded: (row, _fields, sinceMs) => {
         row.endedMs ??= sinceMs;
     },
-    resultsRecorded: noteRecorded,
+    resultsRecorded: recordResults,
     samplerPicked: (row, _fields, sinceMs) => {
         row.sends++;
         row.firstSentMs ??= sinceMs;
@@ -59,43 +59,43 @@
  * A trainer asks for its steps in a rhythm, or later where it waits for a version; so the rhythm is the shortest time
  * from its first step to any other, a step.
  */
-function noteLateness(rows: StepRow[]): void {
+function setLateness(rows: StepRow[]): void {
     const [first, ...others] = rows;
     const sinceFirst = (row: StepRow): { steps: number; ms: number; } => ({
         steps: row.step - first!.step,
         ms: Date.parse(row.acceptedAt) - Date.parse(first!.acceptedAt),
     });
-    const rhythmMs = Math.min(
+    const stepIntervalMs = Math.min(
         ...others.map(sinceFirst).filter(({ steps }) => steps > 0).map(({ steps, ms }) => ms / steps),
     );
     for (const row of others) {
         const { steps, ms } = sinceFirst(row);
-        row.lateMs = Math.round(ms - (steps === 0 ? 0 : steps * rhythmMs));
+        row.lateMs = Math.round(ms - (steps === 0 ? 0 : steps * stepIntervalMs));
     }
 }
 
 /** Lines of items name them `job/item`. */
-const lotOf = (fields: Fields): string | undefined =>
+const batchJobIdOf = (fields: Fields): string | undefined =>
     fields.get("lot") ?? fields.get("sample")?.split("/")[0];
 
 /** Tells from the logs of gateways and runners how each batch job went, in order of policy and acceptance. */
 export function summarizeSteps(logs: string[]): StepRow[] {
     const rows = new Map<string, StepRow>();
     for (const line of readLogLines(logs)) {
-        const lot = lotOf(line.fields);
-        const row = lot === undefined ? undefined : rows.get(lot);
-        if (line.event === "lotAccepted" && lot !== undefined && row === undefined) {
-            rows.set(lot, toRow(line));
+        const batchJobId = batchJobIdOf(line.fields);
+        const row = batchJobId === undefined ? undefined : rows.get(batchJobId);
+        if (line.event === "lotAccepted" && batchJobId !== undefined && row === undefined) {
+            rows.set(batchJobId, toRow(line));
         }
         else if (row !== undefined) {
-            takers[line.event]?.(row, line.fields, line.atMs - Date.parse(row.acceptedAt));
+            eventHandlers[line.event]?.(row, line.fields, line.atMs - Date.parse(row.acceptedAt));
         }
     }
     const sorted = [...rows.values()].sort((a, b) =>
         a.policy === b.policy ? a.step - b.step : a.policy < b.policy ? -1 : 1
     );
     for (const policy of new Set(sorted.map(row => row.policy))) {
-        noteLateness(sorted.filter(row => row.policy === policy));
+        setLateness(sorted.filter(row => row.policy === policy));
     }
     return sorted;
 }
--- a/packages/clock/src/createFakeClock.ts
+++ b/packages/clock/src/createFakeClock.ts
@@ -16,19 +16,19 @@
 export function createFakeClock(startWallMs = 1_700_000_000_000): FakeClock {
     let nowMs = 0;
     let order = 0;
-    let live = 0;
+    let pendingCount = 0;
     const heap: Timer[] = [];
 
     function push(timer: Timer): void {
         heap.push(timer);
-        let at = heap.length - 1;
-        while (at > 0) {
-            const parent = (at - 1) >> 1;
-            if (!comesBefore(heap[at]!, heap[parent]!)) {
+        let index = heap.length - 1;
+        while (index > 0) {
+            const parent = (index - 1) >> 1;
+            if (!comesBefore(heap[index]!, heap[parent]!)) {
                 break;
             }
-            [heap[at], heap[parent]] = [heap[parent]!, heap[at]!];
-            at = parent;
+            [heap[index], heap[parent]] = [heap[parent]!, heap[index]!];
+            index = parent;
         }
     }
 
@@ -39,22 +39,22 @@
             return top;
         }
         heap[0] = last;
-        let at = 0;
+        let index = 0;
         for (;;) {
-            const left = 2 * at + 1;
+            const left = 2 * index + 1;
             const right = left + 1;
-            let least = at;
+            let least = index;
             if (left < heap.length && comesBefore(heap[left]!, heap[least]!)) {
                 least = left;
             }
             if (right < heap.length && comesBefore(heap[right]!, heap[least]!)) {
                 least = right;
             }
-            if (least === at) {
+            if (least === index) {
                 return top;
             }
-            [heap[at], heap[least]] = [heap[least]!, heap[at]!];
-            at = least;
+            [heap[index], heap[least]] = [heap[least]!, heap[index]!];
+            index = least;
         }
     }
 
@@ -66,12 +66,12 @@
 
     function startTimer(delayMs: number, run: () => void): () => void {
         const timer: Timer = { atMs: nowMs + Math.max(0, delayMs), order: order++, run };
-        live++;
+        pendingCount++;
         push(timer);
         return () => {
             if (timer.run !== undefined) {
                 timer.run = undefined;
-                live--;
+                pendingCount--;
             }
         };
     }
@@ -86,7 +86,7 @@
         nowMs = Math.max(nowMs, next.atMs);
         const run = next.run!;
         next.run = undefined;
-        live--;
+        pendingCount--;
         run();
         await nextTurn();
         return true;
@@ -113,6 +113,6 @@
             await runUntil(() => false, ms);
         },
         runUntil,
-        pendingTimers: () => live,
+        pendingTimers: () => pendingCount,
     };
 }
--- a/packages/clock/src/createClockVote.ts
+++ b/packages/clock/src/createMedianTime.ts
@@ -1,14 +1,14 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { TrueTimeEstimate } from "./TrueTimeEstimate.js";
 
-interface Told {
+interface ClockReading {
     /** Its time of day less our monotonic time. */
     offsetMs: number;
     atMs: number;
 }
 
 /** What another clock said counts for this long: drift is no matter within it, a stop of this process is. */
-const toldForMs = 5_000;
+const readingTtlMs = 5_000;
 
 function medianOf(values: number[]): number {
     const sorted = [...values].sort((a, b) => a - b);
@@ -20,23 +20,23 @@
  * True time as the median of the clocks of several machines, this one's among them: a time of day that jumps on fewer
  * than half of them moves it by no more than the others differ.
  */
-export function createClockVote(clock: Clock): TrueTimeEstimate {
-    const others = new Map<string, Told>();
+export function createMedianTime(clock: Clock): TrueTimeEstimate {
+    const readings = new Map<string, ClockReading>();
 
     function offsetMs(): number {
         const nowMs = clock.monotonicMs();
-        for (const [source, { atMs }] of others) {
-            if (nowMs - atMs > toldForMs) {
-                others.delete(source);
+        for (const [source, { atMs }] of readings) {
+            if (nowMs - atMs > readingTtlMs) {
+                readings.delete(source);
             }
         }
-        return medianOf([clock.wallMs() - nowMs, ...[...others.values()].map(told => told.offsetMs)]);
+        return medianOf([clock.wallMs() - nowMs, ...[...readings.values()].map(reading => reading.offsetMs)]);
     }
 
     return {
         nowMs: () => clock.monotonicMs() + offsetMs(),
         atMs: monotonicMs => monotonicMs + offsetMs(),
-        learn: (source, toldMs, monotonicMs) =>
-            void others.set(source, { offsetMs: toldMs - monotonicMs, atMs: clock.monotonicMs() }),
+        recordReading: (source, reportedMs, monotonicMs) =>
+            void readings.set(source, { offsetMs: reportedMs - monotonicMs, atMs: clock.monotonicMs() }),
     };
 }
--- a/packages/clock/src/createSleep.ts
+++ b/packages/clock/src/createSleep.ts
@@ -2,7 +2,7 @@
 import { getMaxListeners, setMaxListeners } from "node:events";
 
 /** A process's loops share one stop signal; beyond this many sleeps on one signal a leak is more likely. */
-const expectedSleeps = 1_000;
+const maxListenersPerSignal = 1_000;
 
 /** Builds `sleep` on `startTimer`. */
 export function createSleep(startTimer: Clock["startTimer"]): Clock["sleep"] {
@@ -12,8 +12,8 @@
                 resolve();
                 return;
             }
-            if (signal !== undefined && getMaxListeners(signal) < expectedSleeps) {
-                setMaxListeners(expectedSleeps, signal);
+            if (signal !== undefined && getMaxListeners(signal) < maxListenersPerSignal) {
+                setMaxListeners(maxListenersPerSignal, signal);
             }
             const wake = (): void => {
                 cancel();
--- a/packages/clock/src/createStopController.ts
+++ b/packages/clock/src/createStopController.ts
@@ -4,11 +4,11 @@
  * Waits on one stop signal that are no leak. Not 0, which stands for "no bound" but makes Node reject the signal when
  * its bound is read.
  */
-const expectedListeners = 100_000;
+const maxListenersPerSignal = 100_000;
 
 /** Makes a controller on whose signal very many may wait. */
 export function createStopController(): AbortController {
     const controller = new AbortController();
-    setMaxListeners(expectedListeners, controller.signal);
+    setMaxListeners(maxListenersPerSignal, controller.signal);
     return controller;
 }
--- a/packages/clock/src/trueTime.test.ts
+++ b/packages/clock/src/trueTime.test.ts
@@ -1,10 +1,10 @@
 import { expect, test } from "vitest";
-import { createClockVote } from "./createClockVote.js";
 import { createFakeClock } from "./createFakeClock.js";
-import { createToldTime } from "./createToldTime.js";
+import { createMedianTime } from "./createMedianTime.js";
+import { createReportedTime } from "./createReportedTime.js";
 
 /** A clock whose time of day jumps. */
-function createStepping() {
+function createSteppingClock() {
     const inner = createFakeClock(1_000_000);
     const state = { stepMs: 0 };
     return { clock: { ...inner, wallMs: () => inner.wallMs() + state.stepMs }, inner, state };
@@ -13,35 +13,35 @@
 test.each([-4_000, 4_000])(
     "a time of day that jumps by %i ms here moves the true time by no more than others differ",
     stepMs => {
-        const { clock, inner, state } = createStepping();
-        const vote = createClockVote(clock);
+        const { clock, inner, state } = createSteppingClock();
+        const trueTime = createMedianTime(clock);
         [-3, 2, 5].forEach((offMs, index) =>
-            vote.learn(`r${index}`, inner.wallMs() + offMs, inner.monotonicMs())
+            trueTime.recordReading(`r${index}`, inner.wallMs() + offMs, inner.monotonicMs())
         );
         state.stepMs = stepMs;
-        expect(Math.abs(vote.nowMs() - inner.wallMs())).toBeLessThanOrEqual(5);
+        expect(Math.abs(trueTime.nowMs() - inner.wallMs())).toBeLessThanOrEqual(5);
     },
 );
 
 test("clocks of fewer than half of the machines that jump move nothing, and one that is silent counts no more", async () => {
-    const { clock, inner, state } = createStepping();
-    const vote = createClockVote(clock);
-    vote.learn("stepped", inner.wallMs() + 5_000, inner.monotonicMs());
-    [1, 2, 3].forEach(index => vote.learn(`r${index}`, inner.wallMs(), inner.monotonicMs()));
+    const { clock, inner, state } = createSteppingClock();
+    const trueTime = createMedianTime(clock);
+    trueTime.recordReading("stepped", inner.wallMs() + 5_000, inner.monotonicMs());
+    [1, 2, 3].forEach(index => trueTime.recordReading(`r${index}`, inner.wallMs(), inner.monotonicMs()));
     state.stepMs = -5_000;
-    expect(vote.nowMs()).toBe(inner.wallMs());
+    expect(trueTime.nowMs()).toBe(inner.wallMs());
     await inner.advance(6_000);
-    expect(vote.nowMs()).toBe(inner.wallMs() - 5_000);
+    expect(trueTime.nowMs()).toBe(inner.wallMs() - 5_000);
 });
 
 test("told time holds while the own time of day jumps, and the least late answer counts", async () => {
-    const { clock, inner, state } = createStepping();
-    const told = createToldTime(clock);
-    expect(told.nowMs()).toBe(inner.wallMs());
-    told.learn("r1", inner.wallMs(), inner.monotonicMs());
-    told.learn("r1", inner.wallMs() - 40, inner.monotonicMs());
+    const { clock, inner, state } = createSteppingClock();
+    const trueTime = createReportedTime(clock);
+    expect(trueTime.nowMs()).toBe(inner.wallMs());
+    trueTime.recordReading("r1", inner.wallMs(), inner.monotonicMs());
+    trueTime.recordReading("r1", inner.wallMs() - 40, inner.monotonicMs());
     state.stepMs = 3_000;
-    expect([told.nowMs(), told.atMs(0)]).toEqual([inner.wallMs(), 1_000_000]);
+    expect([trueTime.nowMs(), trueTime.atMs(0)]).toEqual([inner.wallMs(), 1_000_000]);
     await inner.advance(20_000);
-    expect(told.nowMs()).toBe(inner.wallMs() + 3_000);
+    expect(trueTime.nowMs()).toBe(inner.wallMs() + 3_000);
 });
--- a/packages/config/src/applyFlags.ts
+++ b/packages/config/src/applyFlags.ts
@@ -1,7 +1,7 @@
 import { z } from "zod";
 import { settingsSchema } from "./settingsSchema.js";
 
-function innermost(schema: unknown): unknown {
+function unwrap(schema: unknown): unknown {
     let inner = schema;
     while (inner instanceof z.ZodOptional || inner instanceof z.ZodDefault) {
         inner = inner.unwrap();
@@ -10,7 +10,7 @@
 }
 
 function parseText(schema: unknown, text: string): unknown {
-    const inner = innermost(schema);
+    const inner = unwrap(schema);
     if (inner instanceof z.ZodArray) {
         return text.split(",").filter(part => part !== "");
     }
--- a/packages/config/src/checkReferences.ts
+++ b/packages/config/src/checkReferences.ts
@@ -49,18 +49,18 @@
 }
 
 function checkTokens(teams: Row[], report: Report): void {
-    const holder = new Map<unknown, number>();
+    const firstTeams = new Map<unknown, number>();
     teams.forEach((row, at) => {
         const digests = Array.isArray(row["tokenDigests"]) ? row["tokenDigests"] as unknown[] : [];
         digests.forEach((digest, index) => {
-            const first = holder.get(digest);
+            const first = firstTeams.get(digest);
             if (first !== undefined) {
                 report(
                     `teams[${at}].tokenDigests[${index}]`,
                     `This token is given to teams[${first}] already.`,
                 );
             }
-            holder.set(digest, first ?? at);
+            firstTeams.set(digest, first ?? at);
         });
     });
 }
--- a/packages/config/src/nearestName.ts
+++ b/packages/config/src/nearestName.ts
@@ -20,11 +20,11 @@
         return undefined;
     }
     let nearest: string | undefined;
-    let least = Infinity;
+    let leastDistance = Infinity;
     for (const name of validNames) {
         const distance = editDistance(given.toLowerCase(), name.toLowerCase());
-        if (distance < least && distance <= Math.max(1, name.length * maxDistanceShare)) {
-            least = distance;
+        if (distance < leastDistance && distance <= Math.max(1, name.length * maxDistanceShare)) {
+            leastDistance = distance;
             nearest = name;
         }
     }
--- a/packages/cursors/src/createCursorCodec.ts
+++ b/packages/cursors/src/createCursorCodec.ts
@@ -4,16 +4,16 @@
 import { isGenuineCursor } from "./isGenuineCursor.js";
 
 // Layout, big endian: format, job digest, step, fencing, groups, samples, tokens, engineMs, bitmap, signature.
-const format = 1;
-const jobAt = 1;
+const formatVersion = 1;
+const jobOffset = 1;
 const jobBytes = 16;
-const stepAt = jobAt + jobBytes;
-const fencingAt = stepAt + 8;
-const groupsAt = fencingAt + 8;
-const samplesAt = groupsAt + 4;
-const tokensAt = samplesAt + 8;
-const engineAt = tokensAt + 8;
-const bitmapAt = engineAt + 8;
+const stepOffset = jobOffset + jobBytes;
+const fencingOffset = stepOffset + 8;
+const groupsOffset = fencingOffset + 8;
+const samplesOffset = groupsOffset + 4;
+const tokensOffset = samplesOffset + 8;
+const engineMsOffset = tokensOffset + 8;
+const bitmapOffset = engineMsOffset + 8;
 const signatureBytes = 32;
 const maxCursorChars = 16_384;
 
@@ -28,36 +28,36 @@
     const sign = (body: Uint8Array): Buffer => createHmac("sha256", key).update(body).digest();
 
     function encode(state: CursorState): string {
-        const body = Buffer.alloc(bitmapAt + bitmapBytes(state.groups));
-        body.writeUInt8(format, 0);
-        jobDigest(state.job).copy(body, jobAt);
-        body.writeDoubleBE(state.step, stepAt);
-        body.writeDoubleBE(state.fencing, fencingAt);
-        body.writeUInt32BE(state.groups, groupsAt);
-        body.writeDoubleBE(state.samples, samplesAt);
-        body.writeDoubleBE(state.tokens, tokensAt);
-        body.writeDoubleBE(state.engineMs, engineAt);
-        body.set(state.delivered, bitmapAt);
+        const body = Buffer.alloc(bitmapOffset + bitmapBytes(state.groups));
+        body.writeUInt8(formatVersion, 0);
+        jobDigest(state.job).copy(body, jobOffset);
+        body.writeDoubleBE(state.step, stepOffset);
+        body.writeDoubleBE(state.fencing, fencingOffset);
+        body.writeUInt32BE(state.groups, groupsOffset);
+        body.writeDoubleBE(state.samples, samplesOffset);
+        body.writeDoubleBE(state.tokens, tokensOffset);
+        body.writeDoubleBE(state.engineMs, engineMsOffset);
+        body.set(state.delivered, bitmapOffset);
         return Buffer.concat([body, sign(body)]).toString("base64url");
     }
 
     function parse(body: Buffer, job: string): CursorState | undefined {
-        const groups = body.readUInt32BE(groupsAt);
-        if (body.readUInt8(0) !== format || body.length !== bitmapAt + bitmapBytes(groups)) {
+        const groups = body.readUInt32BE(groupsOffset);
+        if (body.readUInt8(0) !== formatVersion || body.length !== bitmapOffset + bitmapBytes(groups)) {
             return undefined;
         }
-        if (!body.subarray(jobAt, stepAt).equals(jobDigest(job))) {
+        if (!body.subarray(jobOffset, stepOffset).equals(jobDigest(job))) {
             return undefined;
         }
         return {
             job,
-            step: body.readDoubleBE(stepAt),
-            fencing: body.readDoubleBE(fencingAt),
+            step: body.readDoubleBE(stepOffset),
+            fencing: body.readDoubleBE(fencingOffset),
             groups,
-            delivered: Uint8Array.from(body.subarray(bitmapAt)),
-            samples: body.readDoubleBE(samplesAt),
-            tokens: body.readDoubleBE(tokensAt),
-            engineMs: body.readDoubleBE(engineAt),
+            delivered: Uint8Array.from(body.subarray(bitmapOffset)),
+            samples: body.readDoubleBE(samplesOffset),
+            tokens: body.readDoubleBE(tokensOffset),
+            engineMs: body.readDoubleBE(engineMsOffset),
         };
     }
 
@@ -67,7 +67,7 @@
         }
         const bytes = Buffer.from(cursor, "base64url");
         // Node skips characters outside the alphabet; only the one spelling that was issued is taken.
-        if (bytes.length < bitmapAt + signatureBytes || bytes.toString("base64url") !== cursor) {
+        if (bytes.length < bitmapOffset + signatureBytes || bytes.toString("base64url") !== cursor) {
             return undefined;
         }
         const body = bytes.subarray(0, bytes.length - signatureBytes);
--- a/packages/daemon/src/StandIns.ts
+++ b/packages/daemon/src/ExternalFakes.ts
@@ -6,7 +6,7 @@
 import type { VmRecord } from "@auburnarch/types/VmRecord";
 
 /** The outside systems as small servers on loopback, with their truths and faults. */
-export interface StandIns {
+export interface ExternalFakes {
     objectApiUrl: string;
     vmListUrl: string;
     weightStoreUrl: string;
--- a/packages/daemon/src/StandInPlan.ts
+++ b/packages/daemon/src/ExternalFakesPlan.ts
@@ -1,7 +1,7 @@
 import type { Manifest } from "@auburnarch/types/Manifest";
 
 /** How the embedded stand-ins behave; the defaults are those of `auburnarchd standalone`. */
-export interface StandInPlan {
+export interface ExternalFakesPlan {
     manifest: Manifest;
     region: string;
     /** Entry VMs. */
--- a/packages/daemon/src/Standalone.ts
+++ b/packages/daemon/src/Standalone.ts
@@ -1,9 +1,9 @@
+import type { ExternalFakes } from "./ExternalFakes.js";
 import type { RunningProcess } from "./RunningProcess.js";
-import type { StandIns } from "./StandIns.js";
 
 /** The whole system in one process on loopback. */
 export interface Standalone {
-    standIns: StandIns;
+    externalFakes: ExternalFakes;
     entries: RunningProcess[];
     sidecars: RunningProcess[];
     /** Tokens drawn for this run. */
--- a/packages/daemon/src/takeDocument.ts
+++ b/packages/daemon/src/applyDocument.ts
@@ -4,7 +4,7 @@
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 
 /** Hands a shared document to a gate, which takes it only if it is newer. */
-export function takeDocument(gate: Sidecar, document: SharedDocument): void {
+export function applyDocument(gate: Sidecar, document: SharedDocument): void {
     const { name, version, value } = document;
     const manifest = name === "manifest" ? readManifestDocument(document) : undefined;
     if (manifest !== undefined) {
--- a/packages/daemon/src/auburnarchd.ts
+++ b/packages/daemon/src/auburnarchd.ts
@@ -14,7 +14,7 @@
     random: createRandom(randomInt(maxSeed)),
     writeLine: line => void process.stdout.write(`${line}\n`),
 };
-const tell = (line: string): void => void process.stderr.write(`${line}\n`);
+const printLine = (line: string): void => void process.stderr.write(`${line}\n`);
 
 const run = defineCommand({
     meta: { name: "run", description: "Run one process: an entry or a sidecar, as its settings say" },
@@ -36,7 +36,7 @@
                 return [key!, value.join("=")];
             }),
         );
-        process.exit(await runProcess(args.settings, flags, context, tell));
+        process.exit(await runProcess(args.settings, flags, context, printLine));
     },
 });
 
@@ -62,7 +62,7 @@
             demo: args.demo,
             logPath: args.log,
             context,
-            tell: args.demo ? line => void process.stdout.write(`${line}\n`) : tell,
+            printLine: args.demo ? line => void process.stdout.write(`${line}\n`) : printLine,
         });
         process.exit(code);
     },
--- a/packages/daemon/src/changesInTime.test.ts
+++ b/packages/daemon/src/changeLatency.test.ts
@@ -1,47 +1,47 @@
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { expect, test } from "vitest";
-import { createFedFleet } from "./testing/createFedFleet.js";
-import type { FedTrouble } from "./testing/FedTrouble.js";
+import { createFeedFleet } from "./testing/createFeedFleet.js";
+import type { FeedFaults } from "./testing/FeedFaults.js";
 
-const troublesPerSeed = 8;
-const longestTroubleMs = 4_000;
+const faultsPerSeed = 8;
+const maxFaultsMs = 4_000;
 /** Changes are due at each process that has the store this long after the store took them. */
 const dueMs = 2_000;
 const stepMs = 20;
-const calm: FedTrouble = { isStoreAway: () => false, isReached: () => true };
+const noFaults: FeedFaults = { isStoreDown: () => false, isReachable: () => true };
 const gateways = 3;
 const watched = `g${gateways - 1}`;
 
 /** The longest time that a change was unseen at one gateway, which always has the store itself. */
-async function playSeed(seed: number): Promise<number> {
+async function simulateSeed(seed: number): Promise<number> {
     const random = createRandom(seed);
-    const { clock, state, put, viewOf } = createFedFleet(gateways);
+    const { clock, state, put, viewOf } = createFeedFleet(gateways);
     const { config } = viewOf(watched);
     await clock.advance(3_000);
     let longestMs = 0;
-    for (let round = 0; round < troublesPerSeed; round++) {
-        const lost = new Set(["r1", "r2", "r3", "r4"].filter(() => random.nextUnit() < 0.4));
-        const storeless = new Set(["r1", "r2", "r3", "r4"].filter(() => random.nextUnit() < 0.4));
-        state.trouble = {
-            isStoreAway: process => storeless.has(process),
-            isReached: (from, to) => !lost.has(to) && !(lost.has(from) && to !== watched),
+    for (let round = 0; round < faultsPerSeed; round++) {
+        const unreachable = new Set(["r1", "r2", "r3", "r4"].filter(() => random.nextUnit() < 0.4));
+        const withoutStore = new Set(["r1", "r2", "r3", "r4"].filter(() => random.nextUnit() < 0.4));
+        state.faults = {
+            isStoreDown: process => withoutStore.has(process),
+            isReachable: (from, to) => !unreachable.has(to) && !(unreachable.has(from) && to !== watched),
         };
-        state.sinceMs = clock.monotonicMs();
-        await clock.advance(random.nextInt(longestTroubleMs));
+        state.faultsSinceMs = clock.monotonicMs();
+        await clock.advance(random.nextInt(maxFaultsMs));
         const writtenAtMs = await put();
         const seen = (): boolean => Number(config.objects()?.get("main")) >= writtenAtMs - 2 * stepMs;
         while (!seen() && clock.monotonicMs() - writtenAtMs < 2 * dueMs) {
             await clock.advance(stepMs);
         }
         longestMs = Math.max(longestMs, clock.monotonicMs() - writtenAtMs);
-        state.trouble = random.nextUnit() < 0.5 ? calm : state.trouble;
-        await clock.advance(random.nextInt(longestTroubleMs));
+        state.faults = random.nextUnit() < 0.5 ? noFaults : state.faults;
+        await clock.advance(random.nextInt(maxFaultsMs));
     }
     return longestMs;
 }
 
 test("a process that has the store sees each change in time, whatever runners it loses and these lose", async () => {
     // Guards against: a request handled by the configuration before, seconds after the new one was acknowledged.
-    const longest = await Promise.all(Array.from({ length: 40 }, (_, seed) => playSeed(seed + 1)));
+    const longest = await Promise.all(Array.from({ length: 40 }, (_, seed) => simulateSeed(seed + 1)));
     expect(longest.filter(ms => ms > dueMs)).toEqual([]);
 });
--- a/packages/daemon/src/createFeedExtras.ts
+++ b/packages/daemon/src/createFeedExtras.ts
@@ -1,5 +1,5 @@
-import { createClockVote } from "@auburnarch/clock/createClockVote";
-import { createToldTime } from "@auburnarch/clock/createToldTime";
+import { createMedianTime } from "@auburnarch/clock/createMedianTime";
+import { createReportedTime } from "@auburnarch/clock/createReportedTime";
 import { createBreakRegistry } from "@auburnarch/forwarding/createBreakRegistry";
 import { createStartCountRegistry } from "@auburnarch/usage/createStartCountRegistry";
 import { createStartMeter } from "@auburnarch/usage/createStartMeter";
@@ -7,7 +7,7 @@
 import type { RoleContext } from "./RoleContext.js";
 
 /** How often the clock's distance from true time is shown. */
-const showIntervalMs = 1_000;
+const clockMetricIntervalMs = 1_000;
 
 /**
  * Makes what a process tells and hears along with changes of the store. Gateways count what begins to run and hear the
@@ -16,19 +16,19 @@
 export function createFeedExtras({ settings, clock, random, metrics }: RoleContext): FeedExtras {
     const { role, usage } = settings;
     const isRunner = role === "runner";
-    const trueTime = isRunner ? createClockVote(clock) : createToldTime(clock);
+    const trueTime = isRunner ? createMedianTime(clock) : createReportedTime(clock);
     const source = random.fork().nextId();
     const meter = usage === undefined || isRunner
         ? undefined
         : createStartMeter({ source, windowMs: usage.windowS * 1_000, trueTime, clock });
 
-    function show(): void {
+    function recordClockOffset(): void {
         metrics.set("clock_ahead_of_true_time_ms", {}, clock.wallMs() - trueTime.nowMs());
-        clock.startTimer(showIntervalMs, show);
+        clock.startTimer(clockMetricIntervalMs, recordClockOffset);
     }
 
     if (usage !== undefined) {
-        show();
+        recordClockOffset();
     }
     return {
         breaks: createBreakRegistry(clock),
--- a/packages/daemon/src/createPeerAnswers.test.ts
+++ b/packages/daemon/src/createInternalCallHandler.test.ts
@@ -1,51 +1,55 @@
 import type { BatchJobId } from "@auburnarch/batches/BatchJobId";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
-import { createToldTime } from "@auburnarch/clock/createToldTime";
+import { createReportedTime } from "@auburnarch/clock/createReportedTime";
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { createBreakRegistry } from "@auburnarch/forwarding/createBreakRegistry";
 import type { RunnerStatus } from "@auburnarch/runner/peers/RunnerStatus";
 import { expect, test } from "vitest";
-import { createPeerAnswers } from "./createPeerAnswers.js";
+import { createInternalCallHandler } from "./createInternalCallHandler.js";
 import { rpcMethods } from "./rpcMethods.js";
 
-const asked: unknown[] = [];
+const received: unknown[] = [];
 const breaks = createBreakRegistry(createFakeClock());
-const answer = createPeerAnswers({
+const handleCall = createInternalCallHandler({
     runner: () => ({
         status: () => ({ incarnation: "r1" }) as RunnerStatus,
         results: async (lot: BatchJobId, fromChunk: number, waitMs: number) => {
-            asked.push([lot, fromChunk, waitMs]);
+            received.push([lot, fromChunk, waitMs]);
             return { kind: "unsure" };
         },
     }),
     hub: () => ({
         answer: async query => {
-            asked.push(query);
+            received.push(query);
             return { kind: "elsewhere", runner: "r2" };
         },
     }),
-    extras: { breaks, trueTime: createToldTime(createFakeClock()), meter: undefined, starts: undefined },
+    extras: { breaks, trueTime: createReportedTime(createFakeClock()), meter: undefined, starts: undefined },
 });
 
 test("each call reaches the part that answers it, and no other is answered", async () => {
     expect([
-        await answer(rpcMethods.status, {}),
-        await answer(rpcMethods.results, { lot: "l", fromChunk: 2, waitMs: 50 }),
-        await answer(rpcMethods.feed, { prefix: "lots/", since: 7, waitMs: 100 }),
-        asked,
+        await handleCall(rpcMethods.status, {}),
+        await handleCall(rpcMethods.results, { lot: "l", fromChunk: 2, waitMs: 50 }),
+        await handleCall(rpcMethods.feed, { prefix: "lots/", since: 7, waitMs: 100 }),
+        received,
     ]).toEqual([
         { incarnation: "r1" },
         { kind: "unsure" },
         { kind: "elsewhere", runner: "r2" },
         [["l", 2, 50], { prefix: "lots/", since: 7, waitMs: 100 }],
     ]);
-    const refused = await answer("runner.unknown", {}).catch((error: unknown) => codeOf(error).name);
+    const refused = await handleCall("runner.unknown", {}).catch((error: unknown) => codeOf(error).name);
     expect(refused).toBe("badRequest");
 });
 
 test("what broke off at samplers goes on to whoever asks for changes next", async () => {
     const mark = { content: "c1", breaks: 2, ageMs: 0 };
     const query = { prefix: "lots/", since: 7, waitMs: 100 };
-    await answer(rpcMethods.feed, { ...query, breaks: [mark] });
-    expect(await answer(rpcMethods.feed, query)).toEqual({ kind: "elsewhere", runner: "r2", breaks: [mark] });
+    await handleCall(rpcMethods.feed, { ...query, breaks: [mark] });
+    expect(await handleCall(rpcMethods.feed, query)).toEqual({
+        kind: "elsewhere",
+        runner: "r2",
+        breaks: [mark],
+    });
 });
--- a/packages/daemon/src/createPeerAnswers.ts
+++ b/packages/daemon/src/createInternalCallHandler.ts
@@ -6,12 +6,12 @@
 import { statusQuerySchema } from "@auburnarch/runner/peers/statusQuerySchema";
 import type { Runner } from "@auburnarch/runner/Runner";
 import { match } from "ts-pattern";
-import { breaksToldMs } from "./breaksToldMs.js";
+import { breakReportWindowMs } from "./breakReportWindowMs.js";
 import type { FeedExtras } from "./FeedExtras.js";
 import { feedExtrasSchemas } from "./feedExtrasSchemas.js";
 import { rpcMethods } from "./rpcMethods.js";
 
-interface PeerAnswersDeps {
+interface InternalCallHandlerDeps {
     /** Both are asked for at each call: they are made after the process listens. */
     runner: () => Pick<Runner, "status" | "results">;
     hub: () => Pick<FeedHub, "answer">;
@@ -19,10 +19,10 @@
 }
 
 /** Answers the calls of gateways and other runners; rejects with `badRequest` for a method that it does not know. */
-export function createPeerAnswers(
-    { runner, hub, extras: { breaks, starts, trueTime } }: PeerAnswersDeps,
+export function createInternalCallHandler(
+    { runner, hub, extras: { breaks, starts, trueTime } }: InternalCallHandlerDeps,
 ): (method: string, params: unknown) => Promise<unknown> {
-    async function answerFeed(params: unknown): Promise<unknown> {
+    async function handleFeedQuery(params: unknown): Promise<unknown> {
         const query = feedSchemas.query.parse(params);
         breaks.merge(feedSchemas.breaks.parse(params).breaks);
         const report = feedExtrasSchemas.query.parse(params).starts;
@@ -30,7 +30,7 @@
             starts?.learn(report);
         }
         const answer = await hub().answer(query);
-        const marks = breaks.listAll(query.since === undefined ? Infinity : breaksToldMs);
+        const marks = breaks.listAll(query.since === undefined ? Infinity : breakReportWindowMs);
         return {
             ...answer,
             ...(starts === undefined ? {} : { trueMs: trueTime.nowMs() }),
@@ -45,7 +45,7 @@
                 const { lot, fromChunk, waitMs } = batchJobSchemas.resultsQuery.parse(params);
                 return runner().results(lot, fromChunk, waitMs);
             })
-            .with(rpcMethods.feed, () => answerFeed(params))
+            .with(rpcMethods.feed, () => handleFeedQuery(params))
             .otherwise(() => {
                 throw new ResultError(resultCodes.badRequest, `method ${method}`);
             });
--- a/packages/daemon/src/createLineWriter.ts
+++ b/packages/daemon/src/createLineWriter.ts
@@ -10,59 +10,59 @@
 type Sink = (text: string, done: (error?: Error | null) => void) => void;
 
 /** Lines that come close together leave in one write, which costs a system call. */
-const gatherMs = 50;
+const flushIntervalMs = 50;
 /** Beyond this the reader of the log is too slow, and lines are dropped rather than held or waited for. */
-const maxWaitingChars = 1_000_000;
+const maxBufferedChars = 1_000_000;
 
 /** Makes the writer of log lines. It never blocks: what does not fit is dropped, counted, and told in the next line. */
 export function createLineWriter(clock: Clock, sink: Sink): LineWriter {
-    let waiting = "";
+    let buffer = "";
     let dropped = 0;
     let writing: Promise<void> | undefined;
     let isTimerSet = false;
 
-    function takeWaiting(): string {
+    function drainBuffer(): string {
         const text = dropped === 0
-            ? waiting
-            : `${waiting}level=warn event=logLinesDropped lines=${dropped}\n`;
-        waiting = "";
+            ? buffer
+            : `${buffer}level=warn event=logLinesDropped lines=${dropped}\n`;
+        buffer = "";
         dropped = 0;
         return text;
     }
 
-    function start(): Promise<void> {
+    function startWrite(): Promise<void> {
         writing ??= new Promise<void>(resolve => {
-            sink(takeWaiting(), () => resolve());
+            sink(drainBuffer(), () => resolve());
         }).finally(() => {
             writing = undefined;
-            schedule();
+            scheduleWrite();
         });
         return writing;
     }
 
-    function schedule(): void {
-        if (waiting !== "" && !isTimerSet && writing === undefined) {
+    function scheduleWrite(): void {
+        if (buffer !== "" && !isTimerSet && writing === undefined) {
             isTimerSet = true;
-            clock.startTimer(gatherMs, () => {
+            clock.startTimer(flushIntervalMs, () => {
                 isTimerSet = false;
-                void start();
+                void startWrite();
             });
         }
     }
 
     return {
         write: line => {
-            if (waiting.length + line.length > maxWaitingChars) {
+            if (buffer.length + line.length > maxBufferedChars) {
                 dropped++;
                 return;
             }
-            waiting += `${line}\n`;
-            schedule();
+            buffer += `${line}\n`;
+            scheduleWrite();
         },
         flush: async () => {
             await writing;
-            if (waiting !== "") {
-                await start();
+            if (buffer !== "") {
+                await startWrite();
             }
         },
     };
--- a/packages/daemon/src/createPeerLinks.ts
+++ b/packages/daemon/src/createRunnerClient.ts
@@ -11,13 +11,13 @@
 import { createRpcClient } from "@auburnarch/transport/createRpcClient";
 import type { Clock } from "@auburnarch/types/Clock";
 import { Agent } from "node:http";
-import { breaksToldMs } from "./breaksToldMs.js";
+import { breakReportWindowMs } from "./breakReportWindowMs.js";
 import type { FeedExtras } from "./FeedExtras.js";
 import { feedExtrasSchemas } from "./feedExtrasSchemas.js";
 import { rpcMethods } from "./rpcMethods.js";
 
 /** Calls to a runner; each rejects if it does not answer in time. */
-interface PeerLinks {
+interface RunnerClient {
     status(address: RunnerAddress, timeoutMs: number, query: StatusQuery): Promise<RunnerStatus>;
     results(
         address: RunnerAddress,
@@ -28,13 +28,13 @@
 }
 
 /** Counts go along with one kind only: what they say does not change faster. */
-const startsPrefix = `${platformKinds.configuration}/`;
+const configurationPrefix = `${platformKinds.configuration}/`;
 
 /**
  * Makes the calls of one process to runners, over connections that are kept. Questions for changes of the store carry
  * what broke off at samplers and what began to run here, and their answers what broke off elsewhere and the true time.
  */
-export function createPeerLinks(clock: Clock, extras: FeedExtras): PeerLinks {
+export function createRunnerClient(clock: Clock, extras: FeedExtras): RunnerClient {
     const { breaks, trueTime, meter } = extras;
     const agent = new Agent({ keepAlive: true });
 
@@ -53,16 +53,18 @@
         results: async (address, query, timeoutMs) =>
             batchJobSchemas.resultsAnswer.parse(await call(address, rpcMethods.results, query, timeoutMs)),
         feed: async (address, query, timeoutMs) => {
-            const marks = breaks.listOwn(breaksToldMs);
-            const asked = {
+            const marks = breaks.listOwn(breakReportWindowMs);
+            const params = {
                 ...query,
                 ...(marks.length === 0 ? {} : { breaks: marks }),
-                ...(query.prefix === startsPrefix && meter !== undefined ? { starts: meter.report() } : {}),
+                ...(query.prefix === configurationPrefix && meter !== undefined
+                    ? { starts: meter.report() }
+                    : {}),
             };
-            const answer = await call(address, rpcMethods.feed, asked, timeoutMs);
+            const answer = await call(address, rpcMethods.feed, params, timeoutMs);
             const { trueMs } = feedExtrasSchemas.answer.parse(answer);
             if (trueMs !== undefined) {
-                trueTime.learn(address.host, trueMs, clock.monotonicMs());
+                trueTime.recordReading(address.host, trueMs, clock.monotonicMs());
             }
             breaks.merge(feedSchemas.breaks.parse(answer).breaks);
             return feedSchemas.answer.parse(answer);
--- a/packages/daemon/src/createSettingsFile.test.ts
+++ b/packages/daemon/src/createSettingsFile.test.ts
@@ -20,9 +20,9 @@
 function createFixture() {
     const state = { text: JSON.stringify(valid) };
     const lines: string[] = [];
-    const note = (event: string, fields: LogFields = {}): void =>
+    const record = (event: string, fields: LogFields = {}): void =>
         void lines.push(`${event} ${JSON.stringify(fields)}`);
-    const logger: Logger = { info: note, warn: note, error: note, child: () => logger };
+    const logger: Logger = { info: record, warn: record, error: record, child: () => logger };
     return { state, lines, logger, open: () => createSettingsFile(async () => state.text) };
 }
 
--- a/packages/daemon/src/createSettingsFile.ts
+++ b/packages/daemon/src/createSettingsFile.ts
@@ -9,7 +9,7 @@
     reload(logger: Logger): Promise<void>;
 }
 
-type Opened = { kind: "opened"; file: SettingsFile; } | { kind: "invalid"; faults: ConfigFault[]; };
+type OpenResult = { kind: "opened"; file: SettingsFile; } | { kind: "invalid"; faults: ConfigFault[]; };
 
 function parse(text: string): ReturnType<typeof validateRoleSettings> {
     try {
@@ -24,14 +24,14 @@
 const liveKeys = new Set<string>(["storeAddress"]);
 
 /** Opens the settings of a gateway or a runner. `readText` reads the file. */
-export async function createSettingsFile(readText: () => Promise<string>): Promise<Opened> {
+export async function createSettingsFile(readText: () => Promise<string>): Promise<OpenResult> {
     const first = parse(await readText());
     if (first.kind === "invalid") {
         return first;
     }
     let { settings } = first;
 
-    function take(next: RoleSettings, logger: Logger): void {
+    function apply(next: RoleSettings, logger: Logger): void {
         const keys = [...new Set([...Object.keys(settings), ...Object.keys(next)])] as (keyof RoleSettings)[];
         const changed = keys.filter(key => JSON.stringify(settings[key]) !== JSON.stringify(next[key]));
         settings = next;
@@ -48,7 +48,7 @@
             reload: async logger => {
                 const next = parse(await readText().catch(error => `unreadable: ${String(error)}`));
                 if (next.kind === "valid") {
-                    take(next.settings, logger);
+                    apply(next.settings, logger);
                     return;
                 }
                 for (const { path, message } of next.faults) {
--- a/packages/daemon/src/createStoreHealth.test.ts
+++ b/packages/daemon/src/createStoreHealth.test.ts
@@ -9,20 +9,20 @@
 import { createStoreHealth } from "./createStoreHealth.js";
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
-const idleMs = 2_000;
+const idleProbeIntervalMs = 2_000;
 
 function createFixture() {
     const clock = createFakeClock();
     const { store } = createFakeObjectStore({ clock, random: createRandom(4), latencyMs: 4 });
-    const state = { isAway: false, answersAfterMs: 0, touches: 0 };
+    const state = { isDown: false, answersAfterMs: 0, touches: 0 };
     const touch = async (): Promise<void> => {
         state.touches++;
-        if (state.isAway) {
+        if (state.isDown) {
             await clock.sleep(state.answersAfterMs);
             throw new ResultError(resultCodes.storeUnavailable, "away");
         }
     };
-    const health = createStoreHealth(store, touch, clock, createMetrics(), silent, idleMs);
+    const health = createStoreHealth(store, touch, clock, createMetrics(), silent, idleProbeIntervalMs);
     const touchesIn = async (spanMs: number): Promise<number> => {
         const before = state.touches;
         await clock.advance(spanMs);
@@ -37,7 +37,7 @@
     await clock.advance(12_000);
     const idle = await touchesIn(20_000);
     await Promise.all([health.store.read("lots/a"), clock.advance(100)]);
-    await clock.advance(idleMs);
+    await clock.advance(idleProbeIntervalMs);
     const used = await touchesIn(5_000);
     expect({ idle, used }).toEqual({ idle: 10, used: 10 });
 });
@@ -45,14 +45,14 @@
 test("a loss of the store is noticed within the idle interval, and its return within a quarter of a second", async () => {
     const { clock, state, health } = createFixture();
     await clock.advance(20_000);
-    state.isAway = true;
-    await clock.advance(idleMs);
+    state.isDown = true;
+    await clock.advance(idleProbeIntervalMs);
     const lostMs = health.silentMs();
-    const served = health.waitUntilServed();
+    const served = health.waitForStore();
     await clock.advance(1_000);
-    state.isAway = false;
+    state.isDown = false;
     await clock.advance(250);
-    expect([lostMs > 0, health.silentMs(), await served, await health.waitUntilServed()])
+    expect([lostMs > 0, health.silentMs(), await served, await health.waitForStore()])
         .toEqual([true, 0, true, false]);
 });
 
@@ -62,9 +62,9 @@
     state.answersAfterMs = 1_200;
     const noticedMs: number[] = [];
     for (let outage = 0; outage < 15; outage++) {
-        state.isAway = true;
+        state.isDown = true;
         await clock.advance(6_000 + outage * 100);
-        state.isAway = false;
+        state.isDown = false;
         const backAtMs = clock.monotonicMs();
         while (health.silentMs() > 0) {
             await clock.advance(10);
--- a/packages/daemon/src/createStoreHealth.ts
+++ b/packages/daemon/src/createStoreHealth.ts
@@ -9,9 +9,9 @@
     /** Milliseconds since the first of the calls that have all failed since; 0 while calls succeed. */
     silentMs(): number;
     /** Milliseconds since it last answered. */
-    heardMs(): number;
+    sinceAnswerMs(): number;
     /** Resolves once calls succeed, at once where they do, or have failed for long; true if they failed at first. */
-    waitUntilServed(): Promise<boolean>;
+    waitForStore(): Promise<boolean>;
     /** Milliseconds since calls began to succeed again after failures; infinite if none failed yet. */
     regainedMs(): number;
 }
@@ -20,16 +20,16 @@
  * Where other calls are rare, a process would not notice that the store turns it away. A runner that hands changes on
  * has a second to notice; the call costs a tenth of others.
  */
-const touchIntervalMs = 500;
+const probeIntervalMs = 500;
 /** A process that neither read nor wrote for this long is idle, and asks as seldom as its role allows. */
 const idleAfterMs = 10_000;
 /** While calls fail. Others wait for the first one that succeeds, so that an outage costs four calls a second. */
-const retryTouchIntervalMs = 250;
+const retryProbeIntervalMs = 250;
 /**
  * Longest wait of a list or watch for the store to come back. A sign of life ends it; without one a call would be
  * refused like the others, and charged.
  */
-const heldBackMs = 5_000;
+const maxRecoveryWaitMs = 5_000;
 
 /** Every call is charged; this line tells which ones. */
 const reportIntervalMs = 10_000;
@@ -45,17 +45,17 @@
     clock: Clock,
     metrics: Metrics,
     logger: Logger,
-    idleTouchIntervalMs: number = touchIntervalMs,
+    idleProbeIntervalMs: number = probeIntervalMs,
 ): StoreHealth {
     const counts = new Map<string, number>();
     let failingSinceMs: number | undefined;
-    let heardAtMs = -Infinity;
-    let isAskedInFull = false;
+    let answeredAtMs = -Infinity;
+    let isFullProbeRunning = false;
     let usedAtMs = clock.monotonicMs();
-    let regainedAtMs = -Infinity;
-    let regained = new AbortController();
+    let recoveredAtMs = -Infinity;
+    let recovery = new AbortController();
 
-    async function note<T>(call: string, key: string, run: () => Promise<T>): Promise<T> {
+    async function recordCall<T>(call: string, key: string, run: () => Promise<T>): Promise<T> {
         const kind = key.slice(0, Math.max(0, key.indexOf("/")));
         const startedAtMs = clock.monotonicMs();
         counts.set(`${call}:${kind}`, (counts.get(`${call}:${kind}`) ?? 0) + 1);
@@ -63,11 +63,11 @@
             const result = await run();
             if (failingSinceMs !== undefined) {
                 failingSinceMs = undefined;
-                regainedAtMs = clock.monotonicMs();
-                regained.abort();
-                regained = new AbortController();
+                recoveredAtMs = clock.monotonicMs();
+                recovery.abort();
+                recovery = new AbortController();
             }
-            heardAtMs = clock.monotonicMs();
+            answeredAtMs = clock.monotonicMs();
             metrics.observeMs(
                 "store_calls_ms",
                 { call, kind, result: "ok" },
@@ -86,16 +86,16 @@
         }
     }
 
-    function use<T>(call: string, key: string, run: () => Promise<T>): Promise<T> {
+    function callStore<T>(call: string, key: string, run: () => Promise<T>): Promise<T> {
         usedAtMs = clock.monotonicMs();
-        return note(call, key, run);
+        return recordCall(call, key, run);
     }
 
-    function beatIntervalMs(): number {
+    function nextProbeDelayMs(): number {
         if (failingSinceMs !== undefined) {
-            return retryTouchIntervalMs;
+            return retryProbeIntervalMs;
         }
-        return clock.monotonicMs() - usedAtMs > idleAfterMs ? idleTouchIntervalMs : touchIntervalMs;
+        return clock.monotonicMs() - usedAtMs > idleAfterMs ? idleProbeIntervalMs : probeIntervalMs;
     }
 
     function report(): void {
@@ -108,10 +108,10 @@
     }
 
     /** Without it each copy that is followed would go on asking a store that is away. */
-    async function waitUntilServed(): Promise<boolean> {
+    async function waitForStore(): Promise<boolean> {
         const isFailing = failingSinceMs !== undefined;
         if (isFailing) {
-            await clock.sleep(heldBackMs, regained.signal);
+            await clock.sleep(maxRecoveryWaitMs, recovery.signal);
         }
         return isFailing;
     }
@@ -122,47 +122,47 @@
      * succeed again. Each asks without waiting for those before it: a silent store would else be found back only after
      * the last of them is given up.
      */
-    async function touchFailing(): Promise<void> {
+    async function probeFailingStore(): Promise<void> {
         counts.set("touch:", (counts.get("touch:") ?? 0) + 1);
         const isServed = await touch(true).then(() => true, () => false);
-        if (isServed && !isAskedInFull && failingSinceMs !== undefined) {
-            isAskedInFull = true;
-            await note("touch", "/", () => touch(false)).catch(() => undefined);
-            isAskedInFull = false;
+        if (isServed && !isFullProbeRunning && failingSinceMs !== undefined) {
+            isFullProbeRunning = true;
+            await recordCall("touch", "/", () => touch(false)).catch(() => undefined);
+            isFullProbeRunning = false;
         }
     }
 
-    async function beat(): Promise<void> {
+    async function probe(): Promise<void> {
         const isFailing = failingSinceMs !== undefined;
         if (isFailing) {
-            void touchFailing();
+            void probeFailingStore();
         }
-        else if (clock.monotonicMs() - heardAtMs > touchIntervalMs / 2) {
+        else if (clock.monotonicMs() - answeredAtMs > probeIntervalMs / 2) {
             // A failure shows in the counts and in `silentMs`.
-            await note("touch", "/", () => touch(true)).catch(() => undefined);
+            await recordCall("touch", "/", () => touch(true)).catch(() => undefined);
         }
-        clock.startTimer(beatIntervalMs(), () => void beat());
+        clock.startTimer(nextProbeDelayMs(), () => void probe());
     }
 
-    clock.startTimer(touchIntervalMs, () => void beat());
+    clock.startTimer(probeIntervalMs, () => void probe());
     clock.startTimer(reportIntervalMs, report);
     return {
         store: {
-            read: key => use("read", key, () => inner.read(key)),
+            read: key => callStore("read", key, () => inner.read(key)),
             list: async prefix => {
-                await waitUntilServed();
-                return note("list", prefix, () => inner.list(prefix));
+                await waitForStore();
+                return recordCall("list", prefix, () => inner.list(prefix));
             },
-            write: (key, value, expected) => use("write", key, () => inner.write(key, value, expected)),
-            remove: (key, expected) => use("remove", key, () => inner.remove(key, expected)),
+            write: (key, value, expected) => callStore("write", key, () => inner.write(key, value, expected)),
+            remove: (key, expected) => callStore("remove", key, () => inner.remove(key, expected)),
             watch: async (prefix, revision, waitMs) => {
-                await waitUntilServed();
-                return note("watch", prefix, () => inner.watch(prefix, revision, waitMs));
+                await waitForStore();
+                return recordCall("watch", prefix, () => inner.watch(prefix, revision, waitMs));
             },
         },
-        waitUntilServed,
-        heardMs: () => clock.monotonicMs() - heardAtMs,
-        regainedMs: () => clock.monotonicMs() - regainedAtMs,
+        waitForStore,
+        sinceAnswerMs: () => clock.monotonicMs() - answeredAtMs,
+        regainedMs: () => clock.monotonicMs() - recoveredAtMs,
         silentMs: () => failingSinceMs === undefined ? 0 : clock.monotonicMs() - failingSinceMs,
     };
 }
--- a/packages/daemon/src/createToolbox.ts
+++ b/packages/daemon/src/createTelemetry.ts
@@ -7,14 +7,14 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ProcessContext } from "./ProcessContext.js";
 
-interface Toolbox {
+interface Telemetry {
     logger: Logger;
     metrics: Metrics;
     invariants: Invariants;
 }
 
 /** Makes what every process has: its log, its metrics, and the assertions that feed both. */
-export function createToolbox(settings: Settings, context: ProcessContext): Toolbox {
+export function createTelemetry(settings: Settings, context: ProcessContext): Telemetry {
     const root = createLogger(context.clock, context.writeLine, settings.logLevel);
     const logger = root.child({ process: settings.name });
     const metrics = createMetrics();
--- a/packages/daemon/src/createTrainerClient.ts
+++ b/packages/daemon/src/createTrainerClient.ts
@@ -22,10 +22,10 @@
  */
 export function createTrainerClient(options: TrainerClientOptions): TrainerPort {
     const { agent, addresses, job, token } = options;
-    let turn = 0;
+    let nextCall = 0;
     let highestFencing = 0;
 
-    function demandCurrent(answer: unknown): void {
+    function checkFencing(answer: unknown): void {
         const { fencing } = answer as { fencing: number; };
         if (fencing < highestFencing) {
             throw new ResultError(resultCodes.fenced, `${fencing} after ${highestFencing}`);
@@ -34,7 +34,7 @@
     }
 
     async function call(method: string, path: string, body?: unknown): Promise<unknown> {
-        const address = addresses[turn++ % addresses.length]!;
+        const address = addresses[nextCall++ % addresses.length]!;
         const answer = await callEntry({
             agent,
             address,
@@ -44,7 +44,7 @@
             body,
             timeoutMs,
         });
-        demandCurrent(answer);
+        checkFencing(answer);
         return answer;
     }
 
--- a/packages/daemon/src/demoManifest.ts
+++ b/packages/daemon/src/demoManifest.ts
@@ -1,6 +1,6 @@
 import { digestToken } from "./digestToken.js";
 
-const places = ["Pamplona", "Lugo", "Burgos", "Bilbao"];
+const failureDomains = ["Pamplona", "Lugo", "Burgos", "Bilbao"];
 const rolloutSamplers = 6;
 const plainSamplers = 4;
 
@@ -8,7 +8,7 @@
     Array.from({ length: count }, (_, index) => ({
         sampler: `${prefix}-${index + 1}`,
         service,
-        failureDomain: places[index % places.length]!,
+        failureDomain: failureDomains[index % failureDomains.length]!,
     }));
 
 /** The manifest that `standalone` runs without a file: two jobs share six engines beside a smoke-map tile service. */
--- a/packages/daemon/src/keys.test.ts
+++ b/packages/daemon/src/keys.test.ts
@@ -25,8 +25,8 @@
 import { digestToken } from "./digestToken.js";
 import type { RunningProcess } from "./RunningProcess.js";
 import { startEntry } from "./startEntry.js";
+import { startExternalFakes } from "./startExternalFakes.js";
 import { startSidecar } from "./startSidecar.js";
-import { startStandIns } from "./startStandIns.js";
 
 const keys = {
     team: "token of team plume, for callers only",
@@ -78,7 +78,7 @@
     const folder = await mkdtemp(join(tmpdir(), "auburnarch-keys-"));
     const manifestPath = join(folder, "manifest.json");
     await writeFile(manifestPath, JSON.stringify(manifest));
-    const standIns = await startStandIns(
+    const externalFakes = await startExternalFakes(
         { manifest, region: "norte", entries: 0, tokensPerSecond: 200, swapMs: 50, plainLatencyMs: 1 },
         context,
     );
@@ -87,7 +87,7 @@
     const running = new Map<string, RunningProcess>();
 
     function settingsOf(name: string, own: Record<string, unknown>): Settings {
-        const { objectApiUrl, vmListUrl, weightStoreUrl, scoringUrl } = standIns;
+        const { objectApiUrl, vmListUrl, weightStoreUrl, scoringUrl } = externalFakes;
         const common = {
             name,
             vm: `vm-${name}`,
@@ -135,7 +135,7 @@
                     ...common,
                     ...sampler,
                     seeds,
-                    backendUrl: [...standIns.backendUrls.values()][0],
+                    backendUrl: [...externalFakes.backendUrls.values()][0],
                 }),
                 context,
             );
@@ -150,7 +150,7 @@
     }
 
     /** Waits until a caller's request goes the whole way again. */
-    async function untilServed(): Promise<void> {
+    async function waitUntilServed(): Promise<void> {
         for (;;) {
             const served = await call("GET", "/v1/services/tiles/tiles/1", keys.team).then(
                 () => true,
@@ -165,17 +165,17 @@
 
     return {
         running,
-        backend: [...standIns.backends.values()][0]!,
+        backend: [...externalFakes.backends.values()][0]!,
         restart,
         call,
-        untilServed,
+        untilServed: waitUntilServed,
         close: async () => {
             for (const each of [...running.values()].reverse()) {
                 await each.shutdown();
             }
             agent.destroy();
             secureAgent.destroy();
-            await standIns.close();
+            await externalFakes.close();
             await rm(folder, { recursive: true, force: true });
         },
     };
@@ -185,7 +185,7 @@
 const refusals: string[] = [];
 const unauthenticatedStatus = 401;
 
-function noteRefusal(message: unknown): void {
+function recordRefusal(message: unknown): void {
     const { request, response } = message as { request: { url: string; }; response: ServerResponse; };
     if (response.statusCode === unauthenticatedStatus) {
         refusals.push(request.url);
@@ -195,12 +195,12 @@
 beforeEach(async () => {
     lines.length = 0;
     refusals.length = 0;
-    subscribe("http.server.response.finish", noteRefusal);
+    subscribe("http.server.response.finish", recordRefusal);
     bed = await createBed();
 });
 
 afterEach(async () => {
-    unsubscribe("http.server.response.finish", noteRefusal);
+    unsubscribe("http.server.response.finish", recordRefusal);
     await bed.close();
 });
 
@@ -247,8 +247,8 @@
     }
     expect(refusals).toEqual([]);
     expect(lines.length).toBeGreaterThan(20);
-    const told = Object.entries(keys).filter(([, key]) => lines.some(line => line.includes(key)));
-    expect(told.map(([name]) => name)).toEqual([]);
+    const leakedKeys = Object.entries(keys).filter(([, key]) => lines.some(line => line.includes(key)));
+    expect(leakedKeys.map(([name]) => name)).toEqual([]);
 });
 
 test("operators drain a sampler through its entry", async () => {
--- a/packages/daemon/src/leaving.test.ts
+++ b/packages/daemon/src/leaving.test.ts
@@ -5,7 +5,7 @@
 import { createMemorySystem } from "./testing/createMemorySystem.js";
 
 const listLagMs = 1_000;
-const promisedMs = 3_000;
+const maxNoticeMs = 3_000;
 
 function makeManifest(): Manifest {
     const checked = validateManifest({
@@ -35,13 +35,13 @@
         // At another place in everyone's intervals each time.
         await system.clock.advance(730);
         system.vms.markLeaving(`vm-sidecar-${sampler}` as VmId);
-        system.clock.startTimer(listLagMs + promisedMs, () => {
+        system.clock.startTimer(listLagMs + maxNoticeMs, () => {
             if (system.samplers.get(sampler)!.gate.report().state !== "leaving") {
                 late.push(sampler);
             }
         });
     }
-    await system.clock.advance(listLagMs + promisedMs);
+    await system.clock.advance(listLagMs + maxNoticeMs);
     expect(late).toEqual([]);
     expect(system.violations).toEqual([]);
 });
--- a/packages/daemon/src/openTextShelf.ts
+++ b/packages/daemon/src/openTextCache.ts
@@ -4,30 +4,30 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { RoleContext } from "./RoleContext.js";
 
-interface OpenedShelf {
-    shelf: TextCache;
+interface OpenedTextCache {
+    textCache: TextCache;
     /** Puts what waits on the disk, unless the disk takes too long. */
     flush(): Promise<void>;
 }
 
 /** A disk may hang for seconds; starting without the texts of before costs less than waiting for them. */
-const diskPatienceMs = 800;
+const maxDiskWaitMs = 800;
 
 /** Opens the shelf of unfinished texts, on the disk of the VM if there is one. */
-export async function openTextShelf({ settings, clock, logger }: RoleContext): Promise<OpenedShelf> {
+export async function openTextCache({ settings, clock, logger }: RoleContext): Promise<OpenedTextCache> {
     const { dataFolder } = settings;
     if (dataFolder === undefined) {
-        return { shelf: createTextCache(), flush: async () => {} };
+        return { textCache: createTextCache(), flush: async () => {} };
     }
     const journal = createTextJournal({ folder: dataFolder, clock, logger });
-    const patient = <T>(work: Promise<T>, otherwise: T): Promise<T> => {
+    const withTimeout = <T>(work: Promise<T>, fallback: T): Promise<T> => {
         const stop = new AbortController();
-        return Promise.race([work, clock.sleep(diskPatienceMs, stop.signal).then(() => otherwise)])
+        return Promise.race([work, clock.sleep(maxDiskWaitMs, stop.signal).then(() => fallback)])
             .finally(() => stop.abort());
     };
-    const earlier = await patient(journal.load(), new Map<string, TokenSpan[]>());
+    const restored = await withTimeout(journal.load(), new Map<string, TokenSpan[]>());
     return {
-        shelf: createTextCache({ restored: earlier, persist: journal.record }),
-        flush: () => patient(journal.flush(), undefined),
+        textCache: createTextCache({ restored, persist: journal.record }),
+        flush: () => withTimeout(journal.flush(), undefined),
     };
 }
--- a/packages/daemon/src/processes.test.ts
+++ b/packages/daemon/src/processes.test.ts
@@ -99,7 +99,7 @@
     return answer?.jobs[0]?.owner;
 }
 
-async function until<T>(read: () => Promise<T | undefined>): Promise<T> {
+async function waitFor<T>(read: () => Promise<T | undefined>): Promise<T> {
     for (;;) {
         const found = await read();
         if (found !== undefined) {
@@ -114,15 +114,15 @@
     const entries = [await bed.startEntry("entry-1"), await bed.startEntry("entry-2")];
     await Promise.all(manifest.samplers.map(bed.startSidecar));
     const addresses = entries.map(each => each.address);
-    const owner = await until(() => findOwner(addresses[0]!));
-    const doomed = entries.find(each => each.name === owner)!;
+    const owner = await waitFor(() => findOwner(addresses[0]!));
+    const killed = entries.find(each => each.name === owner)!;
     const trainer = trainerOf(manifest.jobs[0]!, addresses, step => {
         if (step === 1) {
-            doomed.child.kill("SIGKILL");
+            killed.child.kill("SIGKILL");
         }
     });
     const report = await trainer.run(new AbortController().signal);
-    expect(await doomed.ended).toBe("SIGKILL");
+    expect(await killed.ended).toBe("SIGKILL");
     expect(report).toMatchObject({
         stepsDone: steps,
         delivered: steps * 16,
@@ -131,7 +131,7 @@
         brokenGroups: 0,
         staleViolations: 0,
     });
-    const survivor = entries.find(each => each !== doomed)!;
+    const survivor = entries.find(each => each !== killed)!;
     expect(await findOwner(survivor.address)).toBe(survivor.name);
 });
 
@@ -139,7 +139,7 @@
     // Guards against: a shepherds' cooperative gets two alerts.
     const entries = [await bed.startEntry("entry-1"), await bed.startEntry("entry-2")];
     const sidecars = await Promise.all(manifest.samplers.map(bed.startSidecar));
-    const doomed = sidecars.find(each => each.name === "sidecar-tile-1")!;
+    const killed = sidecars.find(each => each.name === "sidecar-tile-1")!;
     const outcomes = new Map<string, string>();
 
     async function send(key: string, address: string): Promise<string> {
@@ -156,7 +156,7 @@
         return callEntry({ ...call, body: { key } }).then(() => "ran", error => codeOf(error).name);
     }
 
-    await until(async () => await send(newKey(), entries[0]!.address) === "ran" ? true : undefined);
+    await waitFor(async () => await send(newKey(), entries[0]!.address) === "ran" ? true : undefined);
     const sending = Array.from({ length: 40 }, async (_, index) => {
         await context.clock.sleep(index * 10);
         const key = newKey();
@@ -165,13 +165,13 @@
         }
     });
     await context.clock.sleep(150);
-    doomed.child.kill("SIGKILL");
+    killed.child.kill("SIGKILL");
     await Promise.all(sending);
 
-    const runs = bed.standIns.backends.get(manifest.samplers[2]!.sampler)!.runsByKey();
+    const runs = bed.externalFakes.backends.get(manifest.samplers[2]!.sampler)!.runsByKey();
     expect([...runs.values()].filter(count => count > 1)).toEqual([]);
-    const untruthful = [...outcomes].filter(([key, name]) => name === "ran" && runs.get(key) !== 1);
-    expect(untruthful).toEqual([]);
+    const falseSuccesses = [...outcomes].filter(([key, name]) => name === "ran" && runs.get(key) !== 1);
+    expect(falseSuccesses).toEqual([]);
     expect([...outcomes.values()].filter(name => name === "ran").length).toBeGreaterThan(0);
 });
 
@@ -180,7 +180,7 @@
     const entries = [await bed.startEntry("entry-1"), await bed.startEntry("entry-2")];
     await Promise.all(manifest.samplers.map(bed.startSidecar));
     const addresses = entries.map(each => each.address);
-    const owner = await until(() => findOwner(addresses[0]!));
+    const owner = await waitFor(() => findOwner(addresses[0]!));
     const leaving = entries.find(each => each.name === owner)!;
     const trainer = trainerOf(manifest.jobs[0]!, addresses, step => {
         if (step === 1) {
--- a/packages/daemon/src/backInTime.test.ts
+++ b/packages/daemon/src/reconnect.test.ts
@@ -3,8 +3,8 @@
 import type { Random } from "@auburnarch/types/Random";
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import { expect, test } from "vitest";
-import { createFedFleet } from "./testing/createFedFleet.js";
-import type { FedTrouble } from "./testing/FedTrouble.js";
+import { createFeedFleet } from "./testing/createFeedFleet.js";
+import type { FeedFaults } from "./testing/FeedFaults.js";
 
 const service = "tiles" as ServiceId;
 const gateways = 1;
@@ -14,44 +14,44 @@
 /** One leaves in each cut. */
 const samplerNames = ["a", "b", "c", "d"];
 const cutsPerSeed = samplerNames.length;
-const longestCutMs = 12_000;
+const maxCutMs = 12_000;
 /** A process counts as in touch again this long after the end of its trouble, on the tightest deployment. */
-const inTouchAfterMs = 3_000;
+const reconnectedAfterMs = 3_000;
 /** Samplers whose entries lapsed are registered again this long after the return of the store. */
-const registeredAgainMs = 2_000;
+const maxReregistrationMs = 2_000;
 const stepMs = 20;
-const calm: FedTrouble = { isStoreAway: () => false, isReached: () => true };
+const noFaults: FeedFaults = { isStoreDown: () => false, isReachable: () => true };
 
 /** The watched process reaches nobody; each runner may have lost the store, or everybody, and stays so for a while. */
-function drawCut(watched: string, random: Random): { during: FedTrouble; after: FedTrouble; } {
+function drawCut(watched: string, random: Random): { during: FeedFaults; after: FeedFaults; } {
     const hasRunnerFaults = random.nextUnit() < 0.5;
     const others = runnerNames.filter(name => name !== watched);
-    const storeless = new Set(others.filter(() => hasRunnerFaults && random.nextUnit() < 0.3));
-    const lost = new Set(others.filter(() => hasRunnerFaults && random.nextUnit() < 0.3));
-    const after: FedTrouble = {
-        isStoreAway: process => storeless.has(process),
-        isReached: (from, to) => !lost.has(from) && !lost.has(to),
+    const withoutStore = new Set(others.filter(() => hasRunnerFaults && random.nextUnit() < 0.3));
+    const unreachable = new Set(others.filter(() => hasRunnerFaults && random.nextUnit() < 0.3));
+    const after: FeedFaults = {
+        isStoreDown: process => withoutStore.has(process),
+        isReachable: (from, to) => !unreachable.has(from) && !unreachable.has(to),
     };
-    const during: FedTrouble = {
-        isStoreAway: process => process === watched || after.isStoreAway(process),
-        isReached: (from, to) => from !== watched && to !== watched && after.isReached(from, to),
+    const during: FeedFaults = {
+        isStoreDown: process => process === watched || after.isStoreDown(process),
+        isReachable: (from, to) => from !== watched && to !== watched && after.isReachable(from, to),
     };
     return { during, after };
 }
 
 /** Cuts a process off again and again; `change` happens in each cut, `look` once the process is in touch. */
-async function playCuts(
+async function simulateCuts(
     watched: string,
     seed: number,
-    change: (fleet: ReturnType<typeof createFedFleet>, cut: number, random: Random) => Promise<void>,
-    look: (fleet: ReturnType<typeof createFedFleet>, cut: number) => void,
+    change: (fleet: ReturnType<typeof createFeedFleet>, cut: number, random: Random) => Promise<void>,
+    check: (fleet: ReturnType<typeof createFeedFleet>, cut: number) => void,
 ): Promise<void> {
     const random = createRandom(seed);
-    const fleet = createFedFleet(gateways);
+    const fleet = createFeedFleet(gateways);
     const { clock, state } = fleet;
-    const begin = (trouble: FedTrouble): void => {
-        state.trouble = trouble;
-        state.sinceMs = clock.monotonicMs();
+    const setFaults = (faults: FeedFaults): void => {
+        state.faults = faults;
+        state.faultsSinceMs = clock.monotonicMs();
     };
     for (const name of samplerNames) {
         await fleet.put(`servers/${name}`, createTestSampler(name));
@@ -59,18 +59,18 @@
     await clock.advance(3_000);
     for (let cut = 0; cut < cutsPerSeed; cut++) {
         const { during, after } = drawCut(watched, random);
-        begin(during);
-        await clock.advance(random.nextInt(longestCutMs));
+        setFaults(during);
+        await clock.advance(random.nextInt(maxCutMs));
         await change(fleet, cut, random);
-        await clock.advance(random.nextInt(longestCutMs));
-        begin(after);
-        await clock.advance(inTouchAfterMs);
-        for (let waitedMs = 0; waitedMs < inTouchAfterMs; waitedMs += stepMs) {
-            look(fleet, cut);
+        await clock.advance(random.nextInt(maxCutMs));
+        setFaults(after);
+        await clock.advance(reconnectedAfterMs);
+        for (let waitedMs = 0; waitedMs < reconnectedAfterMs; waitedMs += stepMs) {
+            check(fleet, cut);
             await clock.advance(stepMs);
         }
-        begin(calm);
-        await clock.advance(random.nextInt(longestCutMs));
+        setFaults(noFaults);
+        await clock.advance(random.nextInt(maxCutMs));
     }
 }
 
@@ -79,7 +79,7 @@
     async (_, watched) => {
         const sent = new Set<string>();
         await Promise.all(seeds.map(seed =>
-            playCuts(
+            simulateCuts(
                 watched,
                 seed,
                 async ({ put, remove }, cut, random) => {
@@ -107,7 +107,7 @@
         const late = new Set<string>();
         const written = new Map<number, number>();
         await Promise.all(seeds.map(seed =>
-            playCuts(
+            simulateCuts(
                 watched,
                 seed,
                 async ({ put, clock }) => {
@@ -144,17 +144,17 @@
         const refused = new Set<number>();
         await Promise.all(seeds.map(async seed => {
             const random = createRandom(seed);
-            const { clock, state, put, remove, viewOf } = createFedFleet(gateways);
+            const { clock, state, put, remove, viewOf } = createFeedFleet(gateways);
             const { directory } = viewOf(watched);
             await put("servers/a", createTestSampler("a"));
             await clock.advance(3_000);
             for (let outage = 0; outage < cutsPerSeed; outage++) {
-                state.trouble = { ...calm, isStoreAway: () => true };
-                state.sinceMs = clock.monotonicMs();
-                await clock.advance(2_000 + random.nextInt(longestCutMs));
+                state.faults = { ...noFaults, isStoreDown: () => true };
+                state.faultsSinceMs = clock.monotonicMs();
+                await clock.advance(2_000 + random.nextInt(maxCutMs));
                 await remove("servers/a");
-                state.trouble = calm;
-                const backAtMs = clock.monotonicMs() + random.nextInt(registeredAgainMs);
+                state.faults = noFaults;
+                const backAtMs = clock.monotonicMs() + random.nextInt(maxReregistrationMs);
                 while (clock.monotonicMs() < backAtMs) {
                     if (directory.serving(service).length === 0) {
                         refused.add(seed);
--- a/packages/daemon/src/registerRunner.ts
+++ b/packages/daemon/src/registerRunner.ts
@@ -21,7 +21,7 @@
     const { store, clock, logger, key, address } = deps;
     const stopped = new AbortController();
 
-    async function tryOnce(): Promise<boolean> {
+    async function attemptRegistration(): Promise<boolean> {
         const current = await store.read(key);
         if (JSON.stringify(current?.value) === JSON.stringify(address)) {
             return true;
@@ -33,7 +33,7 @@
     async function run(): Promise<void> {
         while (!stopped.signal.aborted) {
             try {
-                if (await tryOnce()) {
+                if (await attemptRegistration()) {
                     logger.info("runnerRegistered", { key, ...address });
                     return;
                 }
--- a/packages/daemon/src/runDemo.ts
+++ b/packages/daemon/src/runDemo.ts
@@ -27,7 +27,7 @@
     tokens: Map<string, string>;
     manifestPath: string;
     /** Takes lines of progress for a person. */
-    tell: (line: string) => void;
+    printLine: (line: string) => void;
 }
 
 function sum(reports: TrainerReport[], pick: (report: TrainerReport) => number): number {
@@ -36,7 +36,7 @@
 
 /** Runs three steps of two jobs with callers beside them, and changes the manifest in the middle. */
 export async function runDemo(options: DemoOptions): Promise<DemoSummary> {
-    const { system, context, jobs, tokens, tell } = options;
+    const { system, context, jobs, tokens, printLine } = options;
     const { clock } = context;
     const agent = new Agent({ keepAlive: true });
     const addresses = system.entries.map(entry => entry.address);
@@ -53,13 +53,13 @@
     }
 
     /** Resolves with the version once every entry and sidecar has it in force. */
-    async function waitInForce(minVersion: number): Promise<number> {
+    async function waitUntilActive(minVersion: number): Promise<number> {
         const expected = system.entries.length + system.sidecars.length;
         for (;;) {
             const status = await readStatus().catch(() => undefined);
             const version = status?.configVersion ?? 0;
-            const inForce = status?.members.filter(each => each.configVersion === version).length ?? 0;
-            if (version >= minVersion && inForce >= expected) {
+            const activeCount = status?.members.filter(each => each.configVersion === version).length ?? 0;
+            if (version >= minVersion && activeCount >= expected) {
                 return version;
             }
             await clock.sleep(pollMs);
@@ -75,8 +75,8 @@
         });
         const changedAtMs = clock.monotonicMs();
         await writeFile(options.manifestPath, JSON.stringify(manifest, undefined, 4));
-        const version = await waitInForce(before + 1);
-        tell(
+        const version = await waitUntilActive(before + 1);
+        printLine(
             `manifest changed: version ${version} in force everywhere after ${
                 Math.round(clock.monotonicMs() - changedAtMs)
             } ms`,
@@ -104,14 +104,14 @@
             }),
             trainMs,
             onStep: step =>
-                tell(`${job.job}: step ${step} whole, ${trainer.report().delivered} samples so far`),
+                printLine(`${job.job}: step ${step} whole, ${trainer.report().delivered} samples so far`),
         });
         return trainer.run(ended.signal);
     }
 
     clock.startTimer(timeLimitMs, () => ended.abort());
-    const firstVersion = await waitInForce(1);
-    tell(
+    const firstVersion = await waitUntilActive(1);
+    printLine(
         `${system.entries.length} entries and ${system.sidecars.length} sidecars ready, manifest version ${firstVersion}`,
     );
     const alerting = sendAlerts({
@@ -120,7 +120,7 @@
         addresses,
         token: tokens.get(jobs[0]!.team)!,
         onSent: key => alerts.push(key),
-        tell,
+        printLine,
         signal: ended.signal,
     });
     const changing = clock.sleep(steps * trainMs / 2).then(() => changeManifest(firstVersion));
@@ -130,7 +130,7 @@
     await alerting;
     agent.destroy();
 
-    const runs = [...system.standIns.backends.values()].flatMap(control => [...control.runsByKey()]);
+    const runs = [...system.externalFakes.backends.values()].flatMap(control => [...control.runsByKey()]);
     const runsOf = (key: string): number =>
         runs.filter(([ran]) => ran === key).reduce((total, [, n]) => total + n, 0);
     const idleMs = sum(reports, each => each.idleMs);
--- a/packages/daemon/src/runProcess.ts
+++ b/packages/daemon/src/runProcess.ts
@@ -22,16 +22,16 @@
     settingsPath: string,
     flags: Record<string, string>,
     context: ProcessContext,
-    tell: (line: string) => void,
+    printLine: (line: string) => void,
 ): Promise<number> {
     const checked = validateSettings(JSON.parse(await readFile(settingsPath, "utf8")), flags);
     if (checked.kind === "invalid") {
-        checked.faults.forEach(fault => tell(`${settingsPath}: ${fault.path}: ${fault.message}`));
-        tell("Correct the settings and start again; docs/settings.md lists each.");
+        checked.faults.forEach(fault => printLine(`${settingsPath}: ${fault.path}: ${fault.message}`));
+        printLine("Correct the settings and start again; docs/settings.md lists each.");
         return settingsExitCode;
     }
     const running = await start(checked.settings, context);
-    tell(`${running.name} listens at ${running.address}`);
+    printLine(`${running.name} listens at ${running.address}`);
     await waitForSignal();
     await running.shutdown();
     return 0;
--- a/packages/daemon/src/runStandalone.ts
+++ b/packages/daemon/src/runStandalone.ts
@@ -26,10 +26,10 @@
     demo: boolean;
     logPath: string | undefined;
     context: ProcessContext;
-    tell: (line: string) => void;
+    printLine: (line: string) => void;
 }
 
-function demand(checked: ManifestResult): Manifest {
+function requireValid(checked: ManifestResult): Manifest {
     if (checked.kind === "invalid") {
         const faults = checked.faults.map(fault => `${fault.path}: ${fault.message}`);
         throw new ResultError(resultCodes.manifestInvalid, faults.join("; "));
@@ -39,7 +39,7 @@
 
 /** Runs the whole system on loopback; resolves with the process's exit code. */
 export async function runStandalone(flags: StandaloneFlags): Promise<number> {
-    const { context, tell } = flags;
+    const { context, printLine } = flags;
     const { random } = context;
     const folder = await mkdtemp(join(tmpdir(), "auburnarch-"));
     const tokens = { plume: random.nextId(), ridge: random.nextId() };
@@ -47,10 +47,10 @@
     if (flags.manifestPath === undefined) {
         await writeFile(
             manifestPath,
-            JSON.stringify(demand(validateManifest(demoManifest(tokens))), undefined, 4),
+            JSON.stringify(requireValid(validateManifest(demoManifest(tokens))), undefined, 4),
         );
     }
-    const manifest = demand(parseManifest(await readFile(manifestPath, "utf8")));
+    const manifest = requireValid(parseManifest(await readFile(manifestPath, "utf8")));
     const logPath = flags.logPath ?? (flags.demo ? join(folder, "demo.log") : undefined);
     const log = logPath === undefined ? undefined : createWriteStream(logPath);
     const writeLine = log === undefined
@@ -65,30 +65,32 @@
         dataFolder: join(folder, "data"),
         port: flags.port,
     });
-    tell(`entries: ${system.entries.map(entry => entry.address).join(" ")}`);
-    tell(`manifest: ${manifestPath}`);
+    printLine(`entries: ${system.entries.map(entry => entry.address).join(" ")}`);
+    printLine(`manifest: ${manifestPath}`);
     let exitCode = 0;
     if (flags.demo) {
-        const tokenOf = new Map([["plume", tokens.plume], ["ridge", tokens.ridge]]);
+        const tokensByTeam = new Map([["plume", tokens.plume], ["ridge", tokens.ridge]]);
         const summary = await runDemo({
             system,
             context,
             jobs: manifest.jobs,
-            tokens: tokenOf,
+            tokens: tokensByTeam,
             manifestPath,
-            tell,
+            printLine,
         });
         await system.shutdown();
-        const broken = summary.missing + summary.duplicates + summary.staleViolations
+        const failures = summary.missing + summary.duplicates + summary.staleViolations
             + summary.alertsRunTwice;
-        exitCode = broken === 0 ? 0 : 1;
-        tell(`event=summary ${Object.entries(summary).map(([key, value]) => `${key}=${value}`).join(" ")}`);
+        exitCode = failures === 0 ? 0 : 1;
+        printLine(
+            `event=summary ${Object.entries(summary).map(([key, value]) => `${key}=${value}`).join(" ")}`,
+        );
     }
     else {
-        tell(`operator token: ${system.operatorToken}`);
-        tell(`team tokens: plume ${tokens.plume}, ridge ${tokens.ridge}`);
+        printLine(`operator token: ${system.operatorToken}`);
+        printLine(`team tokens: plume ${tokens.plume}, ridge ${tokens.ridge}`);
         await waitForSignal();
-        tell("shutting down; a second signal ends at once");
+        printLine("shutting down; a second signal ends at once");
         await system.shutdown();
     }
     await new Promise<void>(resolve => log === undefined ? resolve() : log.end(resolve));
--- a/packages/daemon/src/sendAlerts.ts
+++ b/packages/daemon/src/sendAlerts.ts
@@ -4,7 +4,7 @@
 import { v7 as newKey } from "uuid";
 import { callEntry } from "./callEntry.js";
 
-const everyMs = 250;
+const alertIntervalMs = 250;
 const timeoutMs = 5_000;
 const path = "/v1/services/tiles/alerts";
 /** Result codes from 2000 on say that the request did not run. */
@@ -18,13 +18,13 @@
     token: string;
     /** Hears the key of each alert that was answered. */
     onSent: (key: string) => void;
-    tell: (line: string) => void;
+    printLine: (line: string) => void;
     signal: AbortSignal;
 }
 
 /** Sends alerts that must not go out twice until `signal` is aborted. */
 export async function sendAlerts(options: AlertOptions): Promise<void> {
-    const { clock, agent, addresses, token, tell, signal } = options;
+    const { clock, agent, addresses, token, printLine, signal } = options;
     let calls = 0;
 
     /** Sends one alert until its fate is known; sent again, it keeps its key, so that it cannot go out twice. */
@@ -48,16 +48,16 @@
             }
             catch (error) {
                 if (Math.floor(codeOf(error).number / 1_000) !== notRunFamily) {
-                    tell(`alert without an answer: ${String(error)}`);
+                    printLine(`alert without an answer: ${String(error)}`);
                     return;
                 }
             }
-            await clock.sleep(everyMs, signal);
+            await clock.sleep(alertIntervalMs, signal);
         }
     }
 
     while (!signal.aborted) {
         await sendOne(newKey());
-        await clock.sleep(everyMs, signal);
+        await clock.sleep(alertIntervalMs, signal);
     }
 }
--- a/packages/daemon/src/serveInternal.ts
+++ b/packages/daemon/src/serveInternal.ts
@@ -63,9 +63,9 @@
     const [port] = settings.internalPorts;
     const { metricsPort } = settings;
     const servers = [await listen(port)];
-    const forMetrics = metricsPort === undefined ? undefined : await listenForMetrics(metricsPort);
-    if (forMetrics !== undefined) {
-        servers.push(forMetrics);
+    const metricsServer = metricsPort === undefined ? undefined : await listenForMetrics(metricsPort);
+    if (metricsServer !== undefined) {
+        servers.push(metricsServer);
     }
     return {
         port,
--- a/packages/daemon/src/session.test.ts
+++ b/packages/daemon/src/session.test.ts
@@ -44,7 +44,7 @@
 }
 
 /** A trainer at the door of an entry that need not be the owner. */
-function portTo(entry: Entry, { job, team }: JobManifest): TrainerPort {
+function createTrainerPort(entry: Entry, { job, team }: JobManifest): TrainerPort {
     return {
         openStep: async spec =>
             void await entry.handleTrainerCall(team, { kind: "openStep", job, spec }, false),
@@ -92,7 +92,7 @@
     const trainer = createFakeTrainer({
         clock,
         random: createRandom(1),
-        port: portTo(system.entries[1]!, job),
+        port: createTrainerPort(system.entries[1]!, job),
         policy: job.policy,
         steps: 2,
         groupSize: job.groupSize,
--- a/packages/daemon/src/startCommon.ts
+++ b/packages/daemon/src/startCommon.ts
@@ -22,7 +22,7 @@
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import { createFeedExtras } from "./createFeedExtras.js";
-import { createPeerLinks } from "./createPeerLinks.js";
+import { createRunnerClient } from "./createRunnerClient.js";
 import { createStoreHealth } from "./createStoreHealth.js";
 import type { FeedExtras } from "./FeedExtras.js";
 import type { RoleContext } from "./RoleContext.js";
@@ -34,9 +34,9 @@
     /** Lists and watches through the runner that follows the store for all. */
     store: ObjectStore;
     /** Every call goes to the store itself. */
-    ownStore: ObjectStore;
+    directStore: ObjectStore;
     runners: WatchedKind<RunnerAddress>;
-    links: ReturnType<typeof createPeerLinks>;
+    runnerClient: ReturnType<typeof createRunnerClient>;
     caller: RunnerCaller;
     /** What is told between processes along with changes of the store. */
     extras: FeedExtras;
@@ -67,8 +67,8 @@
 export function startCommon(
     context: RoleContext,
     isBusy: () => boolean,
-    idleTouchIntervalMs: number | undefined,
-    feeding: { hub?: FeedHub; } = {},
+    idleProbeIntervalMs: number | undefined,
+    hubHolder: { hub?: FeedHub; } = {},
 ): Common {
     const { clock, logger, metrics } = context;
     const address = (): { host: string; port: number; } =>
@@ -87,15 +87,15 @@
         clock,
         metrics,
         logger,
-        idleTouchIntervalMs,
+        idleProbeIntervalMs,
     );
     const extras = createFeedExtras(context);
-    const links = createPeerLinks(clock, extras);
-    const known: { runners?: WatchedKind<RunnerAddress>; } = {};
+    const runnerClient = createRunnerClient(clock, extras);
+    const runnersHolder: { runners?: WatchedKind<RunnerAddress>; } = {};
     const caller = createRunnerCaller({
         self: context.settings.name,
         // They are followed through this very caller: until they are known the store itself is asked.
-        runners: () => known.runners?.objects(),
+        runners: () => runnersHolder.runners?.objects(),
         clock,
         logger,
     });
@@ -106,17 +106,17 @@
     });
     const store = createFeedBackedStore({
         self: context.settings.name,
-        waitForStore: health.waitUntilServed,
+        waitForStore: health.waitForStore,
         inner: health.store,
-        hub: () => feeding.hub,
+        hub: () => hubHolder.hub,
         caller,
-        send: links.feed,
+        send: runnerClient.feed,
         outages,
         clock,
     });
     const watched = { store, clock, logger };
     const runners = watchRunners(watched);
-    known.runners = runners;
+    runnersHolder.runners = runners;
     const decodeTable = (_name: string, value: unknown): RoutingTable | undefined =>
         decodeConfiguration(value);
     const tables = watchKind({ ...watched, kind: platformKinds.configuration, decode: decodeTable });
@@ -130,14 +130,14 @@
     return {
         writeStatus: platformStore.writeStatus,
         store,
-        ownStore: health.store,
+        directStore: health.store,
         runners,
-        links,
+        runnerClient,
         caller,
         extras,
         breaks: extras.breaks,
         storeSilentMs: health.silentMs,
-        storeHeardMs: health.heardMs,
+        storeHeardMs: health.sinceAnswerMs,
         storeRegainedMs: health.regainedMs,
         tables,
         routing: createRoutingView(tables, logger),
--- a/packages/daemon/src/startEntry.ts
+++ b/packages/daemon/src/startEntry.ts
@@ -12,14 +12,14 @@
 import { createHttpSidecar } from "@auburnarch/transport/createHttpSidecar";
 import type { EntryId } from "@auburnarch/types/EntryId";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { Region } from "@auburnarch/types/Region";
 import type { VmId } from "@auburnarch/types/VmId";
 import { readFile } from "node:fs/promises";
 import { join } from "node:path";
 import { addressOf } from "./addressOf.js";
-import { createToolbox } from "./createToolbox.js";
+import { createTelemetry } from "./createTelemetry.js";
 import { digestClusterTokens } from "./digestClusterTokens.js";
 import { digestToken } from "./digestToken.js";
 import { openStartSnapshot } from "./openStartSnapshot.js";
@@ -36,11 +36,11 @@
 const requestTimeoutMs = 60_000;
 const maxConnections = 4_096;
 
-function openKeep(
+function openGroupStore(
     settings: Settings,
     context: ProcessContext,
     logger: Logger,
-): Promise<GroupKeep> | undefined {
+): Promise<GroupStore> | undefined {
     if (settings.dataFolder === undefined) {
         return undefined;
     }
@@ -50,14 +50,14 @@
 /** Starts the entry role from checked settings and resolves once it listens. */
 export async function startEntry(settings: Settings, context: ProcessContext): Promise<RunningProcess> {
     const { clock, random } = context;
-    const { logger, metrics, invariants } = createToolbox(settings, context);
+    const { logger, metrics, invariants } = createTelemetry(settings, context);
     const store = createBudgetedStore(createHttpObjectStore(settings.objectApiUrl), {
         clock,
         random: random.fork(),
         readsPerSecond,
         writesPerSecond,
     });
-    const keep = await openKeep(settings, context, logger);
+    const groupStore = await openGroupStore(settings, context, logger);
     const { snapshot, save } = await openStartSnapshot(settings.dataFolder, logger);
     const trust = await openTrust(settings, { clock, logger });
     const createSecureAgent = trust?.createAgent;
@@ -80,7 +80,7 @@
         store,
         vmList: createHttpVmList(settings.vmListUrl),
         scoring: createHttpScoring(settings.scoringUrl!),
-        groupStore: keep,
+        groupStore,
         cursorKey: settings.cursorKey!,
         seeds: [...settings.seeds, ...snapshot?.peers ?? []],
         startSnapshot: snapshot,
--- a/packages/daemon/src/startStandIns.ts
+++ b/packages/daemon/src/startExternalFakes.ts
@@ -15,32 +15,35 @@
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
+import type { ExternalFakes } from "./ExternalFakes.js";
+import type { ExternalFakesPlan } from "./ExternalFakesPlan.js";
 import type { ProcessContext } from "./ProcessContext.js";
-import type { StandInPlan } from "./StandInPlan.js";
-import type { StandIns } from "./StandIns.js";
 
 const vmListLagMs = 2_000;
 const scoringLatencyMs = 2;
 const transferMs = 100;
 const firstVersion = 0 as WeightVersion;
 
-interface Handle {
+interface FakeServer {
     port: number;
     close(): Promise<void>;
 }
 
-const urlOf = ({ port }: Handle): string => `http://127.0.0.1:${port}`;
+const urlOf = ({ port }: FakeServer): string => `http://127.0.0.1:${port}`;
 
 /** Starts every outside system as a stand-in on loopback, one backend server for each sampler of the manifest. */
-export async function startStandIns(plan: StandInPlan, context: ProcessContext): Promise<StandIns> {
+export async function startExternalFakes(
+    plan: ExternalFakesPlan,
+    context: ProcessContext,
+): Promise<ExternalFakes> {
     const { clock, random } = context;
     const { manifest } = plan;
-    const handles: Handle[] = [];
+    const servers: FakeServer[] = [];
 
-    async function serve(started: Promise<Handle>): Promise<string> {
-        const handle = await started;
-        handles.push(handle);
-        return urlOf(handle);
+    async function serve(started: Promise<FakeServer>): Promise<string> {
+        const server = await started;
+        servers.push(server);
+        return urlOf(server);
     }
 
     const { store, control: storeControl } = createFakeObjectStore({ clock, random: random.fork() });
@@ -92,7 +95,7 @@
         backends,
         addVm: vms.add,
         close: async () => {
-            await Promise.all(handles.map(handle => handle.close()));
+            await Promise.all(servers.map(handle => handle.close()));
         },
     };
 }
--- a/packages/daemon/src/startGateway.ts
+++ b/packages/daemon/src/startGateway.ts
@@ -3,7 +3,7 @@
 import { createRequestForwarder } from "@auburnarch/forwarding/createRequestForwarder";
 import { createGateway } from "@auburnarch/gateway/createGateway";
 import { createRunnerResults } from "@auburnarch/gateway/createRunnerResults";
-import { decodeLot } from "@auburnarch/platform/decodeLot";
+import { decodeBatchJob } from "@auburnarch/platform/decodeBatchJob";
 import { serveClients } from "@auburnarch/platform/serveClients";
 import { splitAddress } from "@auburnarch/platform/splitAddress";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
@@ -16,22 +16,22 @@
  * The platform's balancer takes a process out after two missed probes a second apart; until then new connections
  * still arrive and are served.
  */
-const balancerNoticesMs = 2_600;
+const balancerRemovalMs = 2_600;
 const pollMs = 100;
 /**
  * A trainer's calls come to one gateway, by a hash of it, so most gateways use the store never. One that is turned away
  * there answers the first of a trainer's calls with a refusal at the latest, and is then not ready.
  */
-const idleTouchIntervalMs = 2_000;
+const idleProbeIntervalMs = 2_000;
 /** Left at the end of the grace period for the process to end by itself. */
 const exitSlackMs = 700;
 
 /** Starts a gateway and resolves once it listens. */
 export async function startGateway(context: RoleContext): Promise<RunningRole> {
     const { settings, clock, random, logger, metrics, invariants } = context;
-    const common = startCommon(context, () => false, idleTouchIntervalMs);
-    const lots = createBatchJobStore(common.store);
-    const relay = createRequestForwarder({
+    const common = startCommon(context, () => false, idleProbeIntervalMs);
+    const batchJobStore = createBatchJobStore(common.store);
+    const forwardRequest = createRequestForwarder({
         ...common,
         clock,
         random: random.fork(),
@@ -41,14 +41,14 @@
         failureDomain: settings.failureDomain as FailureDomain,
         meter: common.extras.meter,
     });
-    const results = createRunnerResults({ caller: common.caller, send: common.links.results });
+    const results = createRunnerResults({ caller: common.caller, send: common.runnerClient.results });
     const gateway = createGateway({
         ...common,
         routingAgeMs: common.tables.ageMs,
-        forwardRequest: relay,
-        batchJobStore: lots,
-        batchJobReader: createBatchJobReader(lots, clock, results),
-        decodeBatchJob: decodeLot,
+        forwardRequest,
+        batchJobStore,
+        batchJobReader: createBatchJobReader(batchJobStore, clock, results),
+        decodeBatchJob,
         clock,
         logger,
         metrics,
@@ -71,9 +71,9 @@
     return {
         shutdown: async () => {
             gateway.markNotReady();
-            served.leave();
+            served.drain();
             const endMs = clock.monotonicMs() + settings.gracePeriodMs - exitSlackMs;
-            await clock.sleep(balancerNoticesMs);
+            await clock.sleep(balancerRemovalMs);
             while (served.active() > 0 && clock.monotonicMs() < endMs) {
                 await clock.sleep(pollMs);
             }
--- a/packages/daemon/src/startRunner.ts
+++ b/packages/daemon/src/startRunner.ts
@@ -10,10 +10,10 @@
 import { readItemEvents } from "@auburnarch/platform/readItemEvents";
 import { createRunner } from "@auburnarch/runner/createRunner";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
-import { createPeerAnswers } from "./createPeerAnswers.js";
+import { createInternalCallHandler } from "./createInternalCallHandler.js";
 import { createUsageDeps } from "./createUsageDeps.js";
 import { decodeWith } from "./decodeWith.js";
-import { openTextShelf } from "./openTextShelf.js";
+import { openTextCache } from "./openTextCache.js";
 import { registerRunner } from "./registerRunner.js";
 import type { RoleContext } from "./RoleContext.js";
 import { runnersKind } from "./runnersKind.js";
@@ -25,7 +25,7 @@
 /** Each load of weights shows in a sampler's entry; those of one version end close together. */
 const samplerGatherMs = 100;
 /** Kinds of which a change may be seen some seconds late if a connection falls silent. */
-const slowKinds: ReadonlySet<string> = new Set([`${platformKinds.retirements}/`, `${runnersKind}/`]);
+const slowPrefixes: ReadonlySet<string> = new Set([`${platformKinds.retirements}/`, `${runnersKind}/`]);
 /** Left of the grace period when the hand-over is given up. */
 const exitSlackMs = 1_500;
 
@@ -33,15 +33,15 @@
 export async function startRunner(context: RoleContext): Promise<RunningRole> {
     const { settings, clock, random, logger } = context;
     let isBusy = (): boolean => false;
-    const feeding: { hub?: FeedHub; } = {};
-    const common = startCommon(context, () => isBusy(), undefined, feeding);
+    const hubHolder: { hub?: FeedHub; } = {};
+    const common = startCommon(context, () => isBusy(), undefined, hubHolder);
     const { store } = common;
     const watched = { store, clock, logger };
     const registration = `${runnersKind}/${settings.name}`;
-    const { shelf, flush } = await openTextShelf(context);
+    const { textCache, flush } = await openTextCache(context);
     const internal = await serveInternal(
         context,
-        createPeerAnswers({ runner: () => runner, hub: () => hub, extras: common.extras }),
+        createInternalCallHandler({ runner: () => runner, hub: () => hub, extras: common.extras }),
     );
     const runner = createRunner({
         ...common,
@@ -70,10 +70,10 @@
         }),
         reportRetirement: state =>
             common.writeStatus(`${platformKinds.retirements}/${settings.name}`, { state }),
-        textCache: shelf,
+        textCache,
         readEvents: readItemEvents,
         orders: createEngineOrders(clock, common.agentFor),
-        probe: common.links.status,
+        probe: common.runnerClient.status,
         usage: createUsageDeps(context, common.extras.starts),
         trueTime: common.extras.trueTime,
         orderHandOverMs: settings.orderHandOverMs,
@@ -83,15 +83,15 @@
     const hub = createFeedHub({
         self: settings.name,
         feeder: runner.feeder,
-        store: common.ownStore,
+        store: common.directStore,
         gatherMsOf: prefix => prefix === `${platformKinds.samplers}/` ? samplerGatherMs : 0,
-        waitMsOf: prefix => slowKinds.has(prefix) ? slowWaitMs : undefined,
+        waitMsOf: prefix => slowPrefixes.has(prefix) ? slowWaitMs : undefined,
         sinceStoreAnswerMs: common.storeHeardMs,
         sinceOutageMs: runner.sinceOutageMs,
         clock,
         logger,
     });
-    feeding.hub = hub;
+    hubHolder.hub = hub;
     isBusy = () => {
         const { running, holdsWeights } = runner.status({ wantsStarts: false });
         return running.length > 0 || holdsWeights;
--- a/packages/daemon/src/startSidecar.ts
+++ b/packages/daemon/src/startSidecar.ts
@@ -2,7 +2,7 @@
 import type { Settings } from "@auburnarch/config/Settings";
 import { createDocumentFollower } from "@auburnarch/documents/createDocumentFollower";
 import { createPeerCall } from "@auburnarch/entry/createPeerCall";
-import { createReadFencing } from "@auburnarch/lease/createReadFencing";
+import { createFencingReader } from "@auburnarch/lease/createFencingReader";
 import { createReporter } from "@auburnarch/membership/createReporter";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import { createSidecar } from "@auburnarch/sidecar/createSidecar";
@@ -23,19 +23,19 @@
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { VmId } from "@auburnarch/types/VmId";
 import { addressOf } from "./addressOf.js";
-import { createToolbox } from "./createToolbox.js";
+import { applyDocument } from "./applyDocument.js";
+import { createTelemetry } from "./createTelemetry.js";
 import { digestClusterTokens } from "./digestClusterTokens.js";
 import { openTrust } from "./openTrust.js";
 import type { ProcessContext } from "./ProcessContext.js";
 import type { RunningProcess } from "./RunningProcess.js";
-import { takeDocument } from "./takeDocument.js";
 import { watchState } from "./watchState.js";
 
 /** A sidecar only reads leases it is ordered under for the first time, and never writes. */
 const storeCallsPerSecond = 5;
 const reportTimeoutMs = 1_500;
 
-function identify(settings: Settings): SamplerIdentity {
+function createIdentity(settings: Settings): SamplerIdentity {
     return {
         sampler: settings.sampler as SamplerId,
         vm: settings.vm as VmId,
@@ -50,7 +50,7 @@
     settings: Settings,
     context: ProcessContext,
     identity: SamplerIdentity,
-    toolbox: ReturnType<typeof createToolbox>,
+    telemetry: ReturnType<typeof createTelemetry>,
 ): SidecarDependencies {
     const { clock, random } = context;
     const store = createBudgetedStore(createHttpObjectStore(settings.objectApiUrl), {
@@ -60,14 +60,14 @@
         writesPerSecond: storeCallsPerSecond,
     });
     return {
-        ...toolbox,
+        ...telemetry,
         identity,
         clock,
         random: random.fork(),
         engine: settings.engineUrl === undefined ? undefined : createHttpEngine(settings.engineUrl),
         backend: settings.backendUrl === undefined ? undefined : createHttpPlainBackend(settings.backendUrl),
         weightStore: createHttpWeightStore(settings.weightStoreUrl ?? ""),
-        readFencing: createReadFencing(store),
+        readFencing: createFencingReader(store),
         initialConfigWaitMs,
     };
 }
@@ -87,11 +87,11 @@
 /** Starts the sidecar role from checked settings and resolves once it listens and reports. */
 export async function startSidecar(settings: Settings, context: ProcessContext): Promise<RunningProcess> {
     const { clock, random } = context;
-    const toolbox = createToolbox(settings, context);
-    const { logger } = toolbox;
-    const identity = identify(settings);
+    const telemetry = createTelemetry(settings, context);
+    const { logger } = telemetry;
+    const identity = createIdentity(settings);
     const trust = await openTrust(settings, { clock, logger });
-    const gate = createSidecar(createGateDeps(settings, context, identity, toolbox));
+    const gate = createSidecar(createGateDeps(settings, context, identity, telemetry));
     const served = await serveSidecar(gate, {
         host: settings.listenHost,
         port: settings.listenPort,
@@ -100,15 +100,15 @@
         createServer: trust?.createServer,
         isPeer: trust?.isPeer,
         ...digestClusterTokens(settings),
-        renderMetrics: () => renderSidecar(gate, toolbox.metrics),
+        renderMetrics: () => renderSidecar(gate, telemetry.metrics),
     });
     // Known only now where the system chose the port; nothing is reported before.
     identity.address = addressOf(settings, served.port);
 
-    const { invariants } = toolbox;
+    const { invariants } = telemetry;
     const follower = createDocumentFollower(
         { invariants, logger, faultsOf: faultsOfDocument },
-        document => takeDocument(gate, document),
+        document => applyDocument(gate, document),
     );
     const callPeer = createPeerCall(settings.clusterToken, trust?.createAgent);
     const reporter = createReporter({
--- a/packages/daemon/src/startStandalone.ts
+++ b/packages/daemon/src/startStandalone.ts
@@ -7,19 +7,19 @@
 import type { SamplerManifest } from "@auburnarch/types/SamplerManifest";
 import type { VmId } from "@auburnarch/types/VmId";
 import { join } from "node:path";
+import type { ExternalFakes } from "./ExternalFakes.js";
+import type { ExternalFakesPlan } from "./ExternalFakesPlan.js";
 import type { ProcessContext } from "./ProcessContext.js";
 import type { RunningProcess } from "./RunningProcess.js";
 import type { Standalone } from "./Standalone.js";
-import type { StandInPlan } from "./StandInPlan.js";
-import type { StandIns } from "./StandIns.js";
 import { startEntry } from "./startEntry.js";
+import { startExternalFakes } from "./startExternalFakes.js";
 import { startSidecar } from "./startSidecar.js";
-import { startStandIns } from "./startStandIns.js";
 
 const shutdownDeadlineMs = 5_000;
 
 interface StandaloneOptions {
-    plan: StandInPlan;
+    plan: ExternalFakesPlan;
     context: ProcessContext;
     manifestPath: string;
     dataFolder: string | undefined;
@@ -27,7 +27,7 @@
     port: number;
 }
 
-function check(json: Record<string, unknown>): Settings {
+function requireValidSettings(json: Record<string, unknown>): Settings {
     const checked = validateSettings(json);
     if (checked.kind === "invalid") {
         const faults = checked.faults.map(fault => `${fault.path}: ${fault.message}`);
@@ -36,14 +36,18 @@
     return checked.settings;
 }
 
-function sharedSettings(standIns: StandIns, region: string, clusterToken: string): Record<string, unknown> {
+function sharedSettings(
+    externalFakes: ExternalFakes,
+    region: string,
+    clusterToken: string,
+): Record<string, unknown> {
     return {
         region,
         listenHost: "127.0.0.1",
         listenPort: 0,
-        objectApiUrl: standIns.objectApiUrl,
-        vmListUrl: standIns.vmListUrl,
-        weightStoreUrl: standIns.weightStoreUrl,
+        objectApiUrl: externalFakes.objectApiUrl,
+        vmListUrl: externalFakes.vmListUrl,
+        weightStoreUrl: externalFakes.weightStoreUrl,
         clusterToken,
         shutdownDeadlineMs,
     };
@@ -55,17 +59,17 @@
     const { random } = context;
     const domains = [...new Set(plan.manifest.samplers.map(each => each.failureDomain))];
     const [clusterToken, operatorToken, cursorKey] = [random.nextId(), random.nextId(), random.nextId()];
-    const standIns = await startStandIns(plan, context);
-    const shared = sharedSettings(standIns, plan.region, clusterToken);
+    const externalFakes = await startExternalFakes(plan, context);
+    const shared = sharedSettings(externalFakes, plan.region, clusterToken);
     const entries: RunningProcess[] = [];
 
-    function announce(
+    function addToVmList(
         process: RunningProcess,
         role: "entry" | "sidecar",
         domain: FailureDomain,
         sampler?: SamplerManifest,
     ) {
-        standIns.addVm({
+        externalFakes.addVm({
             vm: `vm-${process.name}` as VmId,
             address: process.address,
             failureDomain: domain,
@@ -80,14 +84,14 @@
         const failureDomain = domains[index % domains.length]!;
         const name = `entry-${index + 1}`;
         const entry = await startEntry(
-            check({
+            requireValidSettings({
                 ...shared,
                 name,
                 role: "entry",
                 vm: `vm-${name}`,
                 failureDomain,
                 listenPort: index === 0 ? options.port : 0,
-                scoringUrl: standIns.scoringUrl,
+                scoringUrl: externalFakes.scoringUrl,
                 cursorKey,
                 operatorToken,
                 seeds: entries.map(each => each.address),
@@ -97,13 +101,13 @@
             { ...context, random: random.fork() },
         );
         entries.push(entry);
-        announce(entry, "entry", failureDomain);
+        addToVmList(entry, "entry", failureDomain);
     }
 
     async function startOne(sampler: SamplerManifest): Promise<RunningProcess> {
         const { sampler: name, service, failureDomain } = sampler;
         const sidecar = await startSidecar(
-            check({
+            requireValidSettings({
                 ...shared,
                 name: `sidecar-${name}`,
                 role: "sidecar",
@@ -111,19 +115,19 @@
                 failureDomain,
                 sampler: name,
                 service,
-                engineUrl: standIns.engineUrls.get(name),
-                backendUrl: standIns.backendUrls.get(name),
+                engineUrl: externalFakes.engineUrls.get(name),
+                backendUrl: externalFakes.backendUrls.get(name),
                 seeds: entries.map(each => each.address),
             }),
             { ...context, random: random.fork() },
         );
-        announce(sidecar, "sidecar", failureDomain, sampler);
+        addToVmList(sidecar, "sidecar", failureDomain, sampler);
         return sidecar;
     }
 
     const sidecars = await Promise.all(plan.manifest.samplers.map(startOne));
     return {
-        standIns,
+        externalFakes,
         entries,
         sidecars,
         operatorToken,
@@ -131,7 +135,7 @@
         shutdown: async () => {
             await Promise.all(entries.map(each => each.shutdown()));
             await Promise.all(sidecars.map(each => each.shutdown()));
-            await standIns.close();
+            await externalFakes.close();
         },
     };
 }
--- a/packages/daemon/src/callsByTrouble.test.ts
+++ b/packages/daemon/src/storeCallsUnderFaults.test.ts
@@ -1,25 +1,25 @@
 import { expect, test } from "vitest";
-import { createFedFleet } from "./testing/createFedFleet.js";
-import type { FedTrouble } from "./testing/FedTrouble.js";
+import { createFeedFleet } from "./testing/createFeedFleet.js";
+import type { FeedFaults } from "./testing/FeedFaults.js";
 
 const gateways = 40;
-const calm: FedTrouble = { isStoreAway: () => false, isReached: () => true };
+const noFaults: FeedFaults = { isStoreDown: () => false, isReachable: () => true };
 
 /** Calls, without signs of life, of three seconds of calm, so long of trouble, and ten seconds after it. */
 async function countCalls(
-    trouble: FedTrouble,
-    troubleMs: number,
+    faults: FeedFaults,
+    faultsMs: number,
 ): Promise<{ startCalls: number; calls: number; }> {
-    const { clock, state, put } = createFedFleet(gateways);
+    const { clock, state, put } = createFeedFleet(gateways);
     await clock.advance(10_000);
     const startCalls = state.calls;
     await put();
     state.calls = 0;
     await clock.advance(3_000);
-    state.trouble = trouble;
-    state.sinceMs = clock.monotonicMs();
-    await clock.advance(troubleMs);
-    state.trouble = calm;
+    state.faults = faults;
+    state.faultsSinceMs = clock.monotonicMs();
+    await clock.advance(faultsMs);
+    state.faults = noFaults;
     await put();
     await clock.advance(10_000);
     return { startCalls, calls: state.calls };
@@ -27,25 +27,25 @@
 
 const isFirstHalf = (process: string): boolean => Number(process.slice(1)) % 2 === 0;
 
-const troubles: Record<string, FedTrouble> = {
-    "the runner that feeds is gone": { ...calm, isReached: (from, to) => from !== "r1" && to !== "r1" },
-    "the store turns the runner that feeds away": { ...calm, isStoreAway: process => process === "r1" },
-    "the store is silent for all": { ...calm, isStoreAway: () => true },
+const faultCases: Record<string, FeedFaults> = {
+    "the runner that feeds is gone": { ...noFaults, isReachable: (from, to) => from !== "r1" && to !== "r1" },
+    "the store turns the runner that feeds away": { ...noFaults, isStoreDown: process => process === "r1" },
+    "the store is silent for all": { ...noFaults, isStoreDown: () => true },
     "half of the gateways reach no runner": {
-        ...calm,
-        isReached: from => from.startsWith("r") || !isFirstHalf(from),
+        ...noFaults,
+        isReachable: from => from.startsWith("r") || !isFirstHalf(from),
     },
     "half of the gateways do not reach the runner that feeds": {
-        ...calm,
-        isReached: (from, to) => from.startsWith("r") || to !== "r1" || !isFirstHalf(from),
+        ...noFaults,
+        isReachable: (from, to) => from.startsWith("r") || to !== "r1" || !isFirstHalf(from),
     },
 };
 
 test("calls to the store stay few whatever keeps processes from the runner that feeds", async () => {
     // Guards against: calls rose three- to fourfold on days of trouble, with the number of processes.
     const counted: Record<string, number> = {};
-    for (const [name, trouble] of Object.entries(troubles)) {
-        const { startCalls, calls } = await countCalls(trouble, 6_000);
+    for (const [name, faults] of Object.entries(faultCases)) {
+        const { startCalls, calls } = await countCalls(faults, 6_000);
         counted[name] = calls;
         counted.start = startCalls;
     }
--- a/packages/daemon/src/teams.test.ts
+++ b/packages/daemon/src/teams.test.ts
@@ -1,5 +1,5 @@
-import { encodeStandInConfiguration } from "@auburnarch/platform/testing/encodeStandInConfiguration";
-import type { SamplerStandIn } from "@auburnarch/platform/testing/SamplerStandIn";
+import { encodeTestConfiguration } from "@auburnarch/platform/testing/encodeTestConfiguration";
+import type { FakeSampler } from "@auburnarch/platform/testing/FakeSampler";
 import { afterEach, beforeEach, expect, test } from "vitest";
 import { createPlatformBed } from "./testing/createPlatformBed.js";
 
@@ -10,7 +10,7 @@
 const secrets = /s3cret/u;
 
 const config = (version: number, huleKeys: string[]): unknown =>
-    encodeStandInConfiguration({
+    encodeTestConfiguration({
         version,
         models: [model],
         extraRoutes: [],
@@ -24,8 +24,8 @@
 
 let bed: Awaited<ReturnType<typeof createPlatformBed>>;
 let gateway: Awaited<ReturnType<typeof bed.startGatewayAt>>;
-let tiles: SamplerStandIn;
-let engine: SamplerStandIn;
+let tiles: FakeSampler;
+let engine: FakeSampler;
 
 beforeEach(async () => {
     bed = await createPlatformBed();
@@ -79,7 +79,7 @@
         }),
     );
 
-const told = ({ runs }: SamplerStandIn): unknown[] =>
+const listRunTeams = ({ runs }: FakeSampler): unknown[] =>
     runs().map(({ id, team, credential }) => [id, team, credential]);
 
 const readResults = (id: string, key: string): Promise<number> =>
@@ -96,8 +96,8 @@
     expect((await plain("q-1", firstKey)).status).toBe(200);
     expect((await submit("lot-1", secondKey)).status).toBe(202);
     expect(await readResults("lot-1", firstKey)).toBe(1);
-    expect(told(engine)).toEqual([["lot-1-item", "hule", undefined]]);
-    expect(told(tiles)).toEqual([["q-1", "hule", undefined], ["score-lot-1", undefined, undefined]]);
+    expect(listRunTeams(engine)).toEqual([["lot-1-item", "hule", undefined]]);
+    expect(listRunTeams(tiles)).toEqual([["q-1", "hule", undefined], ["score-lot-1", undefined, undefined]]);
 });
 
 test("an item goes on for its team after its runner is gone and its key is taken away", async () => {
@@ -133,8 +133,8 @@
     await call("GET", "/v1/lots/lot-1?after=0", otherKey);
     expect(await readResults("lot-1", firstKey)).toBe(1);
     const feed = await bed.until(async () => {
-        const told = await bed.callInternal("runner-1", "runner.feed", { prefix: "config/", waitMs: 200 });
-        return told.includes("key-digests") ? told : undefined;
+        const answer = await bed.callInternal("runner-1", "runner.feed", { prefix: "config/", waitMs: 200 });
+        return answer.includes("key-digests") ? answer : undefined;
     });
     const metrics = await bed.metricsOf("front-1");
     const ours = bed.store.dump(kind => kind !== "config");
--- a/packages/daemon/src/testing/FedTrouble.ts
+++ /dev/null
@@ -1,5 +0,0 @@
-/** What is wrong, as each process meets it. */
-export interface FedTrouble {
-    isStoreAway: (process: string) => boolean;
-    isReached: (from: string, to: string) => boolean;
-}
--- a/packages/daemon/src/testing/createFedFleet.ts
+++ b/packages/daemon/src/testing/createFeedFleet.ts
@@ -1,7 +1,7 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { createSamplerDirectory } from "@auburnarch/discovery/createSamplerDirectory";
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import type { RunnerAddress } from "@auburnarch/discovery/RunnerAddress";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
 import { watchKind } from "@auburnarch/discovery/watchKind";
@@ -22,33 +22,33 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { ObjectVersion } from "@auburnarch/types/ObjectVersion";
 import { createStoreHealth } from "../createStoreHealth.js";
-import type { FedTrouble } from "./FedTrouble.js";
+import type { FeedFaults } from "./FeedFaults.js";
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 const runnerNames = ["r1", "r2", "r3", "r4"];
 /** Peers take a runner for dead after this time without an answer. */
-const deadAfterMs = 1_300;
+const peerTimeoutMs = 1_300;
 const storeLatencyMs = 4;
 /** Processes that start together know of no runner until then. */
 const registeredAtMs = 300;
 /** A call to a store that is silent is given up after this time. */
 const storeTimeoutMs = 1_000;
 
-const calm: FedTrouble = { isStoreAway: () => false, isReached: () => true };
+const noFaults: FeedFaults = { isStoreDown: () => false, isReachable: () => true };
 
 /** Runners r1 to r4 and gateways from g0 on that follow three kinds, each through its own view of one store. */
-export function createFedFleet(gateways: number) {
+export function createFeedFleet(gateways: number) {
     const clock = createFakeClock();
     const { store } = createFakeObjectStore({ clock, random: createRandom(4), latencyMs: storeLatencyMs });
-    const state = { trouble: calm, sinceMs: 0, calls: 0, touches: 0 };
+    const state = { faults: noFaults, faultsSinceMs: 0, calls: 0, touches: 0 };
     const gatewayNames = Array.from({ length: gateways }, (_, at) => `g${at}`);
     const hubs = new Map<string, FeedHub>();
     const addresses = new Map(runnerNames.map((host): [string, RunnerAddress] => [host, { host, port: 1 }]));
 
     /** What was asked before a process lost the store is answered no more either. */
-    async function through<T>(process: string, call: () => Promise<T>): Promise<T> {
-        const found = state.trouble.isStoreAway(process) ? undefined : { value: await call() };
-        if (found === undefined || state.trouble.isStoreAway(process)) {
+    async function callWithFaults<T>(process: string, call: () => Promise<T>): Promise<T> {
+        const found = state.faults.isStoreDown(process) ? undefined : { value: await call() };
+        if (found === undefined || state.faults.isStoreDown(process)) {
             await clock.sleep(storeTimeoutMs);
             throw new ResultError(resultCodes.storeUnavailable, "silent");
         }
@@ -58,7 +58,7 @@
     function storeOf(process: string): ObjectStore {
         const counted = <T>(call: () => Promise<T>): Promise<T> => {
             state.calls++;
-            return through(process, call);
+            return callWithFaults(process, call);
         };
         return {
             ...store,
@@ -70,7 +70,7 @@
 
     async function touch(process: string): Promise<void> {
         state.touches++;
-        await through(process, () => clock.sleep(storeLatencyMs));
+        await callWithFaults(process, () => clock.sleep(storeLatencyMs));
     }
 
     async function send(
@@ -79,10 +79,10 @@
         answer: () => Promise<FeedAnswer>,
         timeoutMs: number,
     ): Promise<FeedAnswer> {
-        const isLost = (): boolean => !state.trouble.isReached(from, host);
+        const isUnreachable = (): boolean => !state.faults.isReachable(from, host);
         const untilMs = clock.monotonicMs() + timeoutMs;
-        const found = isLost() ? undefined : await answer();
-        if (found === undefined || isLost()) {
+        const found = isUnreachable() ? undefined : await answer();
+        if (found === undefined || isUnreachable()) {
             await clock.sleep(Math.max(0, untilMs - clock.monotonicMs()));
             throw new Error("no answer");
         }
@@ -93,13 +93,13 @@
         const health = createStoreHealth(storeOf(self), () => touch(self), clock, createMetrics(), silent);
         const isRunner = addresses.has(self);
         const isAlive = (peer: string): boolean =>
-            state.trouble.isReached(self, peer) || clock.monotonicMs() - state.sinceMs < deadAfterMs;
+            state.faults.isReachable(self, peer) || clock.monotonicMs() - state.faultsSinceMs < peerTimeoutMs;
         const peersOf = () =>
             runnerNames.filter(name => name !== self).map(name => ({
                 name,
                 isAlive: isAlive(name),
                 heardMs: 0,
-                status: { storeSilentMs: state.trouble.isStoreAway(name) ? 500 : 0 } as RunnerStatus,
+                status: { storeSilentMs: state.faults.isStoreDown(name) ? 500 : 0 } as RunnerStatus,
             }));
         const monitor = createStoreOutageMonitor({
             storeSilentMs: health.silentMs,
@@ -112,7 +112,7 @@
                 feeder: avoided => chooseFeeder(self, health.silentMs() === 0, peersOf(), avoided),
                 store: health.store,
                 gatherMsOf: () => 0,
-                sinceStoreAnswerMs: health.heardMs,
+                sinceStoreAnswerMs: health.sinceAnswerMs,
                 sinceOutageMs: monitor.sinceOutageMs,
                 clock,
                 logger: silent,
@@ -138,7 +138,7 @@
             }),
             send: (address, query, timeoutMs) =>
                 send(self, address, () => hubs.get(address.host)!.answer(query), timeoutMs),
-            waitForStore: health.waitUntilServed,
+            waitForStore: health.waitForStore,
             outages,
             clock,
         });
@@ -148,7 +148,7 @@
             config: follow<unknown>("config"),
             runners: follow<unknown>("runners"),
             directory: createSamplerDirectory({
-                entries: follow<KnownSampler>("servers"),
+                entries: follow<RegisteredSampler>("servers"),
                 sinceOutageMs: outages.sinceOutageMs,
                 clock,
                 logger: silent,
--- a/packages/daemon/src/testing/createMemorySystem.ts
+++ b/packages/daemon/src/testing/createMemorySystem.ts
@@ -18,7 +18,7 @@
 import type { FakePlainServiceControl } from "@auburnarch/fakes/FakePlainServiceControl";
 import type { FakeStoreControl } from "@auburnarch/fakes/FakeStoreControl";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
-import { createReadFencing } from "@auburnarch/lease/createReadFencing";
+import { createFencingReader } from "@auburnarch/lease/createFencingReader";
 import { createLogger } from "@auburnarch/log/createLogger";
 import { createReporter } from "@auburnarch/membership/createReporter";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
@@ -36,7 +36,7 @@
 import type { SamplerManifest } from "@auburnarch/types/SamplerManifest";
 import type { VmId } from "@auburnarch/types/VmId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
-import { takeDocument } from "../takeDocument.js";
+import { applyDocument } from "../applyDocument.js";
 
 const seed = 7;
 const leaseTtlMs = 10_000;
@@ -80,7 +80,7 @@
     const domains = manifest.samplers.map(each => each.failureDomain);
     const region = "norte" as Region;
 
-    const toolbox = (own: Logger) => ({
+    const createProcessTelemetry = (own: Logger) => ({
         logger: own,
         metrics: createMetrics(),
         invariants: createInvariants(own, code => violations.push(code.name)),
@@ -106,7 +106,7 @@
         };
         vms.add({ ...self, role: "entry", sampler: undefined, state: "live" });
         const entry = createEntry({
-            ...toolbox(logger.child({ process: name })),
+            ...createProcessTelemetry(logger.child({ process: name })),
             self,
             clock,
             random: random.fork(),
@@ -142,7 +142,7 @@
 
     function startSidecar(sampler: SamplerManifest): void {
         const name = `sidecar-${sampler.sampler}`;
-        const own = toolbox(logger.child({ process: name }));
+        const telemetry = createProcessTelemetry(logger.child({ process: name }));
         const { engine, backend, controls } = createBackend(sampler);
         const identity: SamplerIdentity = {
             ...sampler,
@@ -152,26 +152,26 @@
         };
         vms.add({ ...identity, role: "sidecar", state: "live" });
         const gate = createSidecar({
-            ...own,
+            ...telemetry,
             identity,
             clock,
             random: random.fork(),
             engine,
             backend,
             weightStore,
-            readFencing: createReadFencing(store),
+            readFencing: createFencingReader(store),
             initialConfigWaitMs,
         });
         samplers.set(sampler.sampler, { gate, ...controls });
         const follower = createDocumentFollower(
-            { invariants: own.invariants, logger: own.logger, faultsOf: faultsOfDocument },
-            document => takeDocument(gate, document),
+            { invariants: telemetry.invariants, logger: telemetry.logger, faultsOf: faultsOfDocument },
+            document => applyDocument(gate, document),
         );
         createReporter({
             sampler: sampler.sampler,
             clock,
             random: random.fork(),
-            logger: own.logger,
+            logger: telemetry.logger,
             report: gate.report,
             digest: follower.digest,
             wholeDocuments: follower.wholeDocuments,
--- a/packages/daemon/src/testing/createPlatformBed.ts
+++ b/packages/daemon/src/testing/createPlatformBed.ts
@@ -13,7 +13,7 @@
 import { startGateway } from "../startGateway.js";
 import { startRunner } from "../startRunner.js";
 
-interface Called {
+interface Answer {
     status: number;
     headers: Record<string, unknown>;
     body: string;
@@ -26,15 +26,15 @@
     const clock = createSystemClock(true);
     const store = await servePlatformStore();
     const lines: string[] = [];
-    const broken: string[] = [];
+    const violations: string[] = [];
     const contexts = new Map<string, RoleContext>();
     const closers: (() => void)[] = [store.close];
     let seed = 100;
 
-    async function contextOf(
+    async function createContext(
         role: RoleSettings["role"],
         name: string,
-        over: Partial<RoleSettings>,
+        overrides: Partial<RoleSettings>,
     ): Promise<RoleContext> {
         const internal = await findFreePort();
         const settings: RoleSettings = {
@@ -51,10 +51,10 @@
             gracePeriodMs: 4_000,
             lotRetentionMs: 120_000,
             logLevel: "info",
-            ...over,
+            ...overrides,
         };
         const logger = createLogger(clock, line => lines.push(line)).child({ process: name });
-        const invariants = createInvariants(logger, code => broken.push(code.name));
+        const invariants = createInvariants(logger, code => violations.push(code.name));
         const metrics = createMetrics();
         const random = createRandom(seed++);
         const context = {
@@ -70,8 +70,8 @@
         return context;
     }
 
-    async function startGatewayAt(name: string, over: Partial<RoleSettings> = {}) {
-        const context = await contextOf("gateway", name, over);
+    async function startGatewayAt(name: string, overrides: Partial<RoleSettings> = {}) {
+        const context = await createContext("gateway", name, overrides);
         const role = await startGateway(context);
         const portOf = (address: string | undefined): number => Number(address!.split(":")[1]);
         return {
@@ -81,8 +81,8 @@
         };
     }
 
-    async function startRunnerAt(name: string, over: Partial<RoleSettings> = {}): Promise<RunningRole> {
-        return startRunner(await contextOf("runner", name, over));
+    async function startRunnerAt(name: string, overrides: Partial<RoleSettings> = {}): Promise<RunningRole> {
+        return startRunner(await createContext("runner", name, overrides));
     }
 
     async function addSampler(options: Parameters<typeof serveSampler>[0]) {
@@ -99,7 +99,7 @@
         path: string,
         headers: Record<string, string> = {},
         body = "",
-    ): Promise<Called> {
+    ): Promise<Answer> {
         return new Promise((resolve, reject) => {
             const sent = request({
                 host: "127.0.0.1",
@@ -128,7 +128,7 @@
     }
 
     /** Waits until `probe` gives a value; the test's own time limit is the only one. */
-    async function until<T>(probe: () => Promise<T | undefined> | T | undefined): Promise<T> {
+    async function waitFor<T>(probe: () => Promise<T | undefined> | T | undefined): Promise<T> {
         for (;;) {
             const value = await probe();
             if (value !== undefined) {
@@ -141,14 +141,14 @@
     return {
         store,
         lines,
-        broken,
+        broken: violations,
         startGatewayAt,
         startRunnerAt,
         addSampler,
         call,
         callInternal,
         metricsOf: (name: string): Promise<string> => contexts.get(name)!.metrics.render(),
-        until,
+        until: waitFor,
         close: () => closers.forEach(close => close()),
     };
 }
--- a/packages/daemon/src/testing/createProcessBed.ts
+++ b/packages/daemon/src/testing/createProcessBed.ts
@@ -9,15 +9,15 @@
 import { join } from "node:path";
 import { createInterface } from "node:readline";
 import { fileURLToPath } from "node:url";
+import type { ExternalFakes } from "../ExternalFakes.js";
 import type { ProcessContext } from "../ProcessContext.js";
-import type { StandIns } from "../StandIns.js";
-import { startStandIns } from "../startStandIns.js";
+import { startExternalFakes } from "../startExternalFakes.js";
 
 const binary = fileURLToPath(new URL("../../dist/auburnarchd.js", import.meta.url));
 const token = "a token of the process tests, long enough";
 /** A process that is still there after this is ended, whatever became of its test. */
-const lifetimeMs = 240_000;
-const place = "Lugo" as FailureDomain;
+const maxLifetimeMs = 240_000;
+const bedFailureDomain = "Lugo" as FailureDomain;
 
 interface BedProcess {
     name: string;
@@ -28,7 +28,7 @@
 }
 
 interface ProcessBed {
-    standIns: StandIns;
+    externalFakes: ExternalFakes;
     operatorToken: string;
     startEntry(name: string): Promise<BedProcess>;
     startSidecar(sampler: SamplerManifest): Promise<BedProcess>;
@@ -39,7 +39,7 @@
 /** Real processes of the system on loopback, with the stand-ins in the test's own process. */
 export async function createProcessBed(manifest: Manifest, context: ProcessContext): Promise<ProcessBed> {
     const folder = await mkdtemp(join(tmpdir(), "auburnarch-bed-"));
-    const standIns = await startStandIns(
+    const externalFakes = await startExternalFakes(
         { manifest, region: "norte", entries: 0, tokensPerSecond: 200, swapMs: 50, plainLatencyMs: 5 },
         context,
     );
@@ -51,13 +51,13 @@
         const settings = {
             name,
             vm: `vm-${name}`,
-            failureDomain: place,
+            failureDomain: bedFailureDomain,
             region: "norte",
             listenHost: "127.0.0.1",
             listenPort: 0,
-            objectApiUrl: standIns.objectApiUrl,
-            vmListUrl: standIns.vmListUrl,
-            weightStoreUrl: standIns.weightStoreUrl,
+            objectApiUrl: externalFakes.objectApiUrl,
+            vmListUrl: externalFakes.vmListUrl,
+            weightStoreUrl: externalFakes.weightStoreUrl,
             clusterToken: token,
             leaseTtlMs: 2_000,
             shutdownDeadlineMs: 20_000,
@@ -69,7 +69,7 @@
         const child = spawn(process.execPath, [binary, "run", "--settings", path], {
             stdio: ["ignore", "ignore", "pipe"],
         });
-        const kill = setTimeout(() => child.kill("SIGKILL"), lifetimeMs);
+        const kill = setTimeout(() => child.kill("SIGKILL"), maxLifetimeMs);
         const ended = new Promise<number | string>(resolve =>
             child.once("exit", (code, signal) => {
                 clearTimeout(kill);
@@ -83,21 +83,21 @@
     }
 
     return {
-        standIns,
+        externalFakes,
         operatorToken: token,
         startEntry: async name => {
             const entry = await start(name, {
                 role: "entry",
-                scoringUrl: standIns.scoringUrl,
+                scoringUrl: externalFakes.scoringUrl,
                 cursorKey: token,
                 operatorToken: token,
                 manifestPath,
             });
             const { address } = entry;
-            standIns.addVm({
+            externalFakes.addVm({
                 vm: `vm-${name}` as VmId,
                 address,
-                failureDomain: place,
+                failureDomain: bedFailureDomain,
                 region: "norte" as Region,
                 role: "entry",
                 sampler: undefined,
@@ -110,13 +110,13 @@
                 role: "sidecar",
                 sampler,
                 service,
-                engineUrl: standIns.engineUrls.get(sampler),
-                backendUrl: standIns.backendUrls.get(sampler),
+                engineUrl: externalFakes.engineUrls.get(sampler),
+                backendUrl: externalFakes.backendUrls.get(sampler),
             }),
         close: async () => {
             processes.forEach(({ child }) => child.kill("SIGKILL"));
             await Promise.all(processes.map(each => each.ended));
-            await standIns.close();
+            await externalFakes.close();
             await rm(folder, { recursive: true, force: true });
         },
     };
--- a/packages/daemon/src/usage.test.ts
+++ b/packages/daemon/src/usage.test.ts
@@ -1,4 +1,4 @@
-import { encodeStandInConfiguration } from "@auburnarch/platform/testing/encodeStandInConfiguration";
+import { encodeTestConfiguration } from "@auburnarch/platform/testing/encodeTestConfiguration";
 import { serveUsageReports } from "@auburnarch/platform/testing/serveUsageReports";
 import { expect, test } from "vitest";
 import { createPlatformBed } from "./testing/createPlatformBed.js";
@@ -6,7 +6,7 @@
 const windowMs = 1_000;
 const key = "key-of-hule";
 
-const config = encodeStandInConfiguration({
+const config = encodeTestConfiguration({
     version: 3,
     models: [],
     extraRoutes: [],
--- a/packages/daemon/src/watchState.ts
+++ b/packages/daemon/src/watchState.ts
@@ -1,7 +1,7 @@
 import type { Sidecar } from "@auburnarch/sidecar/Sidecar";
 import type { Clock } from "@auburnarch/types/Clock";
 
-const everyMs = 250;
+const pollIntervalMs = 250;
 
 /**
  * Calls `onChange` soon after a gate's state, or what its engine serves, has changed: entries that heard of it only
@@ -18,7 +18,7 @@
     async function watch(): Promise<void> {
         let before = describe();
         while (!stopped.signal.aborted) {
-            await clock.sleep(everyMs, stopped.signal);
+            await clock.sleep(pollIntervalMs, stopped.signal);
             const now = describe();
             if (now !== before) {
                 before = now;
--- a/packages/discovery/src/KnownSampler.ts
+++ b/packages/discovery/src/RegisteredSampler.ts
@@ -5,7 +5,7 @@
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
 /** A sampler as it registered itself. */
-export interface KnownSampler {
+export interface RegisteredSampler {
     /** Names one start of the sampler, so that what is kept by it never passes to the next start. */
     incarnation: IncarnationId;
     /** The name under which it registered and by which it checks what is sent to it; a next start may have the same. */
--- a/packages/discovery/src/createRoutingView.ts
+++ b/packages/discovery/src/createRoutingView.ts
@@ -8,9 +8,9 @@
  * requests were already served by; a lower version is therefore logged and left.
  */
 export function createRoutingView(tables: WatchedKind<RoutingTable>, logger: Logger): RoutingView {
-    let inForce: RoutingTable | undefined;
+    let active: RoutingTable | undefined;
 
-    function logLeftOut({ version, faults, services }: RoutingTable): void {
+    function logIgnoredParts({ version, faults, services }: RoutingTable): void {
         for (const { field, fault } of faults) {
             logger.warn("configPartLeftOut", { version, field, fault });
         }
@@ -23,16 +23,16 @@
 
     function refresh(): void {
         for (const table of tables.objects()?.values() ?? []) {
-            const version = inForce?.version ?? -1;
+            const version = active?.version ?? -1;
             if (table.version > version) {
                 logger.info("configInForce", {
                     version: table.version,
-                    before: inForce?.version,
+                    before: active?.version,
                     routes: table.routes.length,
                     teamKeys: table.teams?.size,
                 });
-                inForce = table;
-                logLeftOut(table);
+                active = table;
+                logIgnoredParts(table);
             }
             else if (table.version < version) {
                 logger.warn("configOlderIgnored", { version: table.version, inForce: version });
@@ -42,5 +42,5 @@
 
     refresh();
     tables.onChange(refresh);
-    return () => inForce;
+    return () => active;
 }
--- a/packages/discovery/src/createSamplerDirectory.ts
+++ b/packages/discovery/src/createSamplerDirectory.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { KnownSampler } from "./KnownSampler.js";
+import type { RegisteredSampler } from "./RegisteredSampler.js";
 import type { SamplerDirectory } from "./SamplerDirectory.js";
 import type { WatchedKind } from "./WatchedKind.js";
 
@@ -10,16 +10,16 @@
  * two seconds of its end. A sampler whose entry vanished in an outage is therefore kept until this long after it; half a
  * second is for its next entry to be read here.
  */
-const returnGraceMs = 2_500;
+const reregistrationGraceMs = 2_500;
 
 /** Names whose latest start is remembered; those seen last stay. */
 const maxNames = 8_192;
 
-const servedText = ({ served }: KnownSampler): string =>
+const formatServed = ({ served }: RegisteredSampler): string =>
     served.map(each => `${each.policy}:${each.version}`).join(",");
 
 interface SamplerDirectoryDeps {
-    entries: WatchedKind<KnownSampler>;
+    entries: WatchedKind<RegisteredSampler>;
     /** Milliseconds since the latest outage of the store, or 0 while it lasts; infinite if none is known. */
     sinceOutageMs: () => number;
     clock: Clock;
@@ -29,73 +29,73 @@
 /** Makes the directory over the copy of the samplers' entries. */
 export function createSamplerDirectory(deps: SamplerDirectoryDeps): SamplerDirectory {
     const { entries, sinceOutageMs, clock, logger } = deps;
-    let known = new Map<string, KnownSampler>();
+    let known = new Map<string, RegisteredSampler>();
     /** The same by start; looked up at each event of a run. */
-    let byStart = new Map<IncarnationId, KnownSampler>();
+    let byIncarnation = new Map<IncarnationId, RegisteredSampler>();
     /** Latest start seen under each name. */
-    const latestBorn = new Map<string, number>();
-    const lapsed = new Map<string, { sampler: KnownSampler; untilMs: number; }>();
+    const latestStartMs = new Map<string, number>();
+    const retained = new Map<string, { sampler: RegisteredSampler; untilMs: number; }>();
 
     /** The next outage may begin before a sampler could register. */
-    function extendLapsed(): void {
+    function extendRetention(): void {
         const outageAtMs = clock.monotonicMs() - sinceOutageMs();
-        for (const entry of lapsed.values()) {
+        for (const entry of retained.values()) {
             if (outageAtMs <= entry.untilMs) {
-                entry.untilMs = outageAtMs + returnGraceMs;
+                entry.untilMs = outageAtMs + reregistrationGraceMs;
             }
         }
     }
 
     function refresh(): void {
         const nowMs = clock.monotonicMs();
-        const graceUntilMs = nowMs - sinceOutageMs() + returnGraceMs;
-        extendLapsed();
+        const graceUntilMs = nowMs - sinceOutageMs() + reregistrationGraceMs;
+        extendRetention();
         const listed = new Map(
-            [...entries.objects() ?? []].map(([name, entry]) => [name, newest(name, entry)]),
+            [...entries.objects() ?? []].map(([name, entry]) => [name, resolveEntry(name, entry)]),
         );
         for (const [name, sampler] of known) {
             if (!listed.has(name) && nowMs < graceUntilMs && !sampler.isDraining) {
-                lapsed.set(name, { sampler, untilMs: graceUntilMs });
+                retained.set(name, { sampler, untilMs: graceUntilMs });
             }
         }
-        for (const [name, entry] of lapsed) {
+        for (const [name, entry] of retained) {
             if (listed.has(name) || entry.untilMs <= nowMs) {
-                lapsed.delete(name);
+                retained.delete(name);
             }
         }
         logChanges(listed, nowMs);
         known = listed;
-        byStart = new Map([...known.values()].map(sampler => [sampler.incarnation, sampler]));
+        byIncarnation = new Map([...known.values()].map(sampler => [sampler.incarnation, sampler]));
     }
 
     /**
      * What an earlier start said of itself may be written after the later one has registered. Taken for the present it
      * would bring back weights that are gone, or a drain that is over; the later start is known to hold.
      */
-    function newest(name: string, entry: KnownSampler): KnownSampler {
+    function resolveEntry(name: string, entry: RegisteredSampler): RegisteredSampler {
         const { bornAtMs } = entry;
         const before = known.get(name);
         if (bornAtMs === undefined) {
             return entry;
         }
-        if (bornAtMs < (latestBorn.get(name) ?? bornAtMs)) {
+        if (bornAtMs < (latestStartMs.get(name) ?? bornAtMs)) {
             logger.warn("samplerEarlierStartIgnored", { sampler: name, bornAtMs });
             return before ?? { ...entry, isDraining: true };
         }
-        latestBorn.delete(name);
-        latestBorn.set(name, bornAtMs);
-        if (latestBorn.size > maxNames) {
-            latestBorn.delete(latestBorn.keys().next().value!);
+        latestStartMs.delete(name);
+        latestStartMs.set(name, bornAtMs);
+        if (latestStartMs.size > maxNames) {
+            latestStartMs.delete(latestStartMs.keys().next().value!);
         }
         return entry;
     }
 
-    function logChanges(listed: Map<string, KnownSampler>, nowMs: number): void {
+    function logChanges(listed: Map<string, RegisteredSampler>, nowMs: number): void {
         for (const [name, sampler] of listed) {
             const before = known.get(name);
             if (
                 before?.incarnation !== sampler.incarnation || before.isDraining !== sampler.isDraining
-                || servedText(before) !== servedText(sampler)
+                || formatServed(before) !== formatServed(sampler)
             ) {
                 logger.info("samplerSeen", {
                     sampler: name,
@@ -103,7 +103,7 @@
                     service: sampler.service,
                     address: `${sampler.host}:${sampler.port}`,
                     draining: sampler.isDraining,
-                    serves: servedText(sampler),
+                    serves: formatServed(sampler),
                 });
             }
         }
@@ -111,17 +111,17 @@
             if (!listed.has(name)) {
                 logger.info("samplerGone", {
                     sampler: name,
-                    keptForMs: Math.round((lapsed.get(name)?.untilMs ?? nowMs) - nowMs),
+                    keptForMs: Math.round((retained.get(name)?.untilMs ?? nowMs) - nowMs),
                 });
             }
         }
     }
 
-    function* everyOne(): Iterable<KnownSampler> {
+    function* allSamplers(): Iterable<RegisteredSampler> {
         yield* known.values();
-        extendLapsed();
+        extendRetention();
         const nowMs = clock.monotonicMs();
-        for (const { sampler, untilMs } of lapsed.values()) {
+        for (const { sampler, untilMs } of retained.values()) {
             if (nowMs < untilMs) {
                 yield sampler;
             }
@@ -132,12 +132,12 @@
     entries.onChange(refresh);
     return {
         isKnown: () => entries.objects() !== undefined,
-        serving: service => [...everyOne()].filter(each => each.service === service && !each.isDraining),
+        serving: service => [...allSamplers()].filter(each => each.service === service && !each.isDraining),
         find: (incarnation: IncarnationId) => {
-            const found = byStart.get(incarnation);
-            return found ?? [...everyOne()].find(each => each.incarnation === incarnation);
+            const found = byIncarnation.get(incarnation);
+            return found ?? [...allSamplers()].find(each => each.incarnation === incarnation);
         },
-        isListed: incarnation => byStart.has(incarnation),
+        isListed: incarnation => byIncarnation.has(incarnation),
         ageMs: entries.ageMs,
     };
 }
--- a/packages/discovery/src/discovery.test.ts
+++ b/packages/discovery/src/discovery.test.ts
@@ -13,15 +13,16 @@
 import { expect, test } from "vitest";
 import { createRoutingView } from "./createRoutingView.js";
 import { createSamplerDirectory } from "./createSamplerDirectory.js";
-import type { KnownSampler } from "./KnownSampler.js";
+import type { RegisteredSampler } from "./RegisteredSampler.js";
 import type { SamplerDirectory } from "./SamplerDirectory.js";
 import { createTestSampler } from "./testing/createTestSampler.js";
 import type { WatchedKind } from "./WatchedKind.js";
 import { watchKind } from "./watchKind.js";
 
-const absent = 0 as ObjectVersion;
+const absentVersion = 0 as ObjectVersion;
 const service = "tiles" as ServiceId;
-const entryOf = (name: string, isDraining = false): KnownSampler => createTestSampler(name, { isDraining });
+const entryOf = (name: string, isDraining = false): RegisteredSampler =>
+    createTestSampler(name, { isDraining });
 
 function createFixture(historyChanges?: number) {
     const clock = createFakeClock();
@@ -32,15 +33,15 @@
         historyChanges,
     });
     const lines: string[] = [];
-    const note = (event: string, _fields?: LogFields): void => void lines.push(event);
-    const logger: Logger = { info: note, warn: note, error: note, child: () => logger };
+    const recordEvent = (event: string, _fields?: LogFields): void => void lines.push(event);
+    const logger: Logger = { info: recordEvent, warn: recordEvent, error: recordEvent, child: () => logger };
     const settle = async <T>(call: Promise<T>): Promise<T> => {
         await clock.advance(20);
         return call;
     };
     const put = async (key: string, value: unknown): Promise<void> => {
         const current = await settle(store.read(key));
-        await settle(store.write(key, value, current?.version ?? absent));
+        await settle(store.write(key, value, current?.version ?? absentVersion));
     };
     const remove = async (key: string): Promise<void> => {
         const current = await settle(store.read(key));
@@ -48,21 +49,21 @@
     };
     const watched = { store, clock, logger };
     /** When the store was last away, by the word of others. */
-    const away = { atMs: -Infinity };
-    const directoryOf = (entries: WatchedKind<KnownSampler>): SamplerDirectory =>
+    const lastOutage = { atMs: -Infinity };
+    const directoryOf = (entries: WatchedKind<RegisteredSampler>): SamplerDirectory =>
         createSamplerDirectory({
             entries,
-            sinceOutageMs: () => clock.monotonicMs() - away.atMs,
+            sinceOutageMs: () => clock.monotonicMs() - lastOutage.atMs,
             clock,
             logger,
         });
     const samplers = () =>
-        watchKind<KnownSampler>({
+        watchKind<RegisteredSampler>({
             ...watched,
             kind: "servers",
-            decode: (_name, value) => value as KnownSampler,
+            decode: (_name, value) => value as RegisteredSampler,
         });
-    return { clock, control, lines, logger, put, remove, watched, samplers, away, directoryOf };
+    return { clock, control, lines, logger, put, remove, watched, samplers, away: lastOutage, directoryOf };
 }
 
 test("a copy follows changes, through an outage and through lost history", async () => {
@@ -205,7 +206,7 @@
 
 test("a sampler that starts again under its name is another one, and what its earlier start says late changes nothing", async () => {
     const { clock, lines, put, samplers, directoryOf } = createFixture();
-    const startOf = (bornAtMs: number, isDraining = false): KnownSampler => ({
+    const startOf = (bornAtMs: number, isDraining = false): RegisteredSampler => ({
         ...entryOf("a", isDraining),
         incarnation: `a@${bornAtMs}` as IncarnationId,
         bornAtMs,
--- a/packages/discovery/src/followPrefix.ts
+++ b/packages/discovery/src/followPrefix.ts
@@ -63,7 +63,7 @@
         return found.changes.length > 0;
     }
 
-    async function round(): Promise<void> {
+    async function followOnce(): Promise<void> {
         try {
             const isChanged = revision === undefined || isListDue
                 ? await listOnce().then(() => true)
@@ -81,7 +81,7 @@
 
     async function run(): Promise<void> {
         while (!stopped.signal.aborted) {
-            await round();
+            await followOnce();
         }
     }
 
--- a/packages/discovery/src/testing/createTestDirectory.ts
+++ b/packages/discovery/src/testing/createTestDirectory.ts
@@ -1,8 +1,8 @@
-import type { KnownSampler } from "../KnownSampler.js";
+import type { RegisteredSampler } from "../RegisteredSampler.js";
 import type { SamplerDirectory } from "../SamplerDirectory.js";
 
 /** A directory in which these samplers stand for every service. */
-export function createTestDirectory(samplers: KnownSampler[]): SamplerDirectory {
+export function createTestDirectory(samplers: RegisteredSampler[]): SamplerDirectory {
     const find: SamplerDirectory["find"] = incarnation =>
         samplers.find(sampler => sampler.incarnation === incarnation);
     return {
--- a/packages/discovery/src/testing/createTestSampler.ts
+++ b/packages/discovery/src/testing/createTestSampler.ts
@@ -1,10 +1,13 @@
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { ServiceId } from "@auburnarch/types/ServiceId";
-import type { KnownSampler } from "../KnownSampler.js";
+import type { RegisteredSampler } from "../RegisteredSampler.js";
 
 /** A plain sampler of the service `tiles` that takes work, but for what `over` says. */
-export function createTestSampler(name: string, over: Partial<KnownSampler> = {}): KnownSampler {
+export function createTestSampler(
+    name: string,
+    overrides: Partial<RegisteredSampler> = {},
+): RegisteredSampler {
     return {
         incarnation: name as IncarnationId,
         instance: name,
@@ -16,6 +19,6 @@
         maxBatch: 4,
         isDraining: false,
         served: [],
-        ...over,
+        ...overrides,
     };
 }
--- a/packages/discovery/src/watchKind.ts
+++ b/packages/discovery/src/watchKind.ts
@@ -36,7 +36,7 @@
     const prefix = `${kind}/`;
     const objects = new Map<string, T>();
     /** Objects that stand there and are none of ours to understand, by name. */
-    const notUnderstood = new Map<string, ObjectVersion>();
+    const undecodable = new Map<string, ObjectVersion>();
     const listeners = new Set<() => void>();
     let isStopped = false;
     let revision: ObjectVersion | undefined;
@@ -44,47 +44,45 @@
     let isReachable = true;
 
     /** Once a revision: a list that comes again says nothing new of what still stands there. */
-    function noteNotUnderstood(name: string, version: ObjectVersion): void {
-        if (notUnderstood.get(name) !== version) {
-            notUnderstood.set(name, version);
+    function recordUndecodable(name: string, version: ObjectVersion): void {
+        if (undecodable.get(name) !== version) {
+            undecodable.set(name, version);
             logger.warn("objectNotUnderstood", { kind, object: name, revision: version });
         }
     }
 
-    function take({ key, version, value }: StoredChange): void {
+    function applyChange({ key, version, value }: StoredChange): void {
         const name = key.slice(prefix.length);
         const decoded = value === undefined ? undefined : decode(name, value);
         if (decoded !== undefined) {
             objects.set(name, decoded);
-            notUnderstood.delete(name);
+            undecodable.delete(name);
             return;
         }
         objects.delete(name);
         if (value === undefined) {
-            notUnderstood.delete(name);
+            undecodable.delete(name);
         }
         else {
-            noteNotUnderstood(name, version);
+            recordUndecodable(name, version);
         }
     }
 
     function replaceAll(found: StoredChange[]): void {
         objects.clear();
         const present = new Set(found.map(object => object.key.slice(prefix.length)));
-        [...notUnderstood.keys()].filter(name => !present.has(name)).forEach(name =>
-            notUnderstood.delete(name)
-        );
-        found.forEach(take);
+        [...undecodable.keys()].filter(name => !present.has(name)).forEach(name => undecodable.delete(name));
+        found.forEach(applyChange);
     }
 
-    function noteReached(): void {
+    function recordReachable(): void {
         if (!isReachable) {
             isReachable = true;
             logger.info("storeRegained", { kind, revision });
         }
     }
 
-    function noteFailed(error: unknown): void {
+    function recordFailure(error: unknown): void {
         if (isReachable) {
             isReachable = false;
             const { number, name } = codeOf(error);
@@ -97,13 +95,13 @@
         }
     }
 
-    function noteAnswer(at: ObjectVersion, sentAtMs: number): void {
-        noteReached();
+    function recordAnswer(at: ObjectVersion, sentAtMs: number): void {
+        recordReachable();
         revision = at;
         confirmedAtMs = sentAtMs;
     }
 
-    function tellListeners(): void {
+    function notifyListeners(): void {
         if (!isStopped) {
             listeners.forEach(listener => listener());
         }
@@ -116,19 +114,19 @@
         waitMs,
         gatherMs,
         onListed: (found, at, sentAtMs) => {
-            noteAnswer(at, sentAtMs);
+            recordAnswer(at, sentAtMs);
             replaceAll(found);
             logger.info("kindListed", { kind, objects: objects.size, revision });
-            tellListeners();
+            notifyListeners();
         },
         onChanged: (changes, at, sentAtMs) => {
-            noteAnswer(at, sentAtMs);
-            changes.forEach(take);
+            recordAnswer(at, sentAtMs);
+            changes.forEach(applyChange);
             if (changes.length > 0) {
-                tellListeners();
+                notifyListeners();
             }
         },
-        onFailed: noteFailed,
+        onFailed: recordFailure,
     });
     return {
         objects: () => revision === undefined ? undefined : objects,
--- a/packages/dispatch/src/DispatchPolicy.ts
+++ b/packages/dispatch/src/DispatchPolicy.ts
@@ -1,4 +1,4 @@
-import type { WorkOrder } from "@auburnarch/queue/WorkOrder";
+import type { SampleOrdering } from "@auburnarch/queue/SampleOrdering";
 import type { SamplerPicker } from "@auburnarch/selection/SamplerPicker";
 import type { HoldRule } from "./HoldRule.js";
 import type { LengthModel } from "./LengthModel.js";
@@ -12,7 +12,7 @@
 export interface DispatchPolicy {
     name: string;
     /** Order of the waiting samples. */
-    order: WorkOrder;
+    order: SampleOrdering;
     /** Chooses the sampler for a sample. */
     pick: SamplerPicker;
     /** Which samples wait although a sampler has room. */
--- a/packages/dispatch/src/DispatcherDeps.ts
+++ b/packages/dispatch/src/DispatcherDeps.ts
@@ -1,10 +1,10 @@
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 import type { LimitsManifest } from "@auburnarch/types/LimitsManifest";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { Random } from "@auburnarch/types/Random";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SamplerView } from "@auburnarch/types/SamplerView";
@@ -24,7 +24,7 @@
     sidecar: (sampler: SamplerId) => SidecarPort;
     /** False while the owner may not act, such as after its lease was lost: nothing is sent then. */
     mayAct: () => boolean;
-    onSampleGenerated: (generated: MadeSample) => void;
+    onSampleGenerated: (generated: GeneratedSample) => void;
     /** Takes one retry from the budget, false if it is used up; by default a budget of this dispatcher alone. */
     takeRetry?: () => boolean;
     /**
--- a/packages/dispatch/src/createDispatcher.test.ts
+++ b/packages/dispatch/src/createDispatcher.test.ts
@@ -4,9 +4,9 @@
 import { createLogger } from "@auburnarch/log/createLogger";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 import type { LimitsManifest } from "@auburnarch/types/LimitsManifest";
-import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { SampleAnswer } from "@auburnarch/types/SampleAnswer";
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
 import type { SamplerView } from "@auburnarch/types/SamplerView";
@@ -75,7 +75,7 @@
 function start(views: SamplerView[], mayAct = (): boolean => true) {
     const clock = createFakeClock();
     const calls: Call[] = [];
-    const made: MadeSample[] = [];
+    const made: GeneratedSample[] = [];
     const lines: string[] = [];
     const sidecarOf = (sampler: string): SidecarPort => ({
         runSample: (attempt, onSpan, signal) =>
--- a/packages/dispatch/src/createDispatcher.ts
+++ b/packages/dispatch/src/createDispatcher.ts
@@ -105,7 +105,7 @@
         for (const work of state.queue.all()) {
             updateEstimates(state, work, oldest, nowMs);
         }
-        state.queue.resort();
+        state.queue.invalidateOrder();
     }
 
     function tick(): void {
--- a/packages/dispatch/src/rules.test.ts
+++ b/packages/dispatch/src/rules.test.ts
@@ -170,7 +170,7 @@
     }
     expect([seen, queue.size()]).toEqual([[10, 30], 3]);
     paused.latestStartMs = 40;
-    queue.resort();
+    queue.invalidateOrder();
     expect([...queue.due(1_000)].map(work => work.latestStartMs)).toEqual([10, 30, 40]);
 });
 
--- a/packages/entry/src/EntryDeps.ts
+++ b/packages/entry/src/EntryDeps.ts
@@ -3,7 +3,7 @@
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { EntryRecord } from "@auburnarch/types/EntryRecord";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { Random } from "@auburnarch/types/Random";
@@ -27,7 +27,7 @@
     store: ObjectStore;
     vmList: VmList;
     scoring: ScoringPort;
-    groupStore: GroupKeep | undefined;
+    groupStore: GroupStore | undefined;
     cursorKey: string;
     /** Addresses of the entries to contact first. */
     seeds: string[];
--- a/packages/entry/src/createAdmission.ts
+++ b/packages/entry/src/createAdmission.ts
@@ -1,7 +1,7 @@
 import { createQuarantine } from "@auburnarch/admission/createQuarantine";
 import { createTeamLimit } from "@auburnarch/admission/createTeamLimit";
 import type { Quarantine } from "@auburnarch/admission/Quarantine";
-import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
+import { createLeaseManager } from "@auburnarch/lease/createLeaseManager";
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
@@ -63,7 +63,7 @@
         maxPerTeam: () => fleet.manifest()?.manifest.limits.maxQueuedPerTeam ?? defaultMaxQueued,
     });
     const rangeTtlMs = Math.max(minRangeTtlMs, deps.leaseTtlMs);
-    const rangeLeases = createLeaseKeeper({
+    const rangeLeases = createLeaseManager({
         store,
         clock,
         random: random.fork(),
--- a/packages/entry/src/createForwardPlain.ts
+++ b/packages/entry/src/createForwardPlain.ts
@@ -2,9 +2,9 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { exchangeHttp } from "@auburnarch/transport/exchangeHttp";
 import { parseAddress } from "@auburnarch/transport/parseAddress";
-import { passHeaders } from "@auburnarch/transport/passHeaders";
-import { readWhole } from "@auburnarch/transport/readWhole";
-import { writeHeaders } from "@auburnarch/transport/writeHeaders";
+import { readFullBody } from "@auburnarch/transport/readFullBody";
+import { toForwardedHeaders } from "@auburnarch/transport/toForwardedHeaders";
+import { toNodeHeaders } from "@auburnarch/transport/toNodeHeaders";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
@@ -36,7 +36,7 @@
 
     function headersOf(request: CallerRequest): Record<string, string | string[]> {
         const headers: Record<string, string | string[]> = {
-            ...writeHeaders(request.headers),
+            ...toNodeHeaders(request.headers),
             authorization: `Bearer ${clusterToken}`,
             [forwardHeaders.forwarded]: "1",
             [forwardHeaders.team]: request.team,
@@ -56,7 +56,7 @@
     async function readRefusal(body: AsyncIterable<Uint8Array>): Promise<AttemptOutcome<PlainAnswer>> {
         const unknownOutcome = { kind: "unknown", code: resultCodes.connectionBroken } as const;
         try {
-            const refusal = JSON.parse((await readWhole(body, maxRefusalBytes)).toString()) as Refusal;
+            const refusal = JSON.parse((await readFullBody(body, maxRefusalBytes)).toString()) as Refusal;
             const code = codeByNumber(refusal.code);
             if (code === resultCodes.internal) {
                 return unknownOutcome;
@@ -93,7 +93,7 @@
         if (exchange.headers[forwardHeaders.outcome] !== "ran") {
             return readRefusal(exchange.body);
         }
-        const headers = passHeaders(exchange.headers);
+        const headers = toForwardedHeaders(exchange.headers);
         return { kind: "ran", answer: { status: exchange.status, headers, body: exchange.body } };
     };
 }
--- a/packages/entry/src/createGroupStoreMethods.ts
+++ b/packages/entry/src/createGroupStoreMethods.ts
@@ -1,6 +1,6 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import { z } from "zod";
 
 const stepFields = { job: z.string().min(1).max(512), step: z.int().nonnegative() };
@@ -15,7 +15,7 @@
 
 /** Creates the methods that give other entries access to this entry's data folder; none if it has no data folder. */
 export function createGroupStoreMethods(
-    local: GroupKeep | undefined,
+    local: GroupStore | undefined,
 ): Record<string, (params: unknown) => unknown> {
     if (local === undefined) {
         return {};
--- a/packages/entry/src/createLeaseScan.ts
+++ b/packages/entry/src/createLeaseScan.ts
@@ -1,4 +1,4 @@
-import type { LeaseKeeper } from "@auburnarch/lease/LeaseKeeper";
+import type { LeaseManager } from "@auburnarch/lease/LeaseManager";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 
 /** From this number of leases, one list call costs less than reading each lease. */
@@ -6,7 +6,7 @@
 
 interface LeaseScanDeps {
     store: Pick<ObjectStore, "list">;
-    leases: Pick<LeaseKeeper, "observe" | "lastSeen">;
+    leases: Pick<LeaseManager, "observe" | "lastObserved">;
     /** Common prefix of the keys. */
     prefix: string;
     ttlMs: number;
@@ -27,7 +27,7 @@
         const existingKeys = new Set(objects.map(object => object.key));
         objects.forEach(leases.observe);
         return keys.filter(key => {
-            const seen = leases.lastSeen(key);
+            const seen = leases.lastObserved(key);
             return !existingKeys.has(key) || seen?.holder === undefined || seen.unchangedMs >= ttlMs;
         });
     };
--- a/packages/entry/src/createOwnership.ts
+++ b/packages/entry/src/createOwnership.ts
@@ -1,4 +1,4 @@
-import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
+import { createLeaseManager } from "@auburnarch/lease/createLeaseManager";
 import { createOwner } from "@auburnarch/ownership/createOwner";
 import type { Owner } from "@auburnarch/ownership/Owner";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
@@ -28,7 +28,7 @@
 ): Ownership {
     const { self, clock, random, guards } = deps;
     const { views, documentSync } = fleet;
-    const leases = createLeaseKeeper({
+    const leases = createLeaseManager({
         store,
         clock,
         random: random.fork(),
--- a/packages/entry/src/createPeerHandler.ts
+++ b/packages/entry/src/createPeerHandler.ts
@@ -1,6 +1,6 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import type { JobId } from "@auburnarch/types/JobId";
 import type { OperatorMember } from "@auburnarch/types/OperatorMember";
 import type { TeamId } from "@auburnarch/types/TeamId";
@@ -36,7 +36,7 @@
     jobs: JobOwnership;
     handleTrainerCall: (team: TeamId, call: TrainerCall, forwarded: boolean) => Promise<unknown>;
     describeHere: () => OperatorMember[];
-    groupStore: GroupKeep | undefined;
+    groupStore: GroupStore | undefined;
 }
 
 function parse<T>(schema: z.ZodType<T>, params: unknown): T {
--- a/packages/entry/src/createReplicatedGroupStore.test.ts
+++ b/packages/entry/src/createReplicatedGroupStore.test.ts
@@ -1,13 +1,13 @@
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import { expect, test } from "vitest";
 import { createGroupStoreMethods } from "./createGroupStoreMethods.js";
 import { createReplicatedGroupStore } from "./createReplicatedGroupStore.js";
 import type { GroupStoreHost } from "./GroupStoreHost.js";
 import { createTestBench } from "./testing/createTestBench.js";
 
-type StoredGroup = Parameters<GroupKeep["save"]>[0];
+type StoredGroup = Parameters<GroupStore["save"]>[0];
 
-function createMemoryGroupStore(): GroupKeep {
+function createMemoryGroupStore(): GroupStore {
     let records: StoredGroup[] = [];
     return {
         save: async record => void records.push(record),
--- a/packages/entry/src/createReplicatedGroupStore.ts
+++ b/packages/entry/src/createReplicatedGroupStore.ts
@@ -1,11 +1,11 @@
 import { rankByRendezvous } from "@auburnarch/membership/rankByRendezvous";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import type { Logger } from "@auburnarch/types/Logger";
 import { z } from "zod";
 import type { GroupStoreHost } from "./GroupStoreHost.js";
 import type { PeerCall } from "./PeerCall.js";
 
-type StoredGroup = Parameters<GroupKeep["save"]>[0];
+type StoredGroup = Parameters<GroupStore["save"]>[0];
 
 const callTimeoutMs = 2_000;
 /** Copies of each group: one VM with a data folder may fail together with the owner. */
@@ -15,7 +15,7 @@
 
 interface ReplicatedGroupStoreDeps {
     self: string;
-    local: GroupKeep | undefined;
+    local: GroupStore | undefined;
     /** Entries with a data folder that are believed to be alive, including this one if it has a data folder. */
     listHosts: () => GroupStoreHost[];
     callPeer: PeerCall;
@@ -27,7 +27,7 @@
  * takes over does not have to generate them again. A lost copy costs work but never correctness: a failed save is
  * logged and the step continues.
  */
-export function createReplicatedGroupStore(deps: ReplicatedGroupStoreDeps): GroupKeep {
+export function createReplicatedGroupStore(deps: ReplicatedGroupStoreDeps): GroupStore {
     const { self, local, callPeer, logger } = deps;
 
     function selectHosts(job: string, step: number): GroupStoreHost[] {
@@ -41,7 +41,7 @@
         host: GroupStoreHost,
         method: string,
         params: unknown,
-        callLocal: (keep: GroupKeep) => Promise<T>,
+        callLocal: (keep: GroupStore) => Promise<T>,
     ): Promise<unknown> {
         if (host.entry === self) {
             return local === undefined ? Promise.reject(new Error("no data folder")) : callLocal(local);
@@ -64,7 +64,7 @@
         }
     }
 
-    async function loadFrom(host: GroupStoreHost, job: string, step: number): ReturnType<GroupKeep["load"]> {
+    async function loadFrom(host: GroupStoreHost, job: string, step: number): ReturnType<GroupStore["load"]> {
         const loaded = await call(host, "keepLoad", { job, step }, keep => keep.load(job, step)).catch(
             () => [],
         );
@@ -73,9 +73,9 @@
     }
 
     /** Asks every host: the hosts selected when a group was saved may differ from those that would be selected now. */
-    async function load(job: string, step: number): ReturnType<GroupKeep["load"]> {
+    async function load(job: string, step: number): ReturnType<GroupStore["load"]> {
         const loaded = await Promise.all(deps.listHosts().map(host => loadFrom(host, job, step)));
-        const newest = new Map<number, Awaited<ReturnType<GroupKeep["load"]>>[number]>();
+        const newest = new Map<number, Awaited<ReturnType<GroupStore["load"]>>[number]>();
         for (const record of loaded.flat()) {
             const known = newest.get(record.group);
             if (known === undefined || record.fencing > known.fencing) {
--- a/packages/entry/src/serveEntry.test.ts
+++ b/packages/entry/src/serveEntry.test.ts
@@ -1,6 +1,6 @@
 import { rangeCount } from "@auburnarch/admission/rangeCount";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import fc from "fast-check";
 import { connect } from "node:net";
 import { v7 as newKey } from "uuid";
@@ -11,7 +11,7 @@
 
 let entry: Awaited<ReturnType<typeof createServedEntry>>;
 const savedGroups: unknown[] = [];
-const groupStore: GroupKeep = {
+const groupStore: GroupStore = {
     save: async record => void savedGroups.push(record),
     load: async () => [],
     drop: async () => undefined,
--- a/packages/entry/src/testing/createServedEntry.ts
+++ b/packages/entry/src/testing/createServedEntry.ts
@@ -5,7 +5,7 @@
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createLogger } from "@auburnarch/log/createLogger";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import type { PlainRequest } from "@auburnarch/types/PlainRequest";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import { createHash } from "node:crypto";
@@ -68,7 +68,7 @@
 /** Starts a real entry on a real socket, with a plain sampler that records its requests; resolves when it is ready. */
 export async function createServedEntry(
     options: Partial<ServeEntryOptions> = {},
-    groupStore?: GroupKeep,
+    groupStore?: GroupStore,
 ): Promise<ServedEntry> {
     const clock = createSystemClock();
     const random = createRandom(3);
--- a/packages/entry/src/writeAnswer.ts
+++ b/packages/entry/src/writeAnswer.ts
@@ -1,6 +1,6 @@
 import { pipeBody } from "@auburnarch/streams/pipeBody";
 import { responseSink } from "@auburnarch/streams/responseSink";
-import { writeHeaders } from "@auburnarch/transport/writeHeaders";
+import { toNodeHeaders } from "@auburnarch/transport/toNodeHeaders";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
 import type { ServerResponse } from "node:http";
@@ -15,6 +15,6 @@
     response: ServerResponse,
     answer: PlainAnswer,
 ): Promise<void> {
-    const headers = { ...writeHeaders(answer.headers), [forwardHeaders.outcome]: "ran" };
+    const headers = { ...toNodeHeaders(answer.headers), [forwardHeaders.outcome]: "ran" };
     await pipeBody(clock, answer.body, responseSink(response, answer.status, headers));
 }
--- a/packages/fakes/src/FakeEngineControl.ts
+++ b/packages/fakes/src/FakeEngineControl.ts
@@ -11,20 +11,20 @@
     restart(served?: { policy: PolicyId; version: WeightVersion; }[]): void;
     isUp(): boolean;
     /** A request for which `kills` holds crashes the engine `afterMs` after it begins to run. */
-    killOn(kills: (request: EngineRequest) => boolean, afterMs?: number): void;
+    crashOn(isCrashInducing: (request: EngineRequest) => boolean, afterMs?: number): void;
     /** The next load order answers `failed` and leaves the old, the new, or another version. */
     failNextLoad(leaves: "old" | "new" | WeightVersion): void;
     /** Changes the served version behind everyone's back, as a hand at the machine would. */
-    serveSilently(policy: PolicyId, version: WeightVersion): void;
+    setServedVersion(policy: PolicyId, version: WeightVersion): void;
     served(): { policy: PolicyId; version: WeightVersion; }[];
     /** Engine time by attempt; the sum is `busyMs`. */
-    spent(): Map<AttemptId, number>;
+    engineMsByAttempt(): Map<AttemptId, number>;
     busyMs(): number;
     crashes(): number;
     /** Names the present start of the engine. */
     bootId(): string;
     /** How often each attempt began to run. */
-    starts(): Map<AttemptId, number>;
+    startsByAttempt(): Map<AttemptId, number>;
     /** Load orders that took effect, in order. */
     loads(): { policy: PolicyId; version: WeightVersion; fencing: number; }[];
 }
--- a/packages/fakes/src/FakePlainServiceControl.ts
+++ b/packages/fakes/src/FakePlainServiceControl.ts
@@ -14,6 +14,6 @@
     cutBody(count: number): void;
     setLatency(latencyMs: number): void;
     /** A request for which `kills` holds takes the service down after it ran; `restart` brings it back. */
-    killOn(kills: (request: PlainRequest) => boolean): void;
+    crashOn(isCrashInducing: (request: PlainRequest) => boolean): void;
     restart(): void;
 }
--- a/packages/fakes/src/createEngineOrders.ts
+++ b/packages/fakes/src/createEngineOrders.ts
@@ -12,7 +12,7 @@
 type LoadOrder = Extract<EngineOrder, { kind: "load"; }>;
 
 interface EngineOrders {
-    take(order: EngineOrder, boot: string): Promise<EngineOrderResult>;
+    execute(order: EngineOrder, bootId: string): Promise<EngineOrderResult>;
     served(): Served;
     serve(policy: PolicyId, version: WeightVersion): void;
     failNextLoad: FakeEngineControl["failNextLoad"];
@@ -25,7 +25,7 @@
     options: FakeEngineOptions;
     generations: ReturnType<typeof createGenerations>;
     /** Whether the engine is up and still in the boot given. */
-    isBoot: (boot: string) => boolean;
+    isCurrentBoot: (boot: string) => boolean;
 }
 
 const defaultSwapMs = 2_000;
@@ -34,11 +34,11 @@
 export function createEngineOrders(deps: EngineOrdersDeps): EngineOrders {
     const { options, generations } = deps;
     const { swapMs = defaultSwapMs, honoursFencing = true } = options;
-    const highest = new Map<string, number>();
+    const highestFencing = new Map<string, number>();
     const loads: { policy: PolicyId; version: WeightVersion; fencing: number; }[] = [];
     let served = structuredClone(options.served);
     let loading = false;
-    let failure: "old" | "new" | WeightVersion | undefined;
+    let nextLoadFailure: "old" | "new" | WeightVersion | undefined;
 
     function serve(policy: PolicyId, version: WeightVersion): void {
         generations.flush();
@@ -53,7 +53,7 @@
         served = served.filter(entry => entry.policy !== policy);
     }
 
-    async function load(order: LoadOrder, boot: string): Promise<EngineOrderResult> {
+    async function load(order: LoadOrder, bootId: string): Promise<EngineOrderResult> {
         if (loading) {
             return { kind: "failed", detail: "another load is running" };
         }
@@ -61,30 +61,34 @@
         generations.flush();
         generations.setPaused(true);
         await options.clock.sleep(swapMs);
-        if (!deps.isBoot(boot)) {
+        if (!deps.isCurrentBoot(bootId)) {
             throw new ResultError(resultCodes.engineUnreachable);
         }
-        const failed = failure;
-        failure = undefined;
-        const left = failed === undefined || failed === "new" ? order.version : failed;
-        if (left !== "old") {
-            serve(order.policy, left);
-            loads.push({ policy: order.policy, version: left, fencing: order.fencing });
+        const injectedFailure = nextLoadFailure;
+        nextLoadFailure = undefined;
+        const resultingVersion = injectedFailure === undefined || injectedFailure === "new"
+            ? order.version
+            : injectedFailure;
+        if (resultingVersion !== "old") {
+            serve(order.policy, resultingVersion);
+            loads.push({ policy: order.policy, version: resultingVersion, fencing: order.fencing });
         }
         loading = false;
         generations.setPaused(false);
-        return failed === undefined ? { kind: "done" } : { kind: "failed", detail: "load broke off" };
+        return injectedFailure === undefined
+            ? { kind: "done" }
+            : { kind: "failed", detail: "load broke off" };
     }
 
-    async function take(order: EngineOrder, boot: string): Promise<EngineOrderResult> {
+    async function execute(order: EngineOrder, bootId: string): Promise<EngineOrderResult> {
         const scope = order.kind === "setRole" ? "role" : order.policy;
-        const seen = highest.get(scope) ?? 0;
+        const seen = highestFencing.get(scope) ?? 0;
         if (honoursFencing && order.fencing < seen) {
             return { kind: "fenced", highestFencing: seen };
         }
-        highest.set(scope, Math.max(seen, order.fencing));
+        highestFencing.set(scope, Math.max(seen, order.fencing));
         if (order.kind === "load") {
-            return load(order, boot);
+            return load(order, bootId);
         }
         if (order.kind === "unload") {
             unload(order.policy);
@@ -93,17 +97,17 @@
     }
 
     return {
-        take,
+        execute,
         served: () => served,
         serve,
         failNextLoad: leaves => {
-            failure = leaves;
+            nextLoadFailure = leaves;
         },
         loads: () => [...loads],
         reset: next => {
             served = structuredClone(next);
             loading = false;
-            highest.clear();
+            highestFencing.clear();
         },
     };
 }
--- a/packages/fakes/src/createEngineRequests.ts
+++ b/packages/fakes/src/createEngineRequests.ts
@@ -9,7 +9,7 @@
 type EngineRequests = Pick<EnginePort, "generate" | "exportCache" | "importCache"> & {
     cancel(attempt: AttemptId): void;
     /** Forgets what could be exported, as a crash does. */
-    forget(): void;
+    clearExportable(): void;
 };
 
 interface EngineRequestsDeps {
@@ -19,7 +19,7 @@
 
 const maxExportable = 64;
 const cachePrefix = "cacheOf=";
-const unstarted = (reason: EngineFinish["reason"]): EngineFinish => ({
+const unstartedFinish = (reason: EngineFinish["reason"]): EngineFinish => ({
     reason,
     engineMs: 0,
     cachedPromptTokens: 0,
@@ -49,7 +49,7 @@
     const { generations } = deps;
     const exportable = new Set<string>();
 
-    function noteExportable(attempt: AttemptId): void {
+    function recordExportable(attempt: AttemptId): void {
         exportable.add(attempt);
         const [oldest] = exportable;
         if (exportable.size > maxExportable && oldest !== undefined) {
@@ -60,7 +60,7 @@
     function cancel(attempt: AttemptId): void {
         const generation = generations.find(attempt);
         if (generation !== undefined) {
-            noteExportable(attempt);
+            recordExportable(attempt);
             generations.finish(generation, "cancelled");
         }
     }
@@ -71,10 +71,10 @@
         signal: AbortSignal,
     ): Promise<EngineFinish> {
         if (!deps.serves(request.policy)) {
-            return unstarted("rejected");
+            return unstartedFinish("rejected");
         }
         if (signal.aborted) {
-            return unstarted("cancelled");
+            return unstartedFinish("cancelled");
         }
         const onAbort = (): void => cancel(request.attempt);
         signal.addEventListener("abort", onAbort, { once: true });
@@ -89,8 +89,8 @@
         generate,
         cancel,
         exportCache: async attempt => {
-            const isHere = exportable.has(attempt) || generations.find(attempt) !== undefined;
-            return isHere ? `${cachePrefix}${attempt}` : undefined;
+            const isAvailable = exportable.has(attempt) || generations.find(attempt) !== undefined;
+            return isAvailable ? `${cachePrefix}${attempt}` : undefined;
         },
         importCache: async (attempt, cache) => {
             const isCache = cache.startsWith(cachePrefix);
@@ -99,6 +99,6 @@
             }
             return isCache;
         },
-        forget: () => exportable.clear(),
+        clearExportable: () => exportable.clear(),
     };
 }
