--- a/packages/fakes/src/createFakeEngine.test.ts
+++ b/packages/fakes/src/createFakeEngine.test.ts
@@ -13,7 +13,7 @@
 
 const policy = "plume" as PolicyId;
 const served = [{ policy, version: 1 as WeightVersion }];
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 const requestOf = (attempt: string, change: Partial<EngineRequest> = {}): EngineRequest => ({
     attempt: attempt as AttemptId,
@@ -43,12 +43,14 @@
 
 test("the sum of engine time over attempts is the time the engine was busy", async () => {
     const { clock, engine, control } = createFixture({ maxBatch: 3 });
-    const ends = [1, 2, 3, 4, 5].map(n => engine.generate(requestOf(`a${n}`, { seed: n }), () => {}, never));
+    const ends = [1, 2, 3, 4, 5].map(n =>
+        engine.generate(requestOf(`a${n}`, { seed: n }), () => {}, neverAborted)
+    );
     await clock.advance(10_000);
     const finishes = await Promise.all(ends);
     const total = finishes.reduce((sum, finish) => sum + finish.engineMs, 0);
     expect(total).toBeCloseTo(control.busyMs(), 6);
-    expect([...control.spent().values()].reduce((sum, ms) => sum + ms, 0)).toBeCloseTo(total, 6);
+    expect([...control.engineMsByAttempt().values()].reduce((sum, ms) => sum + ms, 0)).toBeCloseTo(total, 6);
     expect(finishes.map(finish => finish.cachedPromptTokens > 0)).toEqual([false, true, true, true, true]);
 });
 
@@ -64,7 +66,7 @@
     const resumeText = chunks.map(chunk => chunk.text).join("");
     expect(resumeTokens).toBeGreaterThan(0);
     const resumed = requestOf("a2", { resumeText, resumeTokens });
-    const second = engine.generate(resumed, chunk => chunks.push(chunk), never);
+    const second = engine.generate(resumed, chunk => chunks.push(chunk), neverAborted);
     await clock.advance(5_000);
     expect((await second).reason).toBe("stop");
     expect(chunks.map(chunk => chunk.text).join("")).toBe(fakeText(resumed.prompt, resumed.seed, 0, 100));
@@ -73,7 +75,7 @@
 test("chunks before and after a swap name their own versions", async () => {
     const { clock, engine } = createFixture({ swapMs: 500 });
     const chunks: EngineChunk[] = [];
-    const end = engine.generate(requestOf("a1"), chunk => chunks.push(chunk), never);
+    const end = engine.generate(requestOf("a1"), chunk => chunks.push(chunk), neverAborted);
     clock.startTimer(300, () => void engine.order(loadOrder(2, 5)));
     await clock.advance(5_000);
     expect((await end).reason).toBe("stop");
@@ -84,7 +86,7 @@
 test("a load that breaks off leaves the version it was told to leave", async () => {
     const { clock, engine, control } = createFixture();
     for (const [leaves, expected] of [["old", 1], ["new", 2], [9 as WeightVersion, 9]] as const) {
-        control.serveSilently(policy, 1 as WeightVersion);
+        control.setServedVersion(policy, 1 as WeightVersion);
         control.failNextLoad(leaves);
         const result = engine.order(loadOrder(2, 5));
         await clock.advance(5_000);
@@ -107,9 +109,9 @@
 test("a killing prompt ends all in flight as crashed, and a restart has another boot id", async () => {
     const { clock, engine, control } = createFixture({ maxBatch: 2 });
     const before = await engine.describe();
-    control.killOn(request => request.prompt === "kill");
+    control.crashOn(request => request.prompt === "kill");
     const ends = ["p", "kill", "q"].map(prompt =>
-        engine.generate(requestOf(prompt, { prompt }), () => {}, never)
+        engine.generate(requestOf(prompt, { prompt }), () => {}, neverAborted)
     );
     await clock.advance(1_000);
     expect((await Promise.all(ends)).map(finish => finish.reason)).toEqual(["crashed", "crashed", "crashed"]);
@@ -123,7 +125,7 @@
     const { clock, engine } = createFixture({ maxBatch: 1 });
     const order: string[] = [];
     for (const [attempt, priority] of [["a", 0], ["b", 1], ["c", 100], ["d", 1]] as const) {
-        void engine.generate(requestOf(attempt, { priority }), () => {}, never).then(() =>
+        void engine.generate(requestOf(attempt, { priority }), () => {}, neverAborted).then(() =>
             order.push(attempt)
         );
     }
--- a/packages/fakes/src/createFakeEngine.ts
+++ b/packages/fakes/src/createFakeEngine.ts
@@ -12,7 +12,7 @@
 import type { FakeEngineOptions } from "./FakeEngineOptions.js";
 import type { Generation } from "./Generation.js";
 
-const defaultKillDelayMs = 50;
+const defaultCrashDelayMs = 50;
 
 /** A continuous-batching engine in memory; see `FakeEngineOptions` for its model and `FakeEngineControl` for its faults. */
 export function createFakeEngine(
@@ -20,11 +20,11 @@
 ): { engine: EnginePort; control: FakeEngineControl; } {
     const { clock, random, restartAfterMs, maxBatch = 16, tokensPerSecond = 100 } = options;
     const statesFingerprint = options.statesFingerprint ?? true;
-    const spent = new Map<AttemptId, number>();
-    const starts = new Map<AttemptId, number>();
+    const endedEngineMs = new Map<AttemptId, number>();
+    const startsByAttempt = new Map<AttemptId, number>();
     const load = createLaggingLoad(clock, options.reportLagMs ?? 0);
-    let kills: (request: EngineRequest) => boolean = () => false;
-    let killDelayMs = defaultKillDelayMs;
+    let isCrashInducing: (request: EngineRequest) => boolean = () => false;
+    let crashDelayMs = defaultCrashDelayMs;
     let bootId = random.nextId();
     let up = true;
     let crashes = 0;
@@ -32,27 +32,27 @@
     const versionOf = (policy: PolicyId): number | undefined =>
         orders.served().find(entry => entry.policy === policy)?.version;
 
-    function noteStart(generation: Generation): void {
+    function recordStart(generation: Generation): void {
         const { attempt } = generation.request;
-        starts.set(attempt, (starts.get(attempt) ?? 0) + 1);
-        if (kills(generation.request)) {
-            const boot = bootId;
-            clock.startTimer(killDelayMs, () => boot === bootId && crash());
+        startsByAttempt.set(attempt, (startsByAttempt.get(attempt) ?? 0) + 1);
+        if (isCrashInducing(generation.request)) {
+            const bootIdAtStart = bootId;
+            clock.startTimer(crashDelayMs, () => bootIdAtStart === bootId && crash());
         }
     }
 
-    const spentBy = (generation: Generation): number =>
-        (spent.get(generation.request.attempt) ?? 0) + (generation.item?.engineMs ?? 0);
+    const engineMsOf = (generation: Generation): number =>
+        (endedEngineMs.get(generation.request.attempt) ?? 0) + (generation.item?.engineMs ?? 0);
 
     const generations = createGenerations({
         options,
         fingerprintOf: request =>
             statesFingerprint ? `${request.policy}@${versionOf(request.policy)}` : undefined,
-        onStart: noteStart,
-        onEnd: generation => void spent.set(generation.request.attempt, spentBy(generation)),
+        onStart: recordStart,
+        onEnd: generation => void endedEngineMs.set(generation.request.attempt, engineMsOf(generation)),
         onLoadChange: () => load.record(generations.load()),
     });
-    const orders = createEngineOrders({ options, generations, isBoot: boot => up && boot === bootId });
+    const orders = createEngineOrders({ options, generations, isCurrentBoot: boot => up && boot === bootId });
     const requests = createEngineRequests({
         generations,
         serves: policy => versionOf(policy) !== undefined,
@@ -64,7 +64,7 @@
         }
         up = false;
         crashes++;
-        requests.forget();
+        requests.clearExportable();
         generations.setPaused(true);
         // Waiting ones end first, so that none of them takes the place of a running one.
         generations.all().reverse().forEach(generation => generations.finish(generation, "crashed"));
@@ -93,17 +93,17 @@
             return run(...args);
         };
 
-    function spentByAll(): Map<AttemptId, number> {
-        const all = new Map(spent);
+    function readEngineMs(): Map<AttemptId, number> {
+        const all = new Map(endedEngineMs);
         generations.busyMs();
-        generations.all().forEach(running => all.set(running.request.attempt, spentBy(running)));
+        generations.all().forEach(running => all.set(running.request.attempt, engineMsOf(running)));
         return all;
     }
 
     const engine: EnginePort = {
         generate: whileUp(requests.generate),
         cancel: whileUp(async attempt => requests.cancel(attempt)),
-        order: whileUp(order => orders.take(order, bootId)),
+        order: whileUp(order => orders.execute(order, bootId)),
         describe: whileUp(async () => ({
             bootId,
             served: structuredClone(orders.served()),
@@ -120,18 +120,18 @@
         crash,
         restart,
         isUp: () => up,
-        killOn: (predicate, afterMs = defaultKillDelayMs) => {
-            kills = predicate;
-            killDelayMs = afterMs;
+        crashOn: (predicate, afterMs = defaultCrashDelayMs) => {
+            isCrashInducing = predicate;
+            crashDelayMs = afterMs;
         },
         failNextLoad: orders.failNextLoad,
-        serveSilently: orders.serve,
+        setServedVersion: orders.serve,
         served: () => structuredClone(orders.served()),
-        spent: spentByAll,
+        engineMsByAttempt: readEngineMs,
         busyMs: generations.busyMs,
         crashes: () => crashes,
         bootId: () => bootId,
-        starts: () => new Map(starts),
+        startsByAttempt: () => new Map(startsByAttempt),
         loads: orders.loads,
     };
     return { engine, control };
--- a/packages/fakes/src/createFakeObjectStore.test.ts
+++ b/packages/fakes/src/createFakeObjectStore.test.ts
@@ -5,7 +5,7 @@
 import { expect, test } from "vitest";
 import { createFakeObjectStore } from "./createFakeObjectStore.js";
 
-const none = 0 as ObjectVersion;
+const noVersion = 0 as ObjectVersion;
 const codeName = (call: Promise<unknown>): Promise<string> =>
     call.then(() => "ok", error => codeOf(error).name);
 
@@ -16,9 +16,9 @@
 
 test("a write takes effect only on the expected version, and versions grow over the whole store", async () => {
     const { store } = createFixture();
-    const first = await store.write("a", { n: 1 }, none);
-    const second = await store.write("b", { n: 2 }, none);
-    const raced = await store.write("a", { n: 3 }, none);
+    const first = await store.write("a", { n: 1 }, noVersion);
+    const second = await store.write("b", { n: 2 }, noVersion);
+    const raced = await store.write("a", { n: 3 }, noVersion);
     expect({ first, second, raced }).toMatchInlineSnapshot(`
       {
         "first": {
@@ -46,12 +46,12 @@
 test("a watch wakes at once on a change below its prefix, and only on that", async () => {
     const { clock, store } = createFixture();
     let wokeAtMs = -1;
-    const watched = store.watch("jobs/", none, 10_000).then(found => {
+    const watched = store.watch("jobs/", noVersion, 10_000).then(found => {
         wokeAtMs = clock.monotonicMs();
         return found;
     });
-    clock.startTimer(100, () => void store.write("other", 1, none));
-    clock.startTimer(200, () => void store.write("jobs/a", 1, none));
+    clock.startTimer(100, () => void store.write("other", 1, noVersion));
+    clock.startTimer(200, () => void store.write("jobs/a", 1, noVersion));
     await clock.advance(300);
     expect(wokeAtMs).toBe(200);
     expect((await watched).changes).toEqual([{ key: "jobs/a", version: 2, value: 1 }]);
@@ -59,10 +59,10 @@
 
 test("a watcher behind the history gets every object, so that removed ones do not linger", async () => {
     const { store } = createFixture({ historyChanges: 2 });
-    const made = await store.write("gone", 1, none);
-    await store.remove("gone", made.kind === "written" ? made.version : none);
+    const made = await store.write("gone", 1, noVersion);
+    await store.remove("gone", made.kind === "written" ? made.version : noVersion);
     for (let n = 0; n < 10; n++) {
-        await store.write(`k${n}`, n, none);
+        await store.write(`k${n}`, n, noVersion);
     }
     const found = await store.watch("k", 1 as ObjectVersion, 0);
     expect(found.relisted).toBe(true);
@@ -72,20 +72,20 @@
 test("an answer lost leaves the change in effect", async () => {
     const { store, control } = createFixture();
     control.loseAnswers(1);
-    expect(await codeName(store.write("a", 7, none))).toBe("storeUnavailable");
+    expect(await codeName(store.write("a", 7, noVersion))).toBe("storeUnavailable");
     expect(control.peek("a")).toBe(7);
 });
 
 test("an outage ends waiting watches and refuses calls; a stale replica shows the past", async () => {
     const { clock, store, control } = createFixture();
-    const watched = codeName(store.watch("", none, 60_000));
+    const watched = codeName(store.watch("", noVersion, 60_000));
     clock.startTimer(10, () => control.setOutage(true));
     await clock.advance(20);
     expect(await watched).toBe("storeUnavailable");
     expect(await codeName(store.read("a"))).toBe("storeUnavailable");
     control.setOutage(false);
-    const first = await store.write("a", 1, none);
-    await store.write("a", 2, first.kind === "written" ? first.version : none);
+    const first = await store.write("a", 1, noVersion);
+    await store.write("a", 2, first.kind === "written" ? first.version : noVersion);
     control.setStaleReads(1);
     expect((await store.read("a"))?.value).toBe(1);
 });
@@ -94,7 +94,7 @@
     const { store, control } = createFixture({ writesPerSecond: 2 });
     const names = [];
     for (let n = 0; n < 4; n++) {
-        names.push(await codeName(store.write(`k${n}`, n, none)));
+        names.push(await codeName(store.write(`k${n}`, n, noVersion)));
     }
     expect(names).toEqual(["ok", "ok", "storeThrottled", "storeThrottled"]);
     expect(control.calls()).toMatchObject({ write: 4, throttled: 2 });
--- a/packages/fakes/src/createFakeObjectStore.ts
+++ b/packages/fakes/src/createFakeObjectStore.ts
@@ -48,12 +48,12 @@
     const history = createVersionHistory(options.historyChanges ?? 2_000);
     const waiters = new Set<Waiter>();
     const counts: StoreCallCounts = { read: 0, list: 0, write: 0, remove: 0, watch: 0, throttled: 0 };
-    const takeRead = createTokenBucket(clock, options.readsPerSecond);
-    const takeWrite = createTokenBucket(clock, options.writesPerSecond);
+    const takeReadToken = createTokenBucket(clock, options.readsPerSecond);
+    const takeWriteToken = createTokenBucket(clock, options.writesPerSecond);
     let down = false;
     let slowMs = 0;
     let answersToLose = 0;
-    let staleLag = 0;
+    let staleReadLag = 0;
 
     async function halfLatency(): Promise<void> {
         const drawnMs = latencyMs * (0.5 + random.nextUnit()) + slowMs;
@@ -67,8 +67,8 @@
 
     async function call<T>(kind: keyof StoreCallCounts, effect: () => T): Promise<T> {
         counts[kind]++;
-        const take = kind === "write" || kind === "remove" ? takeWrite : takeRead;
-        if (!down && !take()) {
+        const takeToken = kind === "write" || kind === "remove" ? takeWriteToken : takeReadToken;
+        if (!down && !takeToken()) {
             counts.throttled++;
             throw new ResultError(resultCodes.storeThrottled);
         }
@@ -86,7 +86,7 @@
         return outcome;
     }
 
-    async function answer(effect: Promise<WriteOutcome>): Promise<WriteOutcome> {
+    async function answerWrite(effect: Promise<WriteOutcome>): Promise<WriteOutcome> {
         const outcome = await effect;
         if (outcome.kind === "written" && answersToLose > 0) {
             answersToLose--;
@@ -99,8 +99,8 @@
         const abort = new AbortController();
         const waiter: Waiter = { prefix, wake: () => abort.abort() };
         waiters.add(waiter);
-        const missed = history.changesSince(prefix, since).changes.length > 0;
-        await clock.sleep(missed ? 0 : waitMs, abort.signal);
+        const hasMissedChange = history.changesSince(prefix, since).changes.length > 0;
+        await clock.sleep(hasMissedChange ? 0 : waitMs, abort.signal);
         waiters.delete(waiter);
         if (down) {
             throw unavailable();
@@ -120,7 +120,8 @@
         return history.changesSince(prefix, since);
     }
 
-    const visibleRevision = (): ObjectVersion => Math.max(0, history.revision() - staleLag) as ObjectVersion;
+    const visibleRevision = (): ObjectVersion =>
+        Math.max(0, history.revision() - staleReadLag) as ObjectVersion;
     const store: ObjectStore = {
         read: key => call("read", () => history.readAt(key, visibleRevision())),
         list: prefix =>
@@ -130,9 +131,9 @@
             })),
         write: async (key, value, expected) => {
             const json = encode(value);
-            return answer(call("write", () => change(key, json, expected)));
+            return answerWrite(call("write", () => change(key, json, expected)));
         },
-        remove: (key, expected) => answer(call("remove", () => change(key, undefined, expected))),
+        remove: (key, expected) => answerWrite(call("remove", () => change(key, undefined, expected))),
         watch,
     };
 
@@ -148,7 +149,7 @@
             answersToLose = count;
         },
         setStaleReads: lag => {
-            staleLag = lag;
+            staleReadLag = lag;
         },
         calls: () => ({ ...counts }),
         revision: () => history.revision(),
--- a/packages/fakes/src/createFakePlainService.ts
+++ b/packages/fakes/src/createFakePlainService.ts
@@ -24,10 +24,10 @@
     return Buffer.from(JSON.stringify({ method: request.method, path: request.path, bodyHash }));
 }
 
-async function* streamBody(body: Uint8Array, cut: boolean): AsyncGenerator<Uint8Array> {
+async function* streamBody(body: Uint8Array, isCutShort: boolean): AsyncGenerator<Uint8Array> {
     const half = Math.ceil(body.length / 2);
     yield body.subarray(0, half);
-    if (cut) {
+    if (isCutShort) {
         throw new ResultError(resultCodes.connectionBroken, "body cut short");
     }
     yield body.subarray(half);
@@ -38,39 +38,39 @@
     options: FakePlainServiceOptions,
 ): { backend: PlainBackend; control: FakePlainServiceControl; } {
     const { clock, answer = describeRequest } = options;
-    const byKey = new Map<string, number>();
-    const byAttempt = new Map<string, number>();
+    const runsByKey = new Map<string, number>();
+    const runsByAttempt = new Map<string, number>();
     let latencyMs = options.latencyMs ?? 0;
-    let toBreak = 0;
-    let toRefuse = 0;
-    let toCut = 0;
+    let answersToBreak = 0;
+    let requestsToRefuse = 0;
+    let bodiesToCut = 0;
     let up = true;
-    let kills: (request: PlainRequest) => boolean = () => false;
+    let isCrashInducing: (request: PlainRequest) => boolean = () => false;
 
     function run(request: PlainRequest): void {
-        increase(byAttempt, request.attempt);
+        increase(runsByAttempt, request.attempt);
         const key = request.headers[keyHeader];
         if (key !== undefined) {
-            increase(byKey, key);
+            increase(runsByKey, key);
         }
-        if (kills(request)) {
+        if (isCrashInducing(request)) {
             up = false;
         }
     }
 
     function makeAnswer(request: PlainRequest): PlainAnswer {
-        const cut = toCut > 0;
-        toCut -= cut ? 1 : 0;
+        const isCutShort = bodiesToCut > 0;
+        bodiesToCut -= isCutShort ? 1 : 0;
         return {
             status: 200,
             headers: { "content-type": "application/json" },
-            body: streamBody(answer(request), cut),
+            body: streamBody(answer(request), isCutShort),
         };
     }
 
     const backend: PlainBackend = async (request, signal) => {
-        if (!up || toRefuse > 0) {
-            toRefuse -= up ? 1 : 0;
+        if (!up || requestsToRefuse > 0) {
+            requestsToRefuse -= up ? 1 : 0;
             return { kind: "notRun", code: resultCodes.connectFailed, retryAfterMs: undefined };
         }
         run(request);
@@ -80,30 +80,30 @@
         if (signal.aborted) {
             return { kind: "unknown", code: resultCodes.cancelled };
         }
-        if (!up || toBreak > 0) {
-            toBreak -= up ? 1 : 0;
+        if (!up || answersToBreak > 0) {
+            answersToBreak -= up ? 1 : 0;
             return { kind: "unknown", code: resultCodes.connectionBroken };
         }
         return { kind: "ran", answer: makeAnswer(request) };
     };
 
     const control: FakePlainServiceControl = {
-        runsByKey: () => new Map(byKey),
-        runsByAttempt: () => new Map(byAttempt),
+        runsByKey: () => new Map(runsByKey),
+        runsByAttempt: () => new Map(runsByAttempt),
         breakAfterRun: count => {
-            toBreak = count;
+            answersToBreak = count;
         },
         refuseNext: count => {
-            toRefuse = count;
+            requestsToRefuse = count;
         },
         cutBody: count => {
-            toCut = count;
+            bodiesToCut = count;
         },
         setLatency: ms => {
             latencyMs = ms;
         },
-        killOn: predicate => {
-            kills = predicate;
+        crashOn: predicate => {
+            isCrashInducing = predicate;
         },
         restart: () => {
             up = true;
--- a/packages/fakes/src/createFakeTrainer.ts
+++ b/packages/fakes/src/createFakeTrainer.ts
@@ -1,8 +1,8 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import type { StepNumber } from "@auburnarch/types/StepNumber";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
-import { createPersist } from "./createPersist.js";
-import { createReceipts } from "./createReceipts.js";
+import { createGroupChecker } from "./createGroupChecker.js";
+import { createRetry } from "./createRetry.js";
 import { createStepReader } from "./createStepReader.js";
 import type { FakeTrainerOptions } from "./FakeTrainerOptions.js";
 import type { TrainerReport } from "./TrainerReport.js";
@@ -42,7 +42,7 @@
     let published = firstVersion - 1;
     let opened = 0;
 
-    const receipts = createReceipts({
+    const groupChecker = createGroupChecker({
         groupSize: options.groupSize,
         maxStalenessVersions: options.maxStalenessVersions,
         report,
@@ -53,13 +53,13 @@
         },
         isExpectedText: options.isExpectedText ?? (() => true),
     });
-    const persist = createPersist(clock, retryMs, report);
-    const reader = createStepReader({ options, report, receipts, persist, retryMs });
+    const retry = createRetry(clock, retryMs, report);
+    const reader = createStepReader({ options, report, groupChecker, retry, retryMs });
 
     async function publish(version: number, signal: AbortSignal): Promise<void> {
         const weights = { policy, version: version as WeightVersion, location: `${policy}/${version}` };
         // A repeat after a lost answer is refused as not higher: the version is published all the same.
-        await persist(() =>
+        await retry(() =>
             port.publishWeights(weights).catch((error: unknown) => {
                 if (codeOf(error).name !== "versionNotHigher") {
                     throw error;
@@ -74,7 +74,7 @@
         while (opened < end && !signal.aborted) {
             const spec = options.specOf(opened as StepNumber);
             openedAtMs.set(opened, clock.monotonicMs());
-            await persist(() => port.openStep(spec), signal);
+            await retry(() => port.openStep(spec), signal);
             opened++;
         }
     }
@@ -82,13 +82,13 @@
     async function trainStep(step: number, signal: AbortSignal): Promise<void> {
         await openAhead(step, signal);
         const spec = options.specOf(step as StepNumber);
-        const waitedFromMs = clock.monotonicMs();
+        const waitStartedAtMs = clock.monotonicMs();
         const cursor = await reader.readWhole(spec, signal);
-        report.idleMs += clock.monotonicMs() - waitedFromMs;
+        report.idleMs += clock.monotonicMs() - waitStartedAtMs;
         if (signal.aborted) {
             return;
         }
-        receipts.close(spec);
+        groupChecker.recordMissing(spec);
         report.stepMs.push(clock.monotonicMs() - openedAtMs.get(step)!);
         options.onStep?.(spec.step);
         await Promise.all([clock.sleep(trainMs, signal), reader.acknowledge(spec, cursor, signal)]);
--- a/packages/fakes/src/createFakeVmList.ts
+++ b/packages/fakes/src/createFakeVmList.ts
@@ -30,7 +30,7 @@
         snapshots.push({ atMs: clock.monotonicMs(), records: edit(latest.records) });
     }
 
-    function visible(): VmRecord[] {
+    function visibleRecords(): VmRecord[] {
         const limitMs = clock.monotonicMs() - lagMs;
         const index = snapshots.findLastIndex(snapshot => snapshot.atMs <= limitMs);
         snapshots = snapshots.slice(Math.max(0, index));
@@ -42,7 +42,7 @@
             if (down) {
                 throw new ResultError(resultCodes.vmListUnavailable);
             }
-            return visible();
+            return visibleRecords();
         },
         control: {
             add: record => change(records => [...records.filter(other => other.vm !== record.vm), record]),
--- a/packages/fakes/src/createFakeWeightStore.ts
+++ b/packages/fakes/src/createFakeWeightStore.ts
@@ -26,7 +26,7 @@
     options: FakeWeightStoreOptions,
 ): { weightStore: WeightStore; control: FakeWeightStoreControl; } {
     const { clock, transferMs, maxConcurrent = Number.POSITIVE_INFINITY } = options;
-    const take = createTokenBucket(clock, options.ratePerSecond);
+    const takeToken = createTokenBucket(clock, options.ratePerSecond);
     let running = 0;
     let maxRunning = 0;
     let downloads = 0;
@@ -34,7 +34,7 @@
     let down = false;
 
     const weightStore: WeightStore = async (policy, version) => {
-        if (down || running >= maxConcurrent || !take()) {
+        if (down || running >= maxConcurrent || !takeToken()) {
             refused++;
             throw new ResultError(resultCodes.weightStoreThrottled, `${policy}@${version}`, transferMs);
         }
--- a/packages/fakes/src/createGenerations.ts
+++ b/packages/fakes/src/createGenerations.ts
@@ -32,7 +32,7 @@
 }
 
 const charsPerToken = 4;
-const roundingTokens = 1e-6;
+const roundingToleranceTokens = 1e-6;
 const maxImportedAttempts = 256;
 
 function defaultLength(request: EngineRequest): number {
@@ -64,13 +64,13 @@
         });
     }
 
-    function madeTokens(generation: Generation): number {
+    function generatedTokens(generation: Generation): number {
         const decodedMs = Math.max(0, (generation.item?.doneMs ?? 0) - generation.prefillMs);
-        const decoded = Math.floor(decodedMs * tokensPerSecond / 1_000 + roundingTokens);
+        const decoded = Math.floor(decodedMs * tokensPerSecond / 1_000 + roundingToleranceTokens);
         return Math.min(generation.targetTokens, generation.request.resumeTokens + decoded);
     }
 
-    const progress = (generation: Generation): void => emit(generation, madeTokens(generation));
+    const progress = (generation: Generation): void => emit(generation, generatedTokens(generation));
 
     function finish(generation: Generation, reason: EngineFinish["reason"]): void {
         if (generation.settled) {
@@ -102,10 +102,12 @@
         const { request } = generation;
         const promptTokens = Math.ceil(request.prompt.length / charsPerToken);
         const cached = cache.take(request.policy, request.prompt);
-        const replayed = imported.delete(request.attempt) ? 0 : promptTokens - cached + request.resumeTokens;
+        const prefillTokens = imported.delete(request.attempt)
+            ? 0
+            : promptTokens - cached + request.resumeTokens;
         const length = Math.max(1, lengthOf(request));
         generation.cachedPromptTokens = cached;
-        generation.prefillMs = replayed * 1_000 / prefillTokensPerSecond;
+        generation.prefillMs = prefillTokens * 1_000 / prefillTokensPerSecond;
         generation.targetTokens = Math.max(request.resumeTokens, Math.min(length, request.maxTokens));
         generation.reason = length <= request.maxTokens ? "stop" : "length";
     }
@@ -137,8 +139,8 @@
 
     return {
         add: generation => {
-            const behind = waiting.findIndex(other => other.request.priority < generation.request.priority);
-            waiting.splice(behind < 0 ? waiting.length : behind, 0, generation);
+            const insertAt = waiting.findIndex(other => other.request.priority < generation.request.priority);
+            waiting.splice(insertAt < 0 ? waiting.length : insertAt, 0, generation);
             startWaiting();
         },
         find: attempt => running.get(attempt) ?? waiting.find(other => other.request.attempt === attempt),
--- a/packages/fakes/src/createReceipts.ts
+++ b/packages/fakes/src/createGroupChecker.ts
@@ -4,7 +4,7 @@
 import type { StepSpec } from "@auburnarch/types/StepSpec";
 import type { TrainerReport } from "./TrainerReport.js";
 
-interface ReceiptsDeps {
+interface GroupCheckerDeps {
     groupSize: number;
     maxStalenessVersions: number;
     report: TrainerReport;
@@ -16,17 +16,17 @@
     isExpectedText: (prompt: string, text: string) => boolean;
 }
 
-interface Receipts {
-    take(spec: StepSpec, page: GroupsPage): void;
+interface GroupChecker {
+    checkGroups(spec: StepSpec, page: GroupsPage): void;
     /** Counts what never came of a finished step. */
-    close(spec: StepSpec): void;
+    recordMissing(spec: StepSpec): void;
     isStale(group: SampleGroup): boolean;
 }
 
 const oldestVersion = (sample: Sample): number => Math.min(...sample.spans.map(span => span.version));
 
 /** A trainer's check of each group it receives, as strict as the promises to it. */
-export function createReceipts(deps: ReceiptsDeps): Receipts {
+export function createGroupChecker(deps: GroupCheckerDeps): GroupChecker {
     const { report } = deps;
     const seenSamples = new Set<string>();
     const seenGroups = new Set<string>();
@@ -35,31 +35,33 @@
 
     function isWhole(group: SampleGroup, prompt: string): boolean {
         const indexes = new Set(group.samples.map(sample => sample.index));
-        const inRange = group.samples.every(sample => sample.index >= 0 && sample.index < deps.groupSize);
-        const ownGroup = group.samples.every(sample => sample.group === group.group);
-        const named = group.samples.every(sample =>
+        const hasIndexesInRange = group.samples.every(sample =>
+            sample.index >= 0 && sample.index < deps.groupSize
+        );
+        const hasOwnSamples = group.samples.every(sample => sample.group === group.group);
+        const hasExpectedTexts = group.samples.every(sample =>
             sample.spans.length > 0
             && deps.isExpectedText(prompt, sample.spans.map(span => span.text).join(""))
         );
-        return group.samples.length === deps.groupSize && indexes.size === deps.groupSize && inRange
-            && ownGroup && named;
+        return group.samples.length === deps.groupSize && indexes.size === deps.groupSize && hasIndexesInRange
+            && hasOwnSamples && hasExpectedTexts;
     }
 
-    function takeSample(sample: Sample): void {
+    function checkSample(sample: Sample): void {
         if (seenSamples.has(sample.sample)) {
             report.duplicates++;
             return;
         }
         seenSamples.add(sample.sample);
-        const behind = stalenessOf(sample);
+        const staleness = stalenessOf(sample);
         report.delivered++;
-        report.staleViolations += behind > deps.maxStalenessVersions ? 1 : 0;
-        report.stalenessMaxVersions = Math.max(report.stalenessMaxVersions, behind);
-        report.stalenessVersions.push(behind);
+        report.staleViolations += staleness > deps.maxStalenessVersions ? 1 : 0;
+        report.stalenessMaxVersions = Math.max(report.stalenessMaxVersions, staleness);
+        report.stalenessVersions.push(staleness);
         report.stalenessMs.push(deps.replacedForMs(oldestVersion(sample)));
     }
 
-    function takeGroup(spec: StepSpec, group: SampleGroup): void {
+    function checkGroup(spec: StepSpec, group: SampleGroup): void {
         const key = `${spec.step}/${group.group}`;
         if (seenGroups.has(key)) {
             report.duplicates++;
@@ -70,14 +72,14 @@
         if (prompt === undefined || !isWhole(group, prompt)) {
             report.brokenGroups++;
         }
-        group.samples.forEach(takeSample);
+        group.samples.forEach(checkSample);
     }
 
     return {
-        take: (spec, page) => page.groups.forEach(group => takeGroup(spec, group)),
-        close: spec => {
-            const absent = spec.prompts.filter((_, group) => !seenGroups.has(`${spec.step}/${group}`));
-            report.missing += absent.length * deps.groupSize;
+        checkGroups: (spec, page) => page.groups.forEach(group => checkGroup(spec, group)),
+        recordMissing: spec => {
+            const missingGroups = spec.prompts.filter((_, group) => !seenGroups.has(`${spec.step}/${group}`));
+            report.missing += missingGroups.length * deps.groupSize;
         },
         isStale: group => group.samples.some(sample => stalenessOf(sample) > deps.maxStalenessVersions),
     };
--- a/packages/fakes/src/createLaggingLoad.ts
+++ b/packages/fakes/src/createLaggingLoad.ts
@@ -14,7 +14,7 @@
         { atMs: Number.NEGATIVE_INFINITY, load: { running: 0, waiting: 0, cachedTokens: 0 } },
     ];
 
-    function dropHidden(): void {
+    function dropOutdated(): void {
         const limitMs = clock.monotonicMs() - lagMs;
         const visible = past.findLastIndex(entry => entry.atMs <= limitMs);
         past = past.slice(Math.max(0, visible));
@@ -22,11 +22,11 @@
 
     return {
         record: load => {
-            dropHidden();
+            dropOutdated();
             past.push({ atMs: clock.monotonicMs(), load });
         },
         read: () => {
-            dropHidden();
+            dropOutdated();
             return { ...past[0]!.load, ageMs: lagMs };
         },
     };
--- a/packages/fakes/src/createPausableProcess.ts
+++ b/packages/fakes/src/createPausableProcess.ts
@@ -16,7 +16,7 @@
     let paused = false;
     let waiting: (() => void)[] = [];
 
-    function whenRunning(run: () => void): void {
+    function runWhenResumed(run: () => void): void {
         if (paused) {
             waiting.push(run);
         }
@@ -27,18 +27,18 @@
 
     function startTimer(delayMs: number, run: () => void): () => void {
         let cancelled = false;
-        const cancel = clock.startTimer(delayMs, () => whenRunning(() => cancelled || run()));
+        const cancel = clock.startTimer(delayMs, () => runWhenResumed(() => cancelled || run()));
         return () => {
             cancelled = true;
             cancel();
         };
     }
 
-    function delivered<T>(answer: Promise<T>): Promise<T> {
+    function deferWhilePaused<T>(answer: Promise<T>): Promise<T> {
         return new Promise((resolve, reject) => {
             answer.then(
-                value => whenRunning(() => resolve(value)),
-                (error: unknown) => whenRunning(() => reject(error as Error)),
+                value => runWhenResumed(() => resolve(value)),
+                (error: unknown) => runWhenResumed(() => reject(error as Error)),
             );
         });
     }
@@ -46,11 +46,11 @@
     return {
         clock: { ...clock, startTimer, sleep: createSleep(startTimer) },
         store: {
-            read: key => delivered(store.read(key)),
-            list: prefix => delivered(store.list(prefix)),
-            write: (key, value, expected) => delivered(store.write(key, value, expected)),
-            remove: (key, expected) => delivered(store.remove(key, expected)),
-            watch: (prefix, revision, waitMs) => delivered(store.watch(prefix, revision, waitMs)),
+            read: key => deferWhilePaused(store.read(key)),
+            list: prefix => deferWhilePaused(store.list(prefix)),
+            write: (key, value, expected) => deferWhilePaused(store.write(key, value, expected)),
+            remove: (key, expected) => deferWhilePaused(store.remove(key, expected)),
+            watch: (prefix, revision, waitMs) => deferWhilePaused(store.watch(prefix, revision, waitMs)),
         },
         pause: () => {
             paused = true;
--- a/packages/fakes/src/createPersist.ts
+++ b/packages/fakes/src/createRetry.ts
@@ -3,10 +3,10 @@
 import type { TrainerReport } from "./TrainerReport.js";
 
 /** Calls until it is answered; undefined once `signal` is aborted. */
-type Persist = <T>(call: () => Promise<T>, signal: AbortSignal) => Promise<T | undefined>;
+type RetryCall = <T>(call: () => Promise<T>, signal: AbortSignal) => Promise<T | undefined>;
 
 /** A retry loop for calls that may all be repeated: an error says nothing on their effect. */
-export function createPersist(clock: Clock, retryMs: number, report: TrainerReport): Persist {
+export function createRetry(clock: Clock, retryMs: number, report: TrainerReport): RetryCall {
     return async (call, signal) => {
         while (!signal.aborted) {
             try {
--- a/packages/fakes/src/createStepReader.ts
+++ b/packages/fakes/src/createStepReader.ts
@@ -1,16 +1,16 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import type { GroupsPage } from "@auburnarch/types/GroupsPage";
 import type { StepSpec } from "@auburnarch/types/StepSpec";
-import type { createPersist } from "./createPersist.js";
-import type { createReceipts } from "./createReceipts.js";
+import type { createGroupChecker } from "./createGroupChecker.js";
+import type { createRetry } from "./createRetry.js";
 import type { FakeTrainerOptions } from "./FakeTrainerOptions.js";
 import type { TrainerReport } from "./TrainerReport.js";
 
 interface StepReaderDeps {
     options: FakeTrainerOptions;
     report: TrainerReport;
-    receipts: ReturnType<typeof createReceipts>;
-    persist: ReturnType<typeof createPersist>;
+    groupChecker: ReturnType<typeof createGroupChecker>;
+    retry: ReturnType<typeof createRetry>;
     retryMs: number;
 }
 
@@ -23,14 +23,14 @@
 
 /** The reading side of a fake trainer, with lost answers and repeated reads where its options ask for them. */
 export function createStepReader(deps: StepReaderDeps): StepReader {
-    const { options, report, receipts, persist } = deps;
+    const { options, report, groupChecker, retry } = deps;
     const { clock, random, port, readWaitMs = 1_000, loseAnswerChance = 0, rereadChance = 0 } = options;
     let highestFencing = 0;
 
     function compare(first: GroupsPage, second: GroupsPage): void {
         const groups = new Map(second.groups.map(group => [group.group, group]));
         const differing = first.groups.filter(group =>
-            !receipts.isStale(group) && JSON.stringify(groups.get(group.group)) !== JSON.stringify(group)
+            !groupChecker.isStale(group) && JSON.stringify(groups.get(group.group)) !== JSON.stringify(group)
         );
         report.rereadMismatches += differing.length;
     }
@@ -41,13 +41,13 @@
         signal: AbortSignal,
     ): Promise<GroupsPage | undefined> {
         const read = (): Promise<GroupsPage> => port.readGroups(spec.step, cursor, readWaitMs);
-        const page = await persist(read, signal);
+        const page = await retry(read, signal);
         const isLost = random.nextUnit() < loseAnswerChance;
         const isRepeated = random.nextUnit() < rereadChance;
         if (page === undefined || (!isLost && !isRepeated)) {
             return page;
         }
-        const again = await persist(read, signal);
+        const again = await retry(read, signal);
         if (again !== undefined && isRepeated && again.fencing === page.fencing) {
             compare(page, again);
         }
@@ -59,7 +59,7 @@
         cursor: string | undefined,
         signal: AbortSignal,
     ): Promise<void> {
-        const page = await persist(async () => {
+        const page = await retry(async () => {
             try {
                 return await port.readGroups(spec.step, cursor, 0);
             }
@@ -72,7 +72,7 @@
             }
         }, signal);
         if (page !== undefined && page.fencing >= highestFencing) {
-            receipts.take(spec, page);
+            groupChecker.checkGroups(spec, page);
         }
     }
 
@@ -90,7 +90,7 @@
                 continue;
             }
             highestFencing = page.fencing;
-            receipts.take(spec, page);
+            groupChecker.checkGroups(spec, page);
             cursor = page.cursor;
             done = page.done;
         }
--- a/packages/forwarding/src/SamplerAttempts.ts
+++ b/packages/forwarding/src/SamplerAttempts.ts
@@ -1,4 +1,4 @@
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { RoutedRequest } from "./RoutedRequest.js";
 import type { SamplerAttemptOutcome } from "./SamplerAttemptOutcome.js";
@@ -6,10 +6,10 @@
 /** Single attempts of requests at samplers. */
 export interface SamplerAttempts {
     /** The sampler that is expected to answer first, among those not tried yet. */
-    pick(request: RoutedRequest, tried: ReadonlySet<IncarnationId>): KnownSampler | undefined;
+    pick(request: RoutedRequest, tried: ReadonlySet<IncarnationId>): RegisteredSampler | undefined;
     run(
         request: RoutedRequest,
-        sampler: KnownSampler,
+        sampler: RegisteredSampler,
         budgetMs: number,
         signal: AbortSignal,
     ): Promise<SamplerAttemptOutcome>;
--- a/packages/forwarding/src/SamplerRequest.ts
+++ b/packages/forwarding/src/SamplerRequest.ts
@@ -1,9 +1,9 @@
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import type { TeamId } from "@auburnarch/types/TeamId";
 
 /** A request sent to one sampler. */
 export interface SamplerRequest {
-    sampler: KnownSampler;
+    sampler: RegisteredSampler;
     /** The caller's request id, which the sampler echoes. */
     requestId: string;
     /** The team that sent the request; undefined on routes without authentication. */
--- a/packages/forwarding/src/createSamplerAttempts.ts
+++ b/packages/forwarding/src/createSamplerAttempts.ts
@@ -1,7 +1,7 @@
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { chooseService } from "@auburnarch/routing/chooseService";
-import { readWhole } from "@auburnarch/transport/readWhole";
+import { readFullBody } from "@auburnarch/transport/readFullBody";
 import { createSamplerRecords } from "./createSamplerRecords.js";
 import { estimateWaitMs } from "./estimateWaitMs.js";
 import type { RequestForwarderDeps } from "./RequestForwarderDeps.js";
@@ -25,7 +25,7 @@
 /** Reads an answer completely, so that one that breaks off can be retried before any byte is forwarded. */
 async function readAnswer(answer: Answered): Promise<SamplerAttemptOutcome> {
     try {
-        const whole = await readWhole(answer.body, maxAnswerBytes);
+        const whole = await readFullBody(answer.body, maxAnswerBytes);
         return { kind: "done", answer: { ...answer, body: chunkOf(whole) } };
     }
     catch (error) {
@@ -50,7 +50,7 @@
     const recordOf = createSamplerRecords();
 
     function recordEnd(
-        sampler: KnownSampler,
+        sampler: RegisteredSampler,
         tried: SamplerAttemptOutcome,
         tookMs: number,
         isCancelled: boolean,
@@ -67,7 +67,10 @@
         }
     }
 
-    function recordUnlistedAttempt(request: RoutedRequest, { incarnation, service }: KnownSampler): void {
+    function recordUnlistedAttempt(
+        request: RoutedRequest,
+        { incarnation, service }: RegisteredSampler,
+    ): void {
         metrics.count("relay_unlisted_tries_total", { service });
         logger.info("unlistedSamplerTried", { request: request.requestId, sampler: incarnation });
     }
@@ -79,7 +82,7 @@
                 return undefined;
             }
             const nowMs = clock.monotonicMs();
-            let best: KnownSampler | undefined;
+            let best: RegisteredSampler | undefined;
             let bestMs = Infinity;
             for (const sampler of directory.serving(service)) {
                 const record = recordOf(sampler.incarnation);
--- a/packages/forwarding/src/estimateWaitMs.ts
+++ b/packages/forwarding/src/estimateWaitMs.ts
@@ -1,4 +1,4 @@
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import type { FailureDomain } from "@auburnarch/types/FailureDomain";
 import type { SamplerRecord } from "./SamplerRecord.js";
 
@@ -15,7 +15,7 @@
  * with their age: an unresponsive sampler sends nothing that could be counted as a failure.
  */
 export function estimateWaitMs(
-    sampler: KnownSampler,
+    sampler: RegisteredSampler,
     record: SamplerRecord,
     ownDomain: FailureDomain,
     nowMs: number,
--- a/packages/forwarding/src/testing/createTestForwarder.ts
+++ b/packages/forwarding/src/testing/createTestForwarder.ts
@@ -1,5 +1,5 @@
 import { createRandom } from "@auburnarch/clock/createRandom";
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import { createTestDirectory } from "@auburnarch/discovery/testing/createTestDirectory";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
@@ -13,7 +13,7 @@
 
 interface TestForwarderOptions {
     clock: Clock;
-    samplers: KnownSampler[];
+    samplers: RegisteredSampler[];
     callSampler: CallSampler;
     breaks?: BreakRegistry;
     seed?: number;
--- a/packages/invariants/src/createInvariants.ts
+++ b/packages/invariants/src/createInvariants.ts
@@ -10,13 +10,13 @@
 ): Invariants {
     let violations = 0;
     return {
-        check: (code, holds, fields) => {
-            if (!holds) {
+        check: (code, isSatisfied, fields) => {
+            if (!isSatisfied) {
                 violations++;
                 logger.error("promiseBroken", { code: code.number, name: code.name, ...fields });
                 observe(code, fields);
             }
-            return holds;
+            return isSatisfied;
         },
         violations: () => violations,
     };
--- a/packages/lease/src/LeaseDeps.ts
+++ b/packages/lease/src/LeaseDeps.ts
@@ -18,7 +18,7 @@
      * True if holder names are bound to a VM on which one process at a time runs. A lease that names this holder was
      * then held by an earlier process, which is gone, and is taken up at once instead of after its term.
      */
-    resumesOwn?: boolean;
+    resumesOwnLeases?: boolean;
     /** Term of a lease without renewal; 10 s by default, renewed every third of it. */
     ttlMs?: number;
     guards?: LeaseGuards;
--- a/packages/lease/src/createReadFencing.ts
+++ b/packages/lease/src/createFencingReader.ts
@@ -5,6 +5,6 @@
 import { jobLeaseKey } from "./jobLeaseKey.js";
 
 /** Reads a job lease's present number from the object API; rejects while that is down. 0 before the first owner. */
-export function createReadFencing(store: ObjectStore): (job: JobId) => Promise<FencingNumber> {
+export function createFencingReader(store: ObjectStore): (job: JobId) => Promise<FencingNumber> {
     return async job => fencingOf(await store.read(jobLeaseKey(job)));
 }
--- a/packages/lease/src/createHeldLease.ts
+++ b/packages/lease/src/createHeldLease.ts
@@ -9,7 +9,7 @@
 import { parseLeaseValue } from "./parseLeaseValue.js";
 
 /** A lease just acquired. */
-interface Acquired {
+interface AcquiredLease {
     key: string;
     fencing: FencingNumber;
     version: ObjectVersion;
@@ -25,18 +25,18 @@
 
 const renewalsPerTerm = 3;
 const retriesPerTerm = 6;
-const jitterPart = 0.1;
-const releaseTries = 2;
+const jitterRatio = 0.1;
+const maxReleaseAttempts = 2;
 
 /** Keeps an acquired lease by renewing it, until it is released or another holder is seen. */
-export function createHeldLease(deps: LeaseDeps, acquired: Acquired): Lease {
+export function createHeldLease(deps: LeaseDeps, acquired: AcquiredLease): Lease {
     const { store, clock, random, logger, guards = defaultLeaseGuards } = deps;
     const { key, fencing, writer, ttlMs } = acquired;
     const lost = new AbortController();
     /** When each write not yet known to stand was sent, by sequence. */
     const sentAtMs = new Map<number, number>();
     let version = acquired.version;
-    let heldFromMs = acquired.sentAtMs;
+    let confirmedSentAtMs = acquired.sentAtMs;
     let sequence = 0;
     let released = false;
     let cancelTimer = (): void => {};
@@ -51,11 +51,11 @@
 
     function confirm(confirmed: number, at: ObjectVersion): void {
         version = at;
-        heldFromMs = Math.max(heldFromMs, sentAtMs.get(confirmed) ?? heldFromMs);
+        confirmedSentAtMs = Math.max(confirmedSentAtMs, sentAtMs.get(confirmed) ?? confirmedSentAtMs);
         [...sentAtMs.keys()].filter(known => known <= confirmed).forEach(known => sentAtMs.delete(known));
     }
 
-    function lose(current: StoredObject | undefined): void {
+    function markLost(current: StoredObject | undefined): void {
         const holder = parseLeaseValue(current?.value)?.holder;
         logger.warn("leaseLost", { key, fencing, holder, reason: "anotherHolderSeen" });
         lost.abort();
@@ -63,7 +63,7 @@
     }
 
     /** True if the write stands. A conflict with our own writer is an earlier write whose answer was lost. */
-    function settle(sent: number, outcome: WriteOutcome): boolean {
+    function settleRenewal(sent: number, outcome: WriteOutcome): boolean {
         if (outcome.kind === "written") {
             confirm(sent, outcome.version);
             return true;
@@ -73,7 +73,7 @@
             confirm(stamp.sequence, outcome.current.version);
             return stamp.sequence === sent;
         }
-        lose(outcome.current);
+        markLost(outcome.current);
         return false;
     }
 
@@ -82,7 +82,7 @@
         const sent = sequence;
         try {
             const outcome = await store.write(key, value, version);
-            return !isEnded() && settle(sent, outcome);
+            return !isEnded() && settleRenewal(sent, outcome);
         }
         catch {
             // Whether it took effect is unknown; the next try's conflict tells. Until then the lease ages.
@@ -100,18 +100,22 @@
             return;
         }
         if (wasHeld && !isHeld()) {
-            logger.warn("leaseLapsed", { key, fencing, ageMs: Math.round(clock.monotonicMs() - heldFromMs) });
+            logger.warn("leaseLapsed", {
+                key,
+                fencing,
+                ageMs: Math.round(clock.monotonicMs() - confirmedSentAtMs),
+            });
         }
         schedule(renewed ? ttlMs / renewalsPerTerm : ttlMs / retriesPerTerm);
     }
 
     function schedule(delayMs: number): void {
-        const jitter = 1 + jitterPart * (2 * random.nextUnit() - 1);
+        const jitter = 1 + jitterRatio * (2 * random.nextUnit() - 1);
         cancelTimer = clock.startTimer(delayMs * jitter, () => void renewAndSchedule());
     }
 
     function isHeld(): boolean {
-        return !isEnded() && guards.isWithinLease(clock.monotonicMs() - heldFromMs, ttlMs);
+        return !isEnded() && guards.isWithinLease(clock.monotonicMs() - confirmedSentAtMs, ttlMs);
     }
 
     async function release(): Promise<void> {
@@ -122,7 +126,7 @@
         cancelTimer();
         acquired.onEnd();
         // If no try is answered, the lease ends by its term: slower for the next holder, never wrong.
-        for (let tries = 0; tries < releaseTries; tries++) {
+        for (let attempts = 0; attempts < maxReleaseAttempts; attempts++) {
             const value = nextValue(undefined);
             const sent = sequence;
             const outcome = await store.write(key, value, version).catch(() => undefined);
@@ -147,7 +151,7 @@
     }
 
     schedule(ttlMs / renewalsPerTerm);
-    const ageMs = (): number => clock.monotonicMs() - heldFromMs;
+    const ageMs = (): number => clock.monotonicMs() - confirmedSentAtMs;
     return {
         key,
         fencing,
--- a/packages/lease/src/createLeaseKeeper.ts
+++ b/packages/lease/src/createLeaseManager.ts
@@ -10,12 +10,12 @@
 import { defaultLeaseGuards } from "./defaultLeaseGuards.js";
 import { fencingOf } from "./fencingOf.js";
 import type { LeaseDeps } from "./LeaseDeps.js";
-import type { LeaseKeeper } from "./LeaseKeeper.js";
+import type { LeaseManager } from "./LeaseManager.js";
 import type { LeaseValue } from "./LeaseValue.js";
 import { parseLeaseValue } from "./parseLeaseValue.js";
 
 /** An acquiring write, whose answer may be lost. */
-interface Acquiring {
+interface Acquisition {
     writer: string;
     sentAtMs: number;
     /** Whether it was sent for a key that had no object. */
@@ -26,7 +26,7 @@
 const defaultTtlMs = 10_000;
 const absent = 0 as ObjectVersion;
 
-function foundIn(object: StoredObject | undefined, isOwnEarlier: boolean): Acquiring["found"] {
+function foundIn(object: StoredObject | undefined, isOwnEarlier: boolean): Acquisition["found"] {
     if (object === undefined) {
         return "nothing";
     }
@@ -37,22 +37,22 @@
 }
 
 /** Makes the keeper of a process's leases over the object API; see `docs/design/03-leases.md`. */
-export function createLeaseKeeper(deps: LeaseDeps): LeaseKeeper {
+export function createLeaseManager(deps: LeaseDeps): LeaseManager {
     const { store, clock, random, logger, invariants } = deps;
     const { ttlMs = defaultTtlMs, guards = defaultLeaseGuards } = deps;
     const observer = createLeaseObserver(clock, guards, ttlMs);
-    const tries = new Map<string, Promise<Lease | undefined>>();
-    const unresolved = new Map<string, Acquiring>();
+    const pendingAttempts = new Map<string, Promise<Lease | undefined>>();
+    const unresolved = new Map<string, Acquisition>();
     const held = new Map<string, Lease>();
 
-    function hold(
+    function registerLease(
         key: string,
-        { writer, sentAtMs, isFirst, found }: Acquiring,
+        { writer, sentAtMs, isFirst, found }: Acquisition,
         version: ObjectVersion,
     ): Lease {
-        const known = observer.seen(key)?.object;
-        const isOwn = parseLeaseValue(known?.value)?.stamp.writer === writer;
-        const before = isOwn ? 0 : fencingOf(known);
+        const observed = observer.observed(key)?.object;
+        const isOwn = parseLeaseValue(observed?.value)?.stamp.writer === writer;
+        const before = isOwn ? 0 : fencingOf(observed);
         const fencing = version as number as FencingNumber;
         invariants.check(resultCodes.fencingWentBack, fencing > before, { key, fencing, before });
         logger.info("leaseAcquired", { key, fencing, holder: deps.holder, ttlMs });
@@ -78,27 +78,27 @@
 
     /** The lease that an unanswered write of ours turned out to have acquired. */
     function adopt(key: string, object: StoredObject | undefined): Lease | undefined {
-        const mine = unresolved.get(key);
+        const pending = unresolved.get(key);
         const stamp = parseLeaseValue(object?.value)?.stamp;
-        if (mine === undefined || object === undefined || stamp?.writer !== mine.writer) {
+        if (pending === undefined || object === undefined || stamp?.writer !== pending.writer) {
             return undefined;
         }
-        return hold(key, mine, object.version);
+        return registerLease(key, pending, object.version);
     }
 
     async function write(
         key: string,
         expected: ObjectVersion,
-        found: Acquiring["found"],
+        found: Acquisition["found"],
     ): Promise<Lease | undefined> {
         const isFirst = expected === absent;
-        const mine: Acquiring = { writer: random.nextId(), sentAtMs: clock.monotonicMs(), isFirst, found };
-        const stamp = { writer: mine.writer, sequence: 0 };
+        const sent: Acquisition = { writer: random.nextId(), sentAtMs: clock.monotonicMs(), isFirst, found };
+        const stamp = { writer: sent.writer, sequence: 0 };
         const value: LeaseValue = { holder: deps.holder, fencing: undefined, ttlMs, stamp };
-        unresolved.set(key, mine);
+        unresolved.set(key, sent);
         const outcome = await store.write(key, value, expected);
         if (outcome.kind === "written") {
-            return hold(key, mine, outcome.version);
+            return registerLease(key, sent, outcome.version);
         }
         const adopted = adopt(key, outcome.current);
         if (adopted === undefined) {
@@ -111,7 +111,7 @@
     async function writeOrReadBack(
         key: string,
         expected: ObjectVersion,
-        found: Acquiring["found"],
+        found: Acquisition["found"],
     ): Promise<Lease | undefined> {
         try {
             return await write(key, expected, found);
@@ -126,21 +126,21 @@
         }
     }
 
-    async function tryOnce(key: string): Promise<Lease | undefined> {
-        const present = held.get(key);
-        if (present !== undefined) {
+    async function attemptAcquire(key: string): Promise<Lease | undefined> {
+        const existing = held.get(key);
+        if (existing !== undefined) {
             // One that lapsed goes on trying to renew itself.
-            return present.isHeld() ? present : undefined;
+            return existing.isHeld() ? existing : undefined;
         }
         const object = await store.read(key);
         const adopted = adopt(key, object);
         if (adopted !== undefined) {
             return adopted;
         }
-        const known = observer.note(key, object);
+        const known = observer.record(key, object);
         const value = parseLeaseValue(known.object?.value);
-        const isOwnEarlier = deps.resumesOwn === true && value?.holder === deps.holder;
-        if (observer.freeInMs(known) > 0 && !isOwnEarlier) {
+        const isOwnEarlier = deps.resumesOwnLeases === true && value?.holder === deps.holder;
+        if (observer.availableInMs(known) > 0 && !isOwnEarlier) {
             return undefined;
         }
         return writeOrReadBack(key, known.object?.version ?? absent, foundIn(known.object, isOwnEarlier));
@@ -148,21 +148,21 @@
 
     /** Two tries at once in one process would race each other for nothing. */
     function tryAcquire(key: string): Promise<Lease | undefined> {
-        const present = tries.get(key);
-        if (present !== undefined) {
-            return present;
+        const running = pendingAttempts.get(key);
+        if (running !== undefined) {
+            return running;
         }
-        const started = tryOnce(key).finally(() => tries.delete(key));
-        tries.set(key, started);
+        const started = attemptAcquire(key).finally(() => pendingAttempts.delete(key));
+        pendingAttempts.set(key, started);
         return started;
     }
 
     return {
         tryAcquire,
         acquire: createLeaseWaiter({ store, clock, random, observer, ttlMs, tryAcquire }),
-        observe: object => void observer.note(object.key, object),
-        lastSeen: key => {
-            const known = observer.seen(key);
+        observe: object => void observer.record(object.key, object),
+        lastObserved: key => {
+            const known = observer.observed(key);
             if (known === undefined) {
                 return undefined;
             }
--- a/packages/lease/src/createLeaseWaiter.ts
+++ b/packages/lease/src/createLeaseWaiter.ts
@@ -15,17 +15,17 @@
 
 const retriesPerTerm = 3;
 /** Waiters draw a delay of up to this fraction of the term, so that few race for a lease that lapsed. */
-const jitterParts = 20;
-const start = 0 as ObjectVersion;
+const jitterDivisor = 20;
+const startRevision = 0 as ObjectVersion;
 
 /** Waits for a lease with one watch a change, and reads only when it may be free. */
 export function createLeaseWaiter(deps: LeaseWaiterDeps): AcquireLease {
     const { store, clock, random, observer, ttlMs, tryAcquire } = deps;
 
-    function noteChange(change: StoredChange): void {
-        const knownVersion = observer.seen(change.key)?.object?.version ?? start;
+    function recordChange(change: StoredChange): void {
+        const knownVersion = observer.observed(change.key)?.object?.version ?? startRevision;
         if (change.value !== undefined) {
-            observer.note(change.key, change);
+            observer.record(change.key, change);
         }
         else if (change.version > knownVersion) {
             observer.replace(change.key, undefined);
@@ -33,18 +33,20 @@
     }
 
     /** Waits until the lease may be free: a change is told by the watch, a lapse by the time. */
-    async function waitForFree(
+    async function waitUntilAvailable(
         key: string,
         since: ObjectVersion,
         signal: AbortSignal,
     ): Promise<ObjectVersion> {
-        const known = observer.seen(key);
-        const jitterMs = (ttlMs / jitterParts) * random.nextUnit();
-        const delayMs = known === undefined ? ttlMs / retriesPerTerm : observer.freeInMs(known) + jitterMs;
+        const known = observer.observed(key);
+        const jitterMs = (ttlMs / jitterDivisor) * random.nextUnit();
+        const delayMs = known === undefined
+            ? ttlMs / retriesPerTerm
+            : observer.availableInMs(known) + jitterMs;
         const startedAtMs = clock.monotonicMs();
         try {
             const found = await store.watch(key, since, delayMs);
-            found.changes.filter(change => change.key === key).forEach(noteChange);
+            found.changes.filter(change => change.key === key).forEach(recordChange);
             return found.revision;
         }
         catch {
@@ -55,16 +57,16 @@
     }
 
     return async (key, signal) => {
-        let revision = start;
+        let revision = startRevision;
         while (!signal.aborted) {
-            const known = observer.seen(key);
-            const mayBeFree = known === undefined || observer.freeInMs(known) === 0;
-            const lease = mayBeFree ? await tryAcquire(key).catch(() => undefined) : undefined;
+            const known = observer.observed(key);
+            const mayBeAvailable = known === undefined || observer.availableInMs(known) === 0;
+            const lease = mayBeAvailable ? await tryAcquire(key).catch(() => undefined) : undefined;
             if (lease !== undefined) {
                 return lease;
             }
             // Watching on from the last revision, a change is told once and the loop cannot spin on it.
-            revision = await waitForFree(key, revision, signal);
+            revision = await waitUntilAvailable(key, revision, signal);
         }
         return undefined;
     };
--- a/packages/lease/src/defaultLeaseGuards.ts
+++ b/packages/lease/src/defaultLeaseGuards.ts
@@ -1,7 +1,7 @@
 import type { LeaseGuards } from "./LeaseGuards.js";
 
 /** Part of the term an observer waits longer, for clocks that run at slightly different speeds. */
-const driftPart = 0.05;
+const clockDriftRatio = 0.05;
 
 /**
  * The holder counts from before its renewal was sent, the observer from after it saw the change: whatever the
@@ -9,5 +9,5 @@
  */
 export const defaultLeaseGuards: LeaseGuards = {
     isWithinLease: (ageMs, ttlMs) => ageMs < ttlMs,
-    takeOverAfterMs: ttlMs => ttlMs * (1 + driftPart),
+    takeOverAfterMs: ttlMs => ttlMs * (1 + clockDriftRatio),
 };
--- a/packages/lease/src/fencingOf.ts
+++ b/packages/lease/src/fencingOf.ts
@@ -7,6 +7,6 @@
  * value has none, as in the write that acquired it. 0 where there is no lease yet.
  */
 export function fencingOf(object: StoredObject | undefined): FencingNumber {
-    const written = parseLeaseValue(object?.value)?.fencing;
-    return (written ?? object?.version ?? 0) as FencingNumber;
+    const stored = parseLeaseValue(object?.value)?.fencing;
+    return (stored ?? object?.version ?? 0) as FencingNumber;
 }
--- a/packages/lease/src/leaseCost.test.ts
+++ b/packages/lease/src/leaseCost.test.ts
@@ -5,17 +5,17 @@
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
 import type { Logger } from "@auburnarch/types/Logger";
 import { expect, test } from "vitest";
-import { createLeaseKeeper } from "./createLeaseKeeper.js";
+import { createLeaseManager } from "./createLeaseManager.js";
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 const key = "leases/job/plume";
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 function createFixture(seed: number) {
     const clock = createFakeClock();
     const fake = createFakeObjectStore({ clock, random: createRandom(seed), latencyMs: 3 });
-    const keeperOf = (n: number, process: ReturnType<typeof createPausableProcess>) =>
-        createLeaseKeeper({
+    const managerOf = (n: number, process: ReturnType<typeof createPausableProcess>) =>
+        createLeaseManager({
             store: process.store,
             clock: process.clock,
             random: createRandom(seed * 100 + n),
@@ -24,16 +24,16 @@
             holder: `entry-${n}`,
         });
     const startProcess = () => createPausableProcess(clock, fake.store);
-    return { clock, ...fake, keeperOf, startProcess };
+    return { clock, ...fake, keeperOf: managerOf, startProcess };
 }
 
 async function takeOver(seed: number, graceful: boolean): Promise<number> {
     const { clock, keeperOf, startProcess } = createFixture(seed);
     const process = startProcess();
     let second = false;
-    const first = keeperOf(1, process).acquire(key, never);
+    const first = keeperOf(1, process).acquire(key, neverAborted);
     await clock.advance(100);
-    void keeperOf(2, startProcess()).acquire(key, never).then(() => (second = true));
+    void keeperOf(2, startProcess()).acquire(key, neverAborted).then(() => (second = true));
     await clock.advance(7_000 + seed * 37);
     const endedAtMs = clock.monotonicMs();
     if (graceful) {
@@ -61,9 +61,9 @@
         afterReleaseMs.push(await takeOver(seed, true));
     }
     const { clock, control, keeperOf, startProcess } = createFixture(1);
-    void keeperOf(1, startProcess()).acquire(key, never);
+    void keeperOf(1, startProcess()).acquire(key, neverAborted);
     await clock.advance(100);
-    void keeperOf(2, startProcess()).acquire(key, never);
+    void keeperOf(2, startProcess()).acquire(key, neverAborted);
     const before = control.calls();
     await clock.advance(3_600_000);
     const after = control.calls();
--- a/packages/lease/src/leases.test.ts
+++ b/packages/lease/src/leases.test.ts
@@ -8,7 +8,7 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { createLeaseKeeper } from "./createLeaseKeeper.js";
+import { createLeaseManager } from "./createLeaseManager.js";
 import { defaultLeaseGuards } from "./defaultLeaseGuards.js";
 import { fencingOf } from "./fencingOf.js";
 import type { LeaseGuards } from "./LeaseGuards.js";
@@ -24,15 +24,15 @@
     const clock = createFakeClock();
     const fake = createFakeObjectStore({ clock, random: createRandom(3), latencyMs });
     let seed = 10;
-    const keeperOn = (
+    const managerOn = (
         store: ObjectStore,
-        ownClock: Parameters<typeof createLeaseKeeper>[0]["clock"],
+        ownClock: Parameters<typeof createLeaseManager>[0]["clock"],
         guards?: LeaseGuards,
     ) => {
         seed++;
         const invariants = createInvariants(silent, fail);
         const holder = `entry-${seed}`;
-        return createLeaseKeeper({
+        return createLeaseManager({
             store,
             clock: ownClock,
             random: createRandom(seed),
@@ -42,7 +42,7 @@
             guards,
         });
     };
-    return { clock, ...fake, keeperOn, keeper: () => keeperOn(fake.store, clock) };
+    return { clock, ...fake, keeperOn: managerOn, manager: () => managerOn(fake.store, clock) };
 }
 
 async function settle<T>(clock: ReturnType<typeof createFakeClock>, ended: Promise<T>): Promise<T> {
@@ -52,15 +52,15 @@
     return ended;
 }
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 test("a holder paused past its term wakes without the lease, and its renewal is refused", async () => {
     // Guards against: two owners order swaps.
-    const { clock, store, keeper, keeperOn } = createFixture();
+    const { clock, store, manager: keeper, keeperOn } = createFixture();
     const process = createPausableProcess(clock, store);
-    const first = await settle(clock, keeperOn(process.store, process.clock).acquire(key, never));
+    const first = await settle(clock, keeperOn(process.store, process.clock).acquire(key, neverAborted));
     process.pause();
-    const second = await settle(clock, keeper().acquire(key, never));
+    const second = await settle(clock, keeper().acquire(key, neverAborted));
     expect(second!.fencing).toBeGreaterThan(first!.fencing);
     expect(first!.isHeld()).toBe(false);
     expect(first!.lost.aborted).toBe(false);
@@ -73,18 +73,18 @@
 
 test("an acquisition whose answer was lost is found by reading back, with the same number", async () => {
     // Guards against: a job without an owner for a whole term.
-    const { clock, control, keeper } = createFixture();
+    const { clock, control, manager: keeper } = createFixture();
     control.loseAnswers(1);
-    const lease = await settle(clock, keeper().acquire(key, never));
+    const lease = await settle(clock, keeper().acquire(key, neverAborted));
     expect(clock.monotonicMs()).toBeLessThan(1_000);
     expect(lease!.isHeld()).toBe(true);
     expect(lease!.fencing).toBe(control.revision());
 });
 
 test("an acquisition that only the watch shows, after an outage, is adopted", async () => {
-    const { clock, control, keeper } = createFixture();
+    const { clock, control, manager: keeper } = createFixture();
     control.loseAnswers(1);
-    const waiting = keeper().acquire(key, never);
+    const waiting = keeper().acquire(key, neverAborted);
     await clock.runUntil(() => control.revision() > 0, 1_000);
     control.setOutage(true);
     await clock.advance(3_000);
@@ -96,8 +96,8 @@
 });
 
 test("a renewal whose answer was lost does not cost the lease", async () => {
-    const { clock, control, keeper } = createFixture();
-    const lease = await settle(clock, keeper().acquire(key, never));
+    const { clock, control, manager: keeper } = createFixture();
+    const lease = await settle(clock, keeper().acquire(key, neverAborted));
     for (let renewal = 0; renewal < 10; renewal++) {
         control.loseAnswers(1);
         await clock.advance(ttlMs / 3);
@@ -113,7 +113,7 @@
 });
 
 test("of two that race for a free lease, one holds it", async () => {
-    const { clock, keeper } = createFixture();
+    const { clock, manager: keeper } = createFixture();
     const [first, second] = await settle(
         clock,
         Promise.all([keeper().tryAcquire(key), keeper().tryAcquire(key)]),
@@ -123,8 +123,8 @@
 
 test("an outage lapses the lease without losing it; it is held again once the store is back", async () => {
     // Guards against: after an outage every job changed its owner.
-    const { clock, control, keeper } = createFixture();
-    const lease = await settle(clock, keeper().acquire(key, never));
+    const { clock, control, manager: keeper } = createFixture();
+    const lease = await settle(clock, keeper().acquire(key, neverAborted));
     control.setOutage(true);
     await clock.advance(ttlMs + 1);
     expect(lease!.isHeld()).toBe(false);
@@ -136,9 +136,9 @@
 });
 
 test("a released lease is taken at once, by a waiter too", async () => {
-    const { clock, keeper } = createFixture();
-    const lease = await settle(clock, keeper().acquire(key, never));
-    const waiting = keeper().acquire(key, never);
+    const { clock, manager: keeper } = createFixture();
+    const lease = await settle(clock, keeper().acquire(key, neverAborted));
+    const waiting = keeper().acquire(key, neverAborted);
     await clock.advance(4_000);
     const releasedAtMs = clock.monotonicMs();
     await settle(clock, lease!.release());
@@ -150,10 +150,10 @@
 test("a holder that dies is replaced within its term, the drift margin and the jitter", async () => {
     const tookMs: number[] = [];
     for (let run = 0; run < 20; run++) {
-        const { clock, store, keeper, keeperOn } = createFixture();
+        const { clock, store, manager: keeper, keeperOn } = createFixture();
         const process = createPausableProcess(clock, store);
-        await settle(clock, keeperOn(process.store, process.clock).acquire(key, never));
-        const waiting = keeper().acquire(key, never);
+        await settle(clock, keeperOn(process.store, process.clock).acquire(key, neverAborted));
+        const waiting = keeper().acquire(key, neverAborted);
         await clock.advance(5_000 + run * 250);
         process.pause();
         const diedAtMs = clock.monotonicMs();
@@ -165,9 +165,9 @@
 });
 
 test("a waiter costs one watch for each renewal and no write", async () => {
-    const { clock, control, keeper } = createFixture();
-    await settle(clock, keeper().acquire(key, never));
-    void keeper().acquire(key, never);
+    const { clock, control, manager: keeper } = createFixture();
+    await settle(clock, keeper().acquire(key, neverAborted));
+    void keeper().acquire(key, neverAborted);
     await clock.advance(ttlMs);
     const before = control.calls();
     await clock.advance(100 * ttlMs);
@@ -183,19 +183,19 @@
 });
 
 test("a stale replica cannot hand the lease to a second holder", async () => {
-    const { clock, control, keeper } = createFixture();
-    const first = await settle(clock, keeper().acquire(key, never));
+    const { clock, control, manager: keeper } = createFixture();
+    const first = await settle(clock, keeper().acquire(key, neverAborted));
     control.setStaleReads(2);
-    const others = [keeper(), keeper()].map(other => other.acquire(key, never));
+    const others = [keeper(), keeper()].map(other => other.acquire(key, neverAborted));
     await clock.advance(20 * ttlMs);
     expect(first!.isHeld()).toBe(true);
     expect(await Promise.race([...others, Promise.resolve("none")])).toBe("none");
 });
 
 test("a lease object that someone removed does not stop the next holder", async () => {
-    const { clock, store, keeper } = createFixture();
-    const first = await settle(clock, keeper().acquire(key, never));
-    const waiting = keeper().acquire(key, never);
+    const { clock, store, manager: keeper } = createFixture();
+    const first = await settle(clock, keeper().acquire(key, neverAborted));
+    const waiting = keeper().acquire(key, neverAborted);
     await clock.advance(1_000);
     const object = await settle(clock, store.read(key));
     await settle(clock, store.remove(key, object!.version));
@@ -223,10 +223,10 @@
     const fencings: number[] = [];
     let maxHolders = 0;
     const abort = new AbortController();
-    const keepers = processes.map(process => keeperOn(process.store, process.clock, guards));
-    const compete = async (keeper: (typeof keepers)[number]): Promise<void> => {
+    const managers = processes.map(process => keeperOn(process.store, process.clock, guards));
+    const compete = async (manager: (typeof managers)[number]): Promise<void> => {
         while (!abort.signal.aborted) {
-            const lease = await keeper.acquire(key, abort.signal);
+            const lease = await manager.acquire(key, abort.signal);
             if (lease !== undefined && !leases.includes(lease)) {
                 leases.push(lease);
                 fencings.push(lease.fencing);
@@ -234,12 +234,12 @@
             await clock.sleep(500, abort.signal);
         }
     };
-    keepers.forEach(keeper => void compete(keeper));
-    const look = (): void => {
+    managers.forEach(keeper => void compete(keeper));
+    const sampleHolders = (): void => {
         maxHolders = Math.max(maxHolders, leases.filter(lease => lease.isHeld()).length);
-        clock.startTimer(100, look);
+        clock.startTimer(100, sampleHolders);
     };
-    look();
+    sampleHolders();
     for (const { kind, who, afterMs } of actions) {
         await clock.advance(afterMs);
         const process = processes[who]!;
@@ -291,14 +291,14 @@
 test("a process takes up the lease of its VM's earlier process at once, and only that", async () => {
     const { clock, store } = createFixture();
     const keeperOf = (holder: string) =>
-        createLeaseKeeper({
+        createLeaseManager({
             store,
             clock,
             random: createRandom(holder.length),
             logger: silent,
             invariants: createInvariants(silent, fail),
             holder,
-            resumesOwn: true,
+            resumesOwnLeases: true,
         });
     const first = await settle(clock, keeperOf("vm-1").tryAcquire(key));
     const other = await settle(clock, keeperOf("vm-22").tryAcquire(key));
--- a/packages/ledger/src/createStepLedger.test.ts
+++ b/packages/ledger/src/createStepLedger.test.ts
@@ -49,7 +49,7 @@
     toString: () => `reopen(${group},${index})`,
 });
 
-const look = (group: number): fc.Command<Model, StepLedger> => ({
+const inspect = (group: number): fc.Command<Model, StepLedger> => ({
     check: () => true,
     run: (model, ledger) => {
         const whole = ledger.wholeGroup(group);
@@ -70,7 +70,7 @@
     const commands = fc.commands([
         fc.tuple(group, fc.integer({ min: 0, max: groupSize }), fc.nat(1_000)).map(args => commit(...args)),
         fc.tuple(fc.integer({ min: 0, max: groups - 1 }), index).map(args => reopen(...args)),
-        group.map(look),
+        group.map(inspect),
     ], { maxCommands: 60 });
     fc.assert(
         fc.property(commands, cmds => {
--- a/packages/metrics/src/createMetrics.ts
+++ b/packages/metrics/src/createMetrics.ts
@@ -10,14 +10,14 @@
     const gauges = new Map<string, Gauge>();
     const histograms = new Map<string, Histogram>();
 
-    function once<T>(made: Map<string, T>, name: string, make: () => T): T {
-        const present = made.get(name);
-        if (present !== undefined) {
-            return present;
+    function getOrCreate<T>(metrics: Map<string, T>, name: string, create: () => T): T {
+        const existing = metrics.get(name);
+        if (existing !== undefined) {
+            return existing;
         }
-        const fresh = make();
-        made.set(name, fresh);
-        return fresh;
+        const created = create();
+        metrics.set(name, created);
+        return created;
     }
 
     return {
@@ -28,7 +28,7 @@
                 labelNames: Object.keys(labels),
                 registers: [registry],
             };
-            once(counters, name, () => new Counter(config)).inc(labels, by);
+            getOrCreate(counters, name, () => new Counter(config)).inc(labels, by);
         },
         set: (name, labels, value) => {
             const config = {
@@ -37,7 +37,7 @@
                 labelNames: Object.keys(labels),
                 registers: [registry],
             };
-            once(gauges, name, () => new Gauge(config)).set(labels, value);
+            getOrCreate(gauges, name, () => new Gauge(config)).set(labels, value);
         },
         observeMs: (name, labels, valueMs) => {
             const config = {
@@ -47,7 +47,7 @@
                 buckets: latencyBucketsMs,
                 registers: [registry],
             };
-            once(histograms, name, () => new Histogram(config)).observe(labels, valueMs);
+            getOrCreate(histograms, name, () => new Histogram(config)).observe(labels, valueMs);
         },
         render: () => registry.metrics(),
     };
--- a/packages/metrics/src/metricNames.test.ts
+++ b/packages/metrics/src/metricNames.test.ts
@@ -3,22 +3,24 @@
 import { fileURLToPath } from "node:url";
 import { expect, test } from "vitest";
 
-const packages = fileURLToPath(new URL("../../", import.meta.url));
-const page = fileURLToPath(new URL("../../../docs/metrics.md", import.meta.url));
-const call = /metrics\.(?:count|set|observeMs)\(\s*"([a-z0-9_]+)"/gu;
-const row = /^\| `auburnarch_([a-z0-9_]+)`/gmu;
+const packagesPath = fileURLToPath(new URL("../../", import.meta.url));
+const metricsPagePath = fileURLToPath(new URL("../../../docs/metrics.md", import.meta.url));
+const metricCallPattern = /metrics\.(?:count|set|observeMs)\(\s*"([a-z0-9_]+)"/gu;
+const tableRowPattern = /^\| `auburnarch_([a-z0-9_]+)`/gmu;
 
 async function listSources(): Promise<string[]> {
-    const found = await readdir(packages, { recursive: true });
+    const found = await readdir(packagesPath, { recursive: true });
     return found.filter(path => /^[a-z]+\/src\/.*\.ts$/u.test(path) && !path.endsWith(".test.ts"));
 }
 
 test("docs/metrics.md lists exactly the metrics of the code", async () => {
     const texts = await Promise.all(
-        (await listSources()).map(path => readFile(join(packages, path), "utf8")),
+        (await listSources()).map(path => readFile(join(packagesPath, path), "utf8")),
+    );
+    const used = texts.flatMap(text => [...text.matchAll(metricCallPattern)].map(found => found[1]!));
+    const listed = [...(await readFile(metricsPagePath, "utf8")).matchAll(tableRowPattern)].map(found =>
+        found[1]!
     );
-    const used = texts.flatMap(text => [...text.matchAll(call)].map(found => found[1]!));
-    const listed = [...(await readFile(page, "utf8")).matchAll(row)].map(found => found[1]!);
     expect(used.length).toBeGreaterThan(0);
     expect([...new Set(used)].sort()).toEqual([...listed].sort());
 });
--- a/packages/ownership/src/OwnerDeps.ts
+++ b/packages/ownership/src/OwnerDeps.ts
@@ -1,7 +1,7 @@
 import type { Invariants } from "@auburnarch/invariants/Invariants";
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Clock } from "@auburnarch/types/Clock";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 import type { Lease } from "@auburnarch/types/Lease";
 import type { LimitsManifest } from "@auburnarch/types/LimitsManifest";
@@ -28,7 +28,7 @@
     sidecar: (sampler: SamplerId) => SidecarPort;
     scoring: ScoringPort;
     /** Stores unacknowledged groups outside this process; undefined where no data folder is reachable. */
-    keep: GroupKeep | undefined;
+    keep: GroupStore | undefined;
     /** Key that signs cursors; the same on every entry. */
     cursorKey: string;
 }
--- a/packages/ownership/src/OwnerGuards.ts
+++ b/packages/ownership/src/OwnerGuards.ts
@@ -1,7 +1,7 @@
 import type { isGenuineCursor } from "@auburnarch/cursors/isGenuineCursor";
 import type { LedgerGuards } from "@auburnarch/ledger/LedgerGuards";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { JobId } from "@auburnarch/types/JobId";
-import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import type { SampleProblem } from "@auburnarch/validation/SampleProblem";
@@ -20,7 +20,7 @@
     isFresh: (spans: readonly TokenSpan[], minVersion: WeightVersion) => boolean;
     findSampleProblem: (
         job: JobId,
-        generated: MadeSample,
+        generated: GeneratedSample,
         bounds: VersionBounds,
     ) => SampleProblem | undefined;
     /** True if a repeated read with the same cursor must get the same page. */
--- a/packages/ownership/src/SampleProducer.ts
+++ b/packages/ownership/src/SampleProducer.ts
@@ -1,4 +1,4 @@
-import type { MadeSample } from "@auburnarch/types/MadeSample";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { OpenStep } from "./OpenStep.js";
 
 /** Has samples generated, verified, scored and committed to their step's ledger. */
@@ -10,5 +10,5 @@
     /** Removes the group's samples beyond the staleness bound and requests them again; true if there were any. */
     regenerateStale(step: OpenStep, group: number): boolean;
     /** Handles a sample that the dispatcher returned. */
-    handleGenerated(generated: MadeSample): Promise<void>;
+    handleGenerated(generated: GeneratedSample): Promise<void>;
 }
--- a/packages/ownership/src/createGroupBackup.ts
+++ b/packages/ownership/src/createGroupBackup.ts
@@ -1,7 +1,7 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { GroupBackup } from "./GroupBackup.js";
 import type { JobState } from "./JobState.js";
@@ -12,7 +12,7 @@
 const restoreTimeoutMs = 5_000;
 
 interface GroupBackupDeps {
-    groupStore: GroupKeep | undefined;
+    groupStore: GroupStore | undefined;
     state: JobState;
     fencing: FencingNumber;
     clock: Clock;
--- a/packages/ownership/src/createSamplePipeline.ts
+++ b/packages/ownership/src/createSamplePipeline.ts
@@ -65,7 +65,7 @@
         random: random.fork(),
         logger,
         metrics,
-        listSamplers: () => listSamplers().map(roller.withDoubt),
+        listSamplers: () => listSamplers().map(roller.maskUncertainVersion),
         sidecar,
         mayAct: authority.mayRun,
         isAboutToSwap: roller.isAboutToSwap,
--- a/packages/ownership/src/createSampleProducer.ts
+++ b/packages/ownership/src/createSampleProducer.ts
@@ -1,4 +1,4 @@
-import type { MadeSample } from "@auburnarch/types/MadeSample";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { Sample } from "@auburnarch/types/Sample";
 import type { SampleTask } from "@auburnarch/types/SampleTask";
 import { backoffMs } from "./backoffMs.js";
@@ -84,7 +84,7 @@
     /** Resolves with undefined if the sample is withdrawn before the scoring service has answered. */
     async function score(
         step: OpenStep,
-        generated: MadeSample,
+        generated: GeneratedSample,
         submission: number,
     ): Promise<number | undefined> {
         const text = generated.answer.spans.map(span => span.text).join("");
@@ -103,7 +103,7 @@
         return undefined;
     }
 
-    function toSample(generated: MadeSample, score: number): Sample {
+    function toSample(generated: GeneratedSample, score: number): Sample {
         const { task, answer } = generated;
         return {
             sample: task.sample,
@@ -128,7 +128,7 @@
         }
     }
 
-    async function handleGenerated(generated: MadeSample): Promise<void> {
+    async function handleGenerated(generated: GeneratedSample): Promise<void> {
         const step = state.steps.get(generated.task.step);
         const submission = step?.outstanding.get(generated.task.sample);
         if (step === undefined || submission === undefined) {
--- a/packages/ownership/src/testing/TestWorld.ts
+++ b/packages/ownership/src/testing/TestWorld.ts
@@ -1,6 +1,6 @@
 import type { FakeClock } from "@auburnarch/clock/FakeClock";
 import type { FakeStoreControl } from "@auburnarch/fakes/FakeStoreControl";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { Owner } from "../Owner.js";
@@ -16,7 +16,7 @@
     control: FakeStoreControl;
     job: JobManifest;
     sidecars: TestSidecar[];
-    groupStore: GroupKeep;
+    groupStore: GroupStore;
     lines: string[];
     /** Acquires the lease under the next fencing number and creates an owner in its own process. */
     startOwner(options?: StartOptions): Promise<StartedOwner>;
--- a/packages/ownership/src/testing/createTestGroupStore.ts
+++ b/packages/ownership/src/testing/createTestGroupStore.ts
@@ -1,7 +1,7 @@
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 
 /** Creates an in-memory group store that outlives its owners. */
-export function createTestGroupStore(): GroupKeep {
+export function createTestGroupStore(): GroupStore {
     const records = new Map<
         string,
         { job: string; step: number; group: number; fencing: number; body: string; }
--- a/packages/persistence/src/createFileGroupStore.test.ts
+++ b/packages/persistence/src/createFileGroupStore.test.ts
@@ -1,5 +1,5 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import type { Logger } from "@auburnarch/types/Logger";
 import fc from "fast-check";
 import { mkdtemp, readdir, readFile, rm, stat, truncate, utimes, writeFile } from "node:fs/promises";
@@ -27,7 +27,7 @@
 
 /** The wall clock starts at the system's time, by which the file system sets modification times. */
 const clockNow = (offsetMs = 0) => createFakeClock(new Date().getTime() + offsetMs);
-const openStore = (options: Partial<FileGroupStoreOptions> = {}): Promise<GroupKeep> =>
+const openStore = (options: Partial<FileGroupStoreOptions> = {}): Promise<GroupStore> =>
     createFileGroupStore(folder, { clock: clockNow(), logger, ...options });
 const groupOf = (group: number, fencing = 1, body = `body ${group}`) => ({
     job: "j",
@@ -36,7 +36,7 @@
     fencing,
     body,
 });
-const bodiesOf = async (store: GroupKeep): Promise<string[]> =>
+const bodiesOf = async (store: GroupStore): Promise<string[]> =>
     (await store.load("j", 4)).map(({ group, fencing, body }) => `${group}@${fencing} ${body}`).sort();
 const onlyFile = async (): Promise<string> => join(folder, (await readdir(folder))[0]!);
 
--- a/packages/persistence/src/createFileGroupStore.ts
+++ b/packages/persistence/src/createFileGroupStore.ts
@@ -1,7 +1,7 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import type { GroupKeep } from "@auburnarch/types/GroupKeep";
+import type { GroupStore } from "@auburnarch/types/GroupStore";
 import { join } from "node:path";
 import { createStepFile } from "./createStepFile.js";
 import type { FileGroupStoreOptions } from "./FileGroupStoreOptions.js";
@@ -30,7 +30,7 @@
 export async function createFileGroupStore(
     folder: string,
     options: FileGroupStoreOptions,
-): Promise<GroupKeep> {
+): Promise<GroupStore> {
     const { clock, logger, files = nodeFileOperations } = options;
     const { maxBytes = defaultMaxBytes, maxAgeMs = defaultMaxAgeMs } = options;
     const steps = new Map<string, StepFile>();
@@ -96,7 +96,7 @@
         isFull = isNowFull;
     }
 
-    async function save({ job, step, ...group }: Parameters<GroupKeep["save"]>[0]): Promise<void> {
+    async function save({ job, step, ...group }: Parameters<GroupStore["save"]>[0]): Promise<void> {
         try {
             if (usedBytes() + group.body.length > maxBytes) {
                 throw new ResultError(
--- a/packages/queue/src/createFairQueue.test.ts
+++ b/packages/queue/src/createFairQueue.test.ts
@@ -10,7 +10,7 @@
     trueMs: number;
 }
 
-const always = (): boolean => true;
+const acceptAll = (): boolean => true;
 const item = (team: string, trueMs = 10, priority = 50, queuedAtMs = 0): Item => ({
     team,
     priority,
@@ -31,7 +31,7 @@
         queue.push(item(team, costs[team]!()));
     }
     for (let at = 0; at < count; at++) {
-        const next = queue.pop(always)!;
+        const next = queue.pop(acceptAll)!;
         queue.push(item(next.team, costs[next.team]!()));
         used[next.team] = (used[next.team] ?? 0) + next.trueMs;
         queue.settle(next, next.trueMs);
@@ -58,14 +58,14 @@
         queue.push(item("busy"));
     }
     for (let at = 0; at < 50; at++) {
-        const next = queue.pop(always)!;
+        const next = queue.pop(acceptAll)!;
         queue.settle(next, next.trueMs);
     }
     for (let at = 0; at < 100; at++) {
         queue.push(item("back"));
     }
     const order = Array.from({ length: 20 }, () => {
-        const next = queue.pop(always)!;
+        const next = queue.pop(acceptAll)!;
         queue.settle(next, next.trueMs);
         return next.team;
     });
@@ -80,11 +80,11 @@
     const high = item("a", 10, 80);
     const quote = item("b", 10, 100);
     [low, high, quote].forEach(queue.push);
-    expect(queue.pop(always)).toBe(quote);
+    expect(queue.pop(acceptAll)).toBe(quote);
     nowMs = 61_000;
     const fresh = item("a", 10, 80, nowMs);
     queue.push(fresh);
-    expect([queue.pop(always), queue.pop(always), queue.pop(always)]).toEqual([low, high, fresh]);
+    expect([queue.pop(acceptAll), queue.pop(acceptAll), queue.pop(acceptAll)]).toEqual([low, high, fresh]);
 });
 
 test("held items are passed over and withdrawn ones are gone", () => {
--- a/packages/queue/src/createFairQueue.ts
+++ b/packages/queue/src/createFairQueue.ts
@@ -30,7 +30,7 @@
     items(): Item[];
 }
 
-interface TeamLine<Item> {
+interface TeamQueue<Item> {
     items: Item[];
     running: number;
     /** Engine time charged, divided by the share: the team with the least runs next. */
@@ -39,9 +39,9 @@
 
 const interactivePriority = 100;
 /** Weight of a team without a share of its own: it gets what the others leave. */
-const leastShare = 0.001;
+const minShare = 0.001;
 /** An item that has waited this long goes first within its team, so that no priority starves another. */
-const agingMs = 60_000;
+const agingDelayMs = 60_000;
 
 /**
  * Work-conserving weighted fair queue over teams' engine time: start-time fair queueing whose costs are corrected
@@ -50,44 +50,45 @@
  * never saved up.
  */
 export function createFairQueue<Item extends FairItem>(deps: FairQueueDeps): FairQueue<Item> {
-    const lines = new Map<string, TeamLine<Item>>();
+    const teamQueues = new Map<string, TeamQueue<Item>>();
     let waiting = 0;
     let running = 0;
 
-    const weightOf = (team: string): number => Math.max(leastShare, deps.share(team));
-    const isActive = (line: TeamLine<Item>): boolean => line.items.length > 0 || line.running > 0;
+    const weightOf = (team: string): number => Math.max(minShare, deps.share(team));
+    const isActive = (teamQueue: TeamQueue<Item>): boolean =>
+        teamQueue.items.length > 0 || teamQueue.running > 0;
 
-    function levelMs(): number {
+    function minActiveVirtualMs(): number {
         let least = Number.POSITIVE_INFINITY;
-        for (const line of lines.values()) {
-            if (isActive(line)) {
-                least = Math.min(least, line.virtualMs);
+        for (const teamQueue of teamQueues.values()) {
+            if (isActive(teamQueue)) {
+                least = Math.min(least, teamQueue.virtualMs);
             }
         }
         return least === Number.POSITIVE_INFINITY ? 0 : least;
     }
 
-    function activeLineOf(team: string): TeamLine<Item> {
-        const present = lines.get(team);
-        if (present === undefined) {
-            const fresh: TeamLine<Item> = { items: [], running: 0, virtualMs: levelMs() };
-            lines.set(team, fresh);
+    function activeQueueOf(team: string): TeamQueue<Item> {
+        const existing = teamQueues.get(team);
+        if (existing === undefined) {
+            const fresh: TeamQueue<Item> = { items: [], running: 0, virtualMs: minActiveVirtualMs() };
+            teamQueues.set(team, fresh);
             return fresh;
         }
-        if (!isActive(present)) {
-            present.virtualMs = Math.max(present.virtualMs, levelMs());
+        if (!isActive(existing)) {
+            existing.virtualMs = Math.max(existing.virtualMs, minActiveVirtualMs());
         }
-        return present;
+        return existing;
     }
 
     function rank(item: Item): number {
-        const aged = deps.nowMs() - item.queuedAtMs >= agingMs;
+        const aged = deps.nowMs() - item.queuedAtMs >= agingDelayMs;
         return aged ? Math.max(item.priority, interactivePriority - 1) : item.priority;
     }
 
-    function choose(line: TeamLine<Item>, mayRun: (item: Item) => boolean): Item | undefined {
+    function selectItem(teamQueue: TeamQueue<Item>, mayRun: (item: Item) => boolean): Item | undefined {
         let best: Item | undefined;
-        for (const item of line.items) {
+        for (const item of teamQueue.items) {
             if (mayRun(item) && (best === undefined || rank(item) > rank(best))) {
                 best = item;
             }
@@ -95,72 +96,80 @@
         return best;
     }
 
-    function start(item: Item, line: TeamLine<Item>): void {
-        line.running++;
+    function start(item: Item, teamQueue: TeamQueue<Item>): void {
+        teamQueue.running++;
         running++;
-        line.virtualMs += item.costMs / weightOf(item.team);
+        teamQueue.virtualMs += item.costMs / weightOf(item.team);
     }
 
     function pop(mayRun: (item: Item) => boolean): Item | undefined {
         let best: Item | undefined;
-        let bestLine: TeamLine<Item> | undefined;
-        for (const line of lines.values()) {
-            const item = line.items.length === 0 ? undefined : choose(line, mayRun);
-            if (item !== undefined && (bestLine === undefined || comesBefore(item, line, best!, bestLine))) {
+        let bestQueue: TeamQueue<Item> | undefined;
+        for (const teamQueue of teamQueues.values()) {
+            const item = teamQueue.items.length === 0 ? undefined : selectItem(teamQueue, mayRun);
+            if (
+                item !== undefined
+                && (bestQueue === undefined || comesBefore(item, teamQueue, best!, bestQueue))
+            ) {
                 best = item;
-                bestLine = line;
+                bestQueue = teamQueue;
             }
         }
-        if (best !== undefined && bestLine !== undefined) {
-            bestLine.items.splice(bestLine.items.indexOf(best), 1);
+        if (best !== undefined && bestQueue !== undefined) {
+            bestQueue.items.splice(bestQueue.items.indexOf(best), 1);
             waiting--;
-            start(best, bestLine);
+            start(best, bestQueue);
         }
         return best;
     }
 
-    function comesBefore(item: Item, line: TeamLine<Item>, other: Item, otherLine: TeamLine<Item>): boolean {
+    function comesBefore(
+        item: Item,
+        teamQueue: TeamQueue<Item>,
+        other: Item,
+        otherQueue: TeamQueue<Item>,
+    ): boolean {
         const interactive = item.priority >= interactivePriority;
         if (interactive !== other.priority >= interactivePriority) {
             return interactive;
         }
-        return line.virtualMs < otherLine.virtualMs;
+        return teamQueue.virtualMs < otherQueue.virtualMs;
     }
 
     /** With nobody at work there is nothing to be level with: earlier use must not count against anyone. */
-    function forgetIfIdle(): void {
+    function resetIfIdle(): void {
         if (waiting === 0 && running === 0) {
-            lines.clear();
+            teamQueues.clear();
         }
     }
 
     return {
         push: item => {
-            activeLineOf(item.team).items.push(item);
+            activeQueueOf(item.team).items.push(item);
             waiting++;
         },
         pop,
-        charge: item => start(item, activeLineOf(item.team)),
+        charge: item => start(item, activeQueueOf(item.team)),
         remove: item => {
-            const line = lines.get(item.team);
-            const at = line?.items.indexOf(item) ?? -1;
-            if (line === undefined || at < 0) {
+            const teamQueue = teamQueues.get(item.team);
+            const at = teamQueue?.items.indexOf(item) ?? -1;
+            if (teamQueue === undefined || at < 0) {
                 return false;
             }
-            line.items.splice(at, 1);
+            teamQueue.items.splice(at, 1);
             waiting--;
-            forgetIfIdle();
+            resetIfIdle();
             return true;
         },
         settle: (item, engineMs) => {
-            const line = lines.get(item.team)!;
-            line.virtualMs += (engineMs - item.costMs) / weightOf(item.team);
-            line.running--;
+            const teamQueue = teamQueues.get(item.team)!;
+            teamQueue.virtualMs += (engineMs - item.costMs) / weightOf(item.team);
+            teamQueue.running--;
             running--;
-            forgetIfIdle();
+            resetIfIdle();
         },
         size: () => waiting,
-        waitingOf: team => lines.get(team)?.items.length ?? 0,
-        items: () => [...lines.values()].flatMap(line => line.items),
+        waitingOf: team => teamQueues.get(team)?.items.length ?? 0,
+        items: () => [...teamQueues.values()].flatMap(teamQueue => teamQueue.items),
     };
 }
--- a/packages/queue/src/createWaitingQueue.ts
+++ b/packages/queue/src/createWaitingQueue.ts
@@ -1,5 +1,5 @@
+import type { SampleOrdering } from "./SampleOrdering.js";
 import type { WaitingSample } from "./WaitingSample.js";
-import type { WorkOrder } from "./WorkOrder.js";
 
 /** Samples kept in sending order. */
 interface WaitingQueue<Work extends WaitingSample> {
@@ -9,12 +9,12 @@
     due(nowMs: number): Iterable<Work>;
     size(): number;
     /** What the order looks at has changed. */
-    resort(): void;
+    invalidateOrder(): void;
     all(): Iterable<Work>;
 }
 
 /** Makes a queue that sorts when read after a change, which is cheap because most of it is in order already. */
-export function createWaitingQueue<Work extends WaitingSample>(order: WorkOrder): WaitingQueue<Work> {
+export function createWaitingQueue<Work extends WaitingSample>(order: SampleOrdering): WaitingQueue<Work> {
     const members = new Set<Work>();
     /** May still hold what was removed; `members` has the say. */
     let sorted: Work[] = [];
@@ -44,7 +44,7 @@
         remove: work => members.delete(work),
         due,
         size: () => members.size,
-        resort: () => {
+        invalidateOrder: () => {
             isSorted = false;
         },
         all: () => members,
--- a/packages/queue/src/orderByArrival.ts
+++ b/packages/queue/src/orderByArrival.ts
@@ -1,4 +1,4 @@
-import type { WorkOrder } from "./WorkOrder.js";
+import type { SampleOrdering } from "./SampleOrdering.js";
 
 /** Baseline: first come, first served. */
-export const orderByArrival: WorkOrder = (a, b) => a.arrivalOrder - b.arrivalOrder;
+export const orderByArrival: SampleOrdering = (a, b) => a.arrivalOrder - b.arrivalOrder;
--- a/packages/runner/src/createRunner.ts
+++ b/packages/runner/src/createRunner.ts
@@ -1,8 +1,8 @@
 import type { BatchJobStore } from "@auburnarch/batches/BatchJobStore";
 import { createBatchJobStore } from "@auburnarch/batches/createBatchJobStore";
 import { createRequestForwarder } from "@auburnarch/forwarding/createRequestForwarder";
-import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
-import type { LeaseKeeper } from "@auburnarch/lease/LeaseKeeper";
+import { createLeaseManager } from "@auburnarch/lease/createLeaseManager";
+import type { LeaseManager } from "@auburnarch/lease/LeaseManager";
 import { findRoute } from "@auburnarch/routing/findRoute";
 import type { Route } from "@auburnarch/routing/Route";
 import { createDutyHolder } from "./duties/createDutyHolder.js";
@@ -65,13 +65,13 @@
     });
 }
 
-const createLeases = (deps: RunnerDeps): LeaseKeeper =>
-    createLeaseKeeper({
+const createLeases = (deps: RunnerDeps): LeaseManager =>
+    createLeaseManager({
         ...deps,
         random: deps.random.fork(),
         holder: deps.name,
         ttlMs: leaseTtlMs,
-        resumesOwn: true,
+        resumesOwnLeases: true,
     });
 
 /** Lists the duties of a lease holder. Usage is reported only if the platform expects reports. */
--- a/packages/runner/src/duties/createDutyHolder.ts
+++ b/packages/runner/src/duties/createDutyHolder.ts
@@ -1,4 +1,4 @@
-import type { LeaseKeeper } from "@auburnarch/lease/LeaseKeeper";
+import type { LeaseManager } from "@auburnarch/lease/LeaseManager";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Lease } from "@auburnarch/types/Lease";
 import type { Logger } from "@auburnarch/types/Logger";
@@ -7,7 +7,7 @@
 import type { HeldDuties } from "./HeldDuties.js";
 
 interface DutyHolderDeps {
-    leases: LeaseKeeper;
+    leases: LeaseManager;
     /** Duration of the lease. */
     leaseTtlMs: number;
     /** False for some time after a pause of the process was detected. */
--- a/packages/runner/src/items/ItemDispatch.ts
+++ b/packages/runner/src/items/ItemDispatch.ts
@@ -1,13 +1,13 @@
 import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import type { Dispatcher } from "@auburnarch/dispatch/Dispatcher";
-import type { MadeSample } from "@auburnarch/types/MadeSample";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { ItemRun } from "./ItemRun.js";
 
 /** The dispatchers of one runner and the items registered with them. */
 export interface ItemDispatch {
     dispatcherFor(batchJob: BatchJob): Dispatcher;
-    register(task: SampleId, run: ItemRun, onMade: (made: MadeSample) => void): void;
+    register(task: SampleId, run: ItemRun, onMade: (made: GeneratedSample) => void): void;
     forget(task: SampleId): void;
     stop(): Promise<void>;
 }
--- a/packages/runner/src/items/createItemDispatch.ts
+++ b/packages/runner/src/items/createItemDispatch.ts
@@ -9,12 +9,12 @@
 import { findRoute } from "@auburnarch/routing/findRoute";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { JobId } from "@auburnarch/types/JobId";
 import type { JobManifest } from "@auburnarch/types/JobManifest";
 import type { LimitsManifest } from "@auburnarch/types/LimitsManifest";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { Random } from "@auburnarch/types/Random";
 import type { SampleId } from "@auburnarch/types/SampleId";
@@ -49,7 +49,7 @@
 
 interface RegisteredItem {
     run: ItemRun;
-    onMade: (made: MadeSample) => void;
+    onMade: (made: GeneratedSample) => void;
 }
 
 /**
--- a/packages/runner/src/items/createItemSidecar.test.ts
+++ b/packages/runner/src/items/createItemSidecar.test.ts
@@ -1,6 +1,6 @@
 import type { BatchJob } from "@auburnarch/batches/BatchJob";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { SamplerReply } from "@auburnarch/forwarding/SamplerReply";
 import type { SamplerRequest } from "@auburnarch/forwarding/SamplerRequest";
@@ -22,7 +22,7 @@
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 const version = (value: number): WeightVersion => value as WeightVersion;
-const sampler = { incarnation: "s-1" as IncarnationId, served: [] } as unknown as KnownSampler;
+const sampler = { incarnation: "s-1" as IncarnationId, served: [] } as unknown as RegisteredSampler;
 const event = (number: number, weightVersion?: number): ItemEvent => ({
     number,
     data: `e${number}`,
--- a/packages/runner/src/items/createItemSidecar.ts
+++ b/packages/runner/src/items/createItemSidecar.ts
@@ -1,9 +1,9 @@
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { CallSampler } from "@auburnarch/forwarding/CallSampler";
 import type { SamplerReply } from "@auburnarch/forwarding/SamplerReply";
 import type { Route } from "@auburnarch/routing/Route";
-import { readWhole } from "@auburnarch/transport/readWhole";
+import { readFullBody } from "@auburnarch/transport/readFullBody";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
@@ -21,7 +21,7 @@
     findRun: (item: SampleId) => ItemRun | undefined;
     /** The route of an item's path in the current configuration. */
     findRoute: (run: ItemRun) => Route | undefined;
-    findSampler: (sampler: SamplerId) => KnownSampler | undefined;
+    findSampler: (sampler: SamplerId) => RegisteredSampler | undefined;
     callSampler: CallSampler;
     readEvents: ReadItemEvents;
     samplerHealth: SamplerHealth;
@@ -57,7 +57,7 @@
     async function readRun(
         attempt: SampleAttempt,
         reply: Extract<SamplerReply, { kind: "answered"; }>,
-        sampler: KnownSampler,
+        sampler: RegisteredSampler,
         onSpan: (span: TokenSpan) => void,
         spans: TokenSpan[],
     ): Promise<Ended> {
@@ -113,7 +113,7 @@
         attempt: SampleAttempt,
         run: ItemRun,
         route: Route,
-        sampler: KnownSampler,
+        sampler: RegisteredSampler,
         onSpan: (span: TokenSpan) => void,
         signal: AbortSignal,
         spans: TokenSpan[],
@@ -141,7 +141,7 @@
         }
         samplerHealth.recordActivity(sampler.incarnation);
         if (reply.status >= 300) {
-            await readWhole(reply.body, maxFailureBytes);
+            await readFullBody(reply.body, maxFailureBytes);
             return handleFailure(run, reply.status, route);
         }
         return readRun(attempt, reply, sampler, onSpan, spans);
--- a/packages/runner/src/items/describeSampler.ts
+++ b/packages/runner/src/items/describeSampler.ts
@@ -1,4 +1,4 @@
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import type { ConfigVersion } from "@auburnarch/types/ConfigVersion";
 import type { Region } from "@auburnarch/types/Region";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
@@ -12,7 +12,7 @@
  * Describes a registered sampler to the dispatcher. Its load is what runners have sent there: samplers report their
  * own only on request, and late. One event counts as one token, since runs resume at event boundaries.
  */
-export function describeSampler(sampler: KnownSampler, running: number): SamplerReport {
+export function describeSampler(sampler: RegisteredSampler, running: number): SamplerReport {
     return {
         sampler: sampler.incarnation as string as SamplerId,
         vm: `${sampler.host}` as VmId,
--- a/packages/runner/src/jobs/BatchJobRunDeps.ts
+++ b/packages/runner/src/jobs/BatchJobRunDeps.ts
@@ -7,8 +7,8 @@
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 import type { Route } from "@auburnarch/routing/Route";
 import type { Clock } from "@auburnarch/types/Clock";
+import type { GeneratedSample } from "@auburnarch/types/GeneratedSample";
 import type { Logger } from "@auburnarch/types/Logger";
-import type { MadeSample } from "@auburnarch/types/MadeSample";
 import type { Random } from "@auburnarch/types/Random";
 import type { SampleId } from "@auburnarch/types/SampleId";
 import type { ItemRun } from "../items/ItemRun.js";
@@ -30,7 +30,7 @@
     tokensPerEvent: (batchJob: BatchJob) => number;
     scoreItem: ScoreItem;
     /** Registers a task for the sidecars, with the callback that receives its finished text. */
-    register: (task: SampleId, run: ItemRun, onMade: (made: MadeSample) => void) => void;
+    register: (task: SampleId, run: ItemRun, onMade: (made: GeneratedSample) => void) => void;
     forget: (task: SampleId) => void;
     seenGroups: ReturnType<typeof createSeenGroups>;
     textCache: TextCache;
--- a/packages/runner/src/peers/createTimedProbe.ts
+++ b/packages/runner/src/peers/createTimedProbe.ts
@@ -10,7 +10,7 @@
     /** Evaluated at each probe: only the holder of the duties needs the counts. */
     wantsStarts: () => boolean;
     starts: Pick<StartCountRegistry, "learn"> | undefined;
-    trueTime: Pick<TrueTimeEstimate, "learn">;
+    trueTime: Pick<TrueTimeEstimate, "recordReading">;
     clock: Clock;
 }
 
@@ -21,7 +21,7 @@
         const sentAtMs = clock.monotonicMs();
         const status = await deps.probe(address, timeoutMs, { wantsStarts: deps.wantsStarts() });
         if (status.wallMs !== undefined) {
-            trueTime.learn(status.incarnation, status.wallMs, (sentAtMs + clock.monotonicMs()) / 2);
+            trueTime.recordReading(status.incarnation, status.wallMs, (sentAtMs + clock.monotonicMs()) / 2);
         }
         status.starts?.forEach(report => starts?.learn(report));
         return status;
--- a/packages/runner/src/testing/createReportingProcess.ts
+++ b/packages/runner/src/testing/createReportingProcess.ts
@@ -1,6 +1,6 @@
 import { createPausableProcess } from "@auburnarch/fakes/createPausableProcess";
 import { createInvariants } from "@auburnarch/invariants/createInvariants";
-import { createLeaseKeeper } from "@auburnarch/lease/createLeaseKeeper";
+import { createLeaseManager } from "@auburnarch/lease/createLeaseManager";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
@@ -74,7 +74,7 @@
         await ownClock.sleep(1);
         return outcome;
     };
-    const leases = createLeaseKeeper({
+    const leases = createLeaseManager({
         store: paused.store,
         clock: ownClock,
         random: random.fork(),
@@ -82,7 +82,7 @@
         invariants: createInvariants(silent, failOnBrokenInvariant),
         holder: name,
         ttlMs: leaseTtlMs,
-        resumesOwn: true,
+        resumesOwnLeases: true,
     });
     const trueTime = {
         nowMs: clock.wallMs,
--- a/packages/runner/src/weights/EngineOrders.ts
+++ b/packages/runner/src/weights/EngineOrders.ts
@@ -1,4 +1,4 @@
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
@@ -20,6 +20,6 @@
 /** The orders that samplers accept, and their reports of their engines. */
 export interface EngineOrders {
     /** Undefined if the sampler does not answer. */
-    readStatus(sampler: KnownSampler): Promise<EngineStatus | undefined>;
-    load(sampler: KnownSampler, order: LoadOrder): Promise<OrderOutcome>;
+    readStatus(sampler: RegisteredSampler): Promise<EngineStatus | undefined>;
+    load(sampler: RegisteredSampler, order: LoadOrder): Promise<OrderOutcome>;
 }
--- a/packages/runner/src/weights/createLoadScheduler.test.ts
+++ b/packages/runner/src/weights/createLoadScheduler.test.ts
@@ -1,6 +1,6 @@
 import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import type { WatchedKind } from "@auburnarch/discovery/WatchedKind";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
@@ -38,13 +38,13 @@
     const sent: string[] = [];
     const state = { mayOrder: true, loading: 0, most: 0, reportedBornAtMs: undefined as number | undefined };
 
-    const samplerOf = (name: string): KnownSampler =>
+    const samplerOf = (name: string): RegisteredSampler =>
         ({
             incarnation: name as IncarnationId,
             bornAtMs: 1_000,
             service,
             served: [{ policy, version: versions.get(name)! as WeightVersion }],
-        }) as unknown as KnownSampler;
+        }) as unknown as RegisteredSampler;
 
     const scheduler = createLoadScheduler({
         self: "r1",
--- a/packages/runner/src/weights/createLoadScheduler.ts
+++ b/packages/runner/src/weights/createLoadScheduler.ts
@@ -1,5 +1,5 @@
 import type { BatchJobEntry } from "@auburnarch/batches/BatchJobEntry";
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
@@ -30,7 +30,7 @@
  * would be refused as long as the two counts differ, or, where they are equal, be void for a load that was never
  * made.
  */
-const isOfDifferentStart = (status: EngineStatus, sampler: KnownSampler): boolean =>
+const isOfDifferentStart = (status: EngineStatus, sampler: RegisteredSampler): boolean =>
     status.bornAtMs !== undefined && sampler.bornAtMs !== undefined && status.bornAtMs !== sampler.bornAtMs;
 
 const sizeOf = (
@@ -53,11 +53,11 @@
     const accepted = new Map<IncarnationId, number>();
     let loading = 0;
 
-    const servedVersion = (sampler: KnownSampler, policy: PolicyId): number =>
+    const servedVersion = (sampler: RegisteredSampler, policy: PolicyId): number =>
         versionOf(directory.find(sampler.incarnation), policy);
 
     async function waitForLoad(
-        sampler: KnownSampler,
+        sampler: RegisteredSampler,
         policy: PolicyId,
         target: WeightVersion,
     ): Promise<boolean> {
@@ -71,7 +71,7 @@
         return false;
     }
 
-    async function countOrders(sampler: KnownSampler): Promise<number | undefined> {
+    async function countOrders(sampler: RegisteredSampler): Promise<number | undefined> {
         const known = accepted.get(sampler.incarnation);
         if (known !== undefined) {
             return known;
@@ -85,7 +85,7 @@
     }
 
     /** After an unclear answer the count is queried again before the next order. */
-    function recordOutcome(sampler: KnownSampler, expectedOrders: number, outcome: OrderOutcome): void {
+    function recordOutcome(sampler: RegisteredSampler, expectedOrders: number, outcome: OrderOutcome): void {
         if (outcome === "accepted") {
             accepted.set(sampler.incarnation, expectedOrders + 1);
         }
@@ -94,7 +94,11 @@
         }
     }
 
-    async function load(sampler: KnownSampler, policy: PolicyId, version: WeightVersion): Promise<boolean> {
+    async function load(
+        sampler: RegisteredSampler,
+        policy: PolicyId,
+        version: WeightVersion,
+    ): Promise<boolean> {
         const expectedOrders = await countOrders(sampler);
         if (expectedOrders === undefined || !deps.mayOrder()) {
             return false;
@@ -117,7 +121,7 @@
         return mayTakeEffect && waitForLoad(sampler, policy, version);
     }
 
-    async function run(sampler: KnownSampler, policy: PolicyId, version: WeightVersion): Promise<void> {
+    async function run(sampler: RegisteredSampler, policy: PolicyId, version: WeightVersion): Promise<void> {
         const { incarnation } = sampler;
         loading++;
         blocked.set(incarnation, policy);
--- a/packages/runner/src/weights/listDueLoads.ts
+++ b/packages/runner/src/weights/listDueLoads.ts
@@ -1,4 +1,4 @@
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { DueLoad } from "./DueLoad.js";
@@ -44,7 +44,7 @@
  */
 export function listDueLoads(
     need: PolicyNeed,
-    own: KnownSampler[],
+    own: RegisteredSampler[],
     blocked: ReadonlyMap<IncarnationId, PolicyId>,
 ): PolicyDue {
     const { policy, target } = need;
@@ -53,15 +53,16 @@
         return { loads: [], usable: own.length, missing: 0 };
     }
     const free = own.filter(({ incarnation }) => !blocked.has(incarnation));
-    const isUnusable = (sampler: KnownSampler): boolean => versionOf(sampler, policy) < target - maxUsableLag;
-    const isFresh = (sampler: KnownSampler): boolean => versionOf(sampler, policy) >= target;
+    const isUnusable = (sampler: RegisteredSampler): boolean =>
+        versionOf(sampler, policy) < target - maxUsableLag;
+    const isFresh = (sampler: RegisteredSampler): boolean => versionOf(sampler, policy) >= target;
     const unusable = free.filter(isUnusable);
     const missing = Math.ceil(own.length / 2) - own.filter(isFresh).length - loading - unusable.length;
     const urgency = urgencyOfEarlyLoad(need);
     const early = urgency === loadUrgency.notNow
         ? []
         : free.filter(each => !isUnusable(each) && !isFresh(each));
-    const toLoad = (sampler: KnownSampler, at: number): DueLoad => ({
+    const toLoad = (sampler: RegisteredSampler, at: number): DueLoad => ({
         sampler,
         policy,
         version: target,
--- a/packages/runner/src/weights/planLoads.test.ts
+++ b/packages/runner/src/weights/planLoads.test.ts
@@ -1,4 +1,4 @@
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import { createTestSampler } from "@auburnarch/discovery/testing/createTestSampler";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
@@ -10,7 +10,7 @@
 const policies = ["plume", "ridge", "valley"] as PolicyId[];
 const at = (version: number): WeightVersion => version as WeightVersion;
 
-const sampler = (name: string, versions: number[] = [1, 1, 1]): KnownSampler =>
+const sampler = (name: string, versions: number[] = [1, 1, 1]): RegisteredSampler =>
     createTestSampler(name, {
         service: "rollout" as ServiceId,
         maxBatch: 12,
--- a/packages/runner/src/weights/planLoads.ts
+++ b/packages/runner/src/weights/planLoads.ts
@@ -1,4 +1,4 @@
-import type { KnownSampler } from "@auburnarch/discovery/KnownSampler";
+import type { RegisteredSampler } from "@auburnarch/discovery/RegisteredSampler";
 import { rankByRendezvous } from "@auburnarch/membership/rankByRendezvous";
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 import type { PolicyId } from "@auburnarch/types/PolicyId";
@@ -11,7 +11,7 @@
 import { widenShares } from "./widenShares.js";
 
 interface PlanLoadsInput {
-    samplers: KnownSampler[];
+    samplers: RegisteredSampler[];
     needs: PolicyNeed[];
     /** Samplers with an order in progress, or paused after a failure, with the policy of the order. */
     blocked: ReadonlyMap<IncarnationId, PolicyId>;
@@ -34,7 +34,7 @@
  * Lists the samplers on which an earlier holder of the duty loaded the policy, newest version first. A new holder
  * that chose samplers independently would abandon those that can serve the next step and load others.
  */
-function listServing(samplers: KnownSampler[], policy: PolicyId): IncarnationId[] {
+function listServing(samplers: RegisteredSampler[], policy: PolicyId): IncarnationId[] {
     return samplers
         .filter(sampler => versionOf(sampler, policy) > firstVersion)
         .sort((a, b) => versionOf(b, policy) - versionOf(a, policy))
@@ -79,7 +79,7 @@
     }
 }
 
-const assignedTo = ({ policy }: PolicyNeed, { samplers, assigned }: PlanLoadsInput): KnownSampler[] =>
+const assignedTo = ({ policy }: PolicyNeed, { samplers, assigned }: PlanLoadsInput): RegisteredSampler[] =>
     samplers.filter(({ incarnation }) => assigned.get(policy)!.has(incarnation));
 
 /**
--- a/packages/sidecar/src/createAttemptTable.test.ts
+++ b/packages/sidecar/src/createAttemptTable.test.ts
@@ -1,12 +1,16 @@
 import type { AttemptId } from "@auburnarch/types/AttemptId";
-import { attemptMemoryMs } from "@auburnarch/types/attemptMemoryMs";
+import { attemptRetentionMs } from "@auburnarch/types/attemptRetentionMs";
 import fc from "fast-check";
 import { expect, test } from "vitest";
 import { createAttemptTable } from "./createAttemptTable.js";
 
 test("within the memory time no attempt that ran is reported as never seen, however small the table", () => {
     // Guards against a sender that is answered "not run" for an attempt that ran, and sends it again.
-    const step = fc.record({ waitMs: fc.nat(attemptMemoryMs / 3), attempt: fc.nat(30), ask: fc.boolean() });
+    const step = fc.record({
+        waitMs: fc.nat(attemptRetentionMs / 3),
+        attempt: fc.nat(30),
+        ask: fc.boolean(),
+    });
     fc.assert(
         fc.property(fc.array(step, { maxLength: 80 }), fc.integer({ min: 1, max: 12 }), (steps, capacity) => {
             let nowMs = 0;
@@ -17,7 +21,7 @@
                 const id = `a${attempt}` as AttemptId;
                 const ranMs = ranAtMs.get(attempt);
                 if (ask) {
-                    const remembered = ranMs !== undefined && nowMs - ranMs < attemptMemoryMs;
+                    const remembered = ranMs !== undefined && nowMs - ranMs < attemptRetentionMs;
                     expect(remembered && table.query(id) === "neverSeen").toBe(false);
                 }
                 else if (table.standing(id) === undefined && ranMs === undefined) {
--- a/packages/sidecar/src/createAttemptTable.ts
+++ b/packages/sidecar/src/createAttemptTable.ts
@@ -1,5 +1,5 @@
 import type { AttemptId } from "@auburnarch/types/AttemptId";
-import { attemptMemoryMs } from "@auburnarch/types/attemptMemoryMs";
+import { attemptRetentionMs } from "@auburnarch/types/attemptRetentionMs";
 import type { AttemptState } from "@auburnarch/types/AttemptState";
 import type { AttemptStanding } from "./AttemptStanding.js";
 import type { AttemptTable } from "./AttemptTable.js";
@@ -29,7 +29,7 @@
     const running = new Set<AttemptId>();
     const ended = createAgingMap<AttemptId, "finished" | "refused">({
         nowMs,
-        memoryMs: attemptMemoryMs,
+        memoryMs: attemptRetentionMs,
         capacity,
     });
     const tombstones = createAgingMap<AttemptId, "tombstone">({
--- a/packages/sidecar/src/createOrderRunner.test.ts
+++ b/packages/sidecar/src/createOrderRunner.test.ts
@@ -99,7 +99,7 @@
         const setup = await createReadySidecar({ engine: { statesFingerprint: stamped } });
         const sample = run(setup, setup.attempt("a"));
         await setup.clock.advance(250);
-        setup.control.serveSilently("plume" as PolicyId, 9 as WeightVersion);
+        setup.control.setServedVersion("plume" as PolicyId, 9 as WeightVersion);
         const outcome = versions(await finished(setup, sample));
         expect(outcome).toBe(stamped ? "1,9" : "unknown incarnationChanged");
         expect(setup.sidecar.report().served).toEqual([{ policy: "plume", version: 9 }]);
--- a/packages/sidecar/src/createPlainHandler.ts
+++ b/packages/sidecar/src/createPlainHandler.ts
@@ -3,9 +3,9 @@
 import { pipeBody } from "@auburnarch/streams/pipeBody";
 import { readRequest } from "@auburnarch/streams/readRequest";
 import { responseSink } from "@auburnarch/streams/responseSink";
-import { passHeaders } from "@auburnarch/transport/passHeaders";
 import { sidecarHeaders } from "@auburnarch/transport/sidecarHeaders";
-import { writeHeaders } from "@auburnarch/transport/writeHeaders";
+import { toForwardedHeaders } from "@auburnarch/transport/toForwardedHeaders";
+import { toNodeHeaders } from "@auburnarch/transport/toNodeHeaders";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
 import type { Clock } from "@auburnarch/types/Clock";
@@ -73,7 +73,7 @@
     async function writeAnswer(response: ServerResponse, answer: PlainAnswer): Promise<void> {
         const streamed = answer.headers["content-type"]?.startsWith("text/event-stream") ?? false;
         const sink = responseSink(response, answer.status, {
-            ...writeHeaders(answer.headers),
+            ...toNodeHeaders(answer.headers),
             [sidecarHeaders.outcome]: "ran",
             [sidecarHeaders.incarnation]: incarnation,
         });
@@ -132,7 +132,7 @@
         idempotent: headers[sidecarHeaders.idempotent] === "1",
         method: request.method ?? "GET",
         path: (request.url ?? "").slice(prefix.length),
-        headers: passHeaders(headers),
+        headers: toForwardedHeaders(headers),
         body: new Uint8Array(0),
     };
 }
--- a/packages/sidecar/src/createSidecar.test.ts
+++ b/packages/sidecar/src/createSidecar.test.ts
@@ -96,7 +96,7 @@
         "twice": "unknown connectionBroken",
       }
     `);
-    expect([...setup.control.starts().keys()]).toEqual(["twice"]);
+    expect([...setup.control.startsByAttempt().keys()]).toEqual(["twice"]);
     expect(setup.invariants.violations()).toBe(0);
 });
 
@@ -107,7 +107,7 @@
     expect(asked.state).toBe("neverSeen");
     expect(await run(setup, setup.attempt("a"))).toBe("notRun tombstoned");
     expect((await setup.sidecar.queryAttempt("a" as AttemptId)).state).toBe("neverSeen");
-    expect(setup.control.starts().size).toBe(0);
+    expect(setup.control.startsByAttempt().size).toBe(0);
 });
 
 test("a restarted sidecar answers only for its own incarnation", async () => {
@@ -129,7 +129,7 @@
 test("an engine crash makes its attempts unknown and their contents suspect", async () => {
     // Guards against one crash-inducing content that crashes engine after engine.
     const setup = await createReadySidecar();
-    setup.control.killOn(request => request.attempt === "poison");
+    setup.control.crashOn(request => request.attempt === "poison");
     const crashing = start(setup, setup.attempt("poison"));
     const neighbour = start(setup, setup.attempt("neighbour"));
     await setup.clock.advance(200);
@@ -245,5 +245,5 @@
         "notRun queueFull",
     ]);
     await setup.clock.advance(30_000);
-    expect([...setup.control.starts().keys()]).toEqual(["running", "soon"]);
+    expect([...setup.control.startsByAttempt().keys()]).toEqual(["running", "soon"]);
 });
--- a/packages/sidecar/src/createTrialReservation.test.ts
+++ b/packages/sidecar/src/createTrialReservation.test.ts
@@ -38,11 +38,11 @@
     run("after");
     run("refused", { digest: "digest-x" });
     await clock.advance(100);
-    expect([...control.starts().keys()]).toEqual(["before"]);
+    expect([...control.startsByAttempt().keys()]).toEqual(["before"]);
     expect(ends).toEqual({ after: "overloaded", refused: "overloaded" });
     expect(sidecar.report().limit).toBe(1);
     await clock.advance(1_500);
-    expect([...control.starts().keys()]).toEqual(["before", "trial"]);
+    expect([...control.startsByAttempt().keys()]).toEqual(["before", "trial"]);
     run("during");
     await clock.advance(1_500);
     expect(ends).toMatchObject({ before: "ran true", during: "overloaded", trial: "ran true" });
@@ -61,7 +61,7 @@
     expect(ends).toEqual({ second: "overloaded" });
     await clock.advance(500);
     expect(ends).toMatchObject({ long: "ran false" });
-    expect(control.starts().has("first" as never)).toBe(true);
+    expect(control.startsByAttempt().has("first" as never)).toBe(true);
 });
 
 test("a trial with a small budget is refused while half of the budget is left", async () => {
--- a/packages/sidecar/src/serveSidecar.test.ts
+++ b/packages/sidecar/src/serveSidecar.test.ts
@@ -7,8 +7,8 @@
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
 import { createHttpSidecar } from "@auburnarch/transport/createHttpSidecar";
 import type { HttpSidecar } from "@auburnarch/transport/HttpSidecar";
-import { passHeaders } from "@auburnarch/transport/passHeaders";
-import { readWhole } from "@auburnarch/transport/readWhole";
+import { readFullBody } from "@auburnarch/transport/readFullBody";
+import { toForwardedHeaders } from "@auburnarch/transport/toForwardedHeaders";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { EnginePort } from "@auburnarch/types/EnginePort";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
@@ -103,7 +103,7 @@
     const deaths = vms.map(vm => ({ vm, bootId: "b", atMs: clock.wallMs() }));
     const record = { digest: "d", deaths, expiresAtMs: clock.wallMs() + 60_000 };
     sidecar.offerQuarantine(1, [record] as unknown as Parameters<Sidecar["offerQuarantine"]>[1]);
-    const claimed = passHeaders({ "x-auburnarch-trial": "1" });
+    const claimed = toForwardedHeaders({ "x-auburnarch-trial": "1" });
     const refused = await client.callPlain(plainRequest({ headers: claimed }), never);
     expect(refused).toMatchObject({ kind: "notRun", code: { name: "quarantined" } });
     expect(await client.callPlain(plainRequest({ isTrial: true }), never)).toMatchObject({ kind: "ran" });
@@ -142,7 +142,7 @@
 test("plain bodies pass both ways, and completions state the versions that produced them", async () => {
     const plain = await serve(undefined, createFakePlainService({ clock }).backend);
     const outcome = await plain.client.callPlain(plainRequest(), never);
-    const body = outcome.kind === "ran" ? (await readWhole(outcome.answer.body, 1_000)).toString() : "";
+    const body = outcome.kind === "ran" ? (await readFullBody(outcome.answer.body, 1_000)).toString() : "";
     expect(JSON.parse(body)).toMatchObject({ method: "POST", path: "/tile?x=1" });
 
     const model = await serve(fastEngine().engine, undefined);
@@ -150,7 +150,7 @@
         const request = plainRequest({ path: "/v1/completions", body: Buffer.from(JSON.stringify(json)) });
         const answered = await model.client.callPlain(request, never);
         return answered.kind === "ran"
-            ? (await readWhole(answered.answer.body, 100_000)).toString()
+            ? (await readFullBody(answered.answer.body, 100_000)).toString()
             : answered.kind;
     };
     expect(JSON.parse(await ask({ model: "plume", prompt: "p" }))).toMatchObject({
@@ -174,7 +174,7 @@
             if (outcome.kind !== "ran") {
                 return outcome.kind;
             }
-            return readWhole(outcome.answer.body, 1_000_000).then(
+            return readFullBody(outcome.answer.body, 1_000_000).then(
                 body => `${body.length} bytes`,
                 error => error.name,
             );
@@ -350,6 +350,6 @@
     );
     expect(JSON.parse((await post(port, "/samples", "x".repeat(70_000))).text)).toMatchObject({ code: 1006 });
     expect(JSON.parse((await post(port, "/rpc", "[".repeat(1_000))).text)).toMatchObject({ code: 1000 });
-    expect(control.starts().size).toBe(0);
+    expect(control.startsByAttempt().size).toBe(0);
     expect(await client.readReport()).toMatchObject({ state: "ready" });
 });
--- a/packages/soak/src/Trouble.ts
+++ b/packages/soak/src/FaultInterval.ts
@@ -1,7 +1,7 @@
 import type { SoakFault } from "./SoakFault.js";
 
 /** When a fault struck. */
-export interface Trouble {
+export interface FaultInterval {
     kind: SoakFault["kind"];
     fromMs: number;
     /** Infinite while it lasts. */
--- a/packages/soak/src/Program.ts
+++ b/packages/soak/src/Program.ts
@@ -10,11 +10,11 @@
     /** Standard output of all starts, newest lines last. */
     lines(): string[];
     /** Exits that nobody asked for. */
-    ownExits(): string[];
+    unexpectedExits(): string[];
     start(): void;
     signal(name: "SIGSTOP" | "SIGCONT" | "SIGHUP"): void;
     /** Ends it and resolves once it is gone; `SIGTERM` gives it its grace period. */
     end(name: "SIGKILL" | "SIGTERM"): Promise<void>;
     /** What stands in its data folder is lost, or its newest file cut short. */
-    spoilDisk(how: "torn" | "wiped"): Promise<void>;
+    damageDisk(damage: "torn" | "wiped"): Promise<void>;
 }
--- a/packages/soak/src/Witness.ts
+++ b/packages/soak/src/PromiseChecker.ts
@@ -1,6 +1,6 @@
 /** Collects what breaks a promise. */
-export interface Witness {
+export interface PromiseChecker {
     /** Notes a breach unless `holds`. */
-    check(holds: boolean, promise: string, detail: unknown): void;
+    check(isKept: boolean, promise: string, detail: unknown): void;
     breaches(): { atMs: number; promise: string; detail: string; }[];
 }
--- a/packages/soak/src/SoakBed.ts
+++ b/packages/soak/src/SoakTestBed.ts
@@ -1,14 +1,14 @@
-import type { PlatformStoreStandIn } from "@auburnarch/platform/testing/PlatformStoreStandIn";
-import type { SamplerStandIn } from "@auburnarch/platform/testing/SamplerStandIn";
-import type { UsageReportsStandIn } from "@auburnarch/platform/testing/UsageReportsStandIn";
+import type { FakePlatformStore } from "@auburnarch/platform/testing/FakePlatformStore";
+import type { FakeSampler } from "@auburnarch/platform/testing/FakeSampler";
+import type { FakeUsageReports } from "@auburnarch/platform/testing/FakeUsageReports";
 import type { LinkProxy } from "./LinkProxy.js";
 import type { Program } from "./Program.js";
 
 /** A sampler's place: the sampler that stands there now, behind its link. */
-interface SamplerPlace {
+interface SamplerSlot {
     service: string;
     link: LinkProxy;
-    current(): SamplerStandIn;
+    current(): FakeSampler;
     /** Puts a new sampler there; the old one goes on for a while, as a draining one does. */
     replace(isAnnounced: boolean): Promise<void>;
     /** The sampler leaves for good, without a word first if not announced, and goes on serving whoever still sends. */
@@ -16,20 +16,20 @@
 }
 
 /** The processes and stand-ins of one run. */
-export interface SoakBed {
+export interface SoakTestBed {
     models: string[];
     /** Events of each item's text. */
-    eventsOfItem: number;
-    store: PlatformStoreStandIn;
-    usageReports: UsageReportsStandIn;
+    eventsPerItem: number;
+    store: FakePlatformStore;
+    usageReports: FakeUsageReports;
     gateways: Program[];
     /** Gateways and runners. */
     programs: Program[];
     /** Way of each program to the store, by its name. */
     storeLinks: Map<string, LinkProxy>;
-    places: SamplerPlace[];
+    slots: SamplerSlot[];
     /** Every sampler that ever stood anywhere. */
-    samplers: SamplerStandIn[];
+    samplers: FakeSampler[];
     /** When each sampler was first said to leave, by its id. */
     leftAtMs: Map<string, number>;
     /** Newest version that a trainer named, by model. */
--- a/packages/soak/src/StepRecord.ts
+++ b/packages/soak/src/StepRecord.ts
@@ -12,5 +12,5 @@
     /** When the end was acknowledged. */
     endedAtMs: number | undefined;
     /** The trainer has asked for the end. */
-    isEndAsked: boolean;
+    isEndRequested: boolean;
 }
--- a/packages/soak/src/checkEnd.ts
+++ b/packages/soak/src/checkFinalState.ts
@@ -1,17 +1,22 @@
 import type { PlainCall } from "./PlainCall.js";
-import type { SoakBed } from "./SoakBed.js";
+import type { PromiseChecker } from "./PromiseChecker.js";
+import type { SoakTestBed } from "./SoakTestBed.js";
 import type { StepRecord } from "./StepRecord.js";
-import type { Witness } from "./Witness.js";
 
 /** Statuses that promise that a request has not run and never will. */
-const promises = new Set([429, 503, 408, 421]);
+const notRunStatuses = new Set([429, 503, 408, 421]);
 /** Three seconds for an end to be known everywhere, and the longest fault that may hide it from a runner. */
-const cancelMs = 8_000;
+const cancelLimitMs = 8_000;
 /** Orders of two holders to one sampler are at least this far apart. */
 const orderHandOverMs = 3_000;
 
 /** Checks, from what the samplers and the processes' logs say, what shows only once all is over. */
-export function checkEnd(bed: SoakBed, witness: Witness, steps: StepRecord[], calls: PlainCall[]): void {
+export function checkFinalState(
+    bed: SoakTestBed,
+    checker: PromiseChecker,
+    steps: StepRecord[],
+    calls: PlainCall[],
+): void {
     const runsById = new Map<string, { sampler: string; atMs: number; }[]>();
     for (const sampler of bed.samplers) {
         for (const { id, atMs } of sampler.runs()) {
@@ -21,19 +26,19 @@
 
     for (const { requestId, isRepeatable, status } of calls) {
         const runs = runsById.get(requestId) ?? [];
-        witness.check(isRepeatable || runs.length <= 1, "it runs once at most", { requestId, runs });
-        const isTrue = isRepeatable || !promises.has(status) || runs.length === 0;
-        witness.check(isTrue, "what was refused did not run", { requestId, status, runs });
+        checker.check(isRepeatable || runs.length <= 1, "it runs once at most", { requestId, runs });
+        const isKept = isRepeatable || !notRunStatuses.has(status) || runs.length === 0;
+        checker.check(isKept, "what was refused did not run", { requestId, status, runs });
     }
 
     for (const step of steps) {
-        const isRefused = !step.isAccepted && step.submissions.every(status => promises.has(status));
+        const isRefused = !step.isAccepted && step.submissions.every(status => notRunStatuses.has(status));
         for (const item of step.items) {
             const runs = runsById.get(item) ?? [];
-            witness.check(!isRefused || runs.length === 0, "a refused job does not run", { item, runs });
+            checker.check(!isRefused || runs.length === 0, "a refused job does not run", { item, runs });
             const endMs = step.endedAtMs ?? Infinity;
-            const late = runs.filter(run => run.atMs > endMs + cancelMs);
-            witness.check(late.length === 0, "an ended job does not run", { item, endMs, late });
+            const late = runs.filter(run => run.atMs > endMs + cancelLimitMs);
+            checker.check(late.length === 0, "an ended job does not run", { item, endMs, late });
         }
     }
 
@@ -42,14 +47,14 @@
             const before = all[index - 1];
             const isOther = before !== undefined && before.holder !== order.holder;
             const isApart = !isOther || order.atMs - before.atMs >= orderHandOverMs;
-            witness.check(isApart, "orders come from one holder", { sampler: sampler.id, before, order });
+            checker.check(isApart, "orders come from one holder", { sampler: sampler.id, before, order });
         });
     }
 
     for (const program of bed.programs) {
         const broken = program.lines().filter(line => line.includes("event=promiseBroken"));
-        witness.check(broken.length === 0, "no assertion of the program failed", broken);
-        const exits = program.ownExits();
-        witness.check(exits.length === 0, "no process ends by itself", exits);
+        checker.check(broken.length === 0, "no assertion of the program failed", broken);
+        const exits = program.unexpectedExits();
+        checker.check(exits.length === 0, "no process ends by itself", exits);
     }
 }
--- a/packages/soak/src/checkTeams.ts
+++ b/packages/soak/src/checkTeams.ts
@@ -1,14 +1,14 @@
-import type { SoakBed } from "./SoakBed.js";
+import type { PromiseChecker } from "./PromiseChecker.js";
 import { soakTeam } from "./soakTeam.js";
-import type { Witness } from "./Witness.js";
+import type { SoakTestBed } from "./SoakTestBed.js";
 
 /** Checks what samplers heard of the clients' team, what was reported of it, and that its key stayed with the clients. */
-export function checkTeams(bed: SoakBed, witness: Witness, itemIds: Set<string>): void {
+export function checkTeams(bed: SoakTestBed, checker: PromiseChecker, itemIds: Set<string>): void {
     for (const sampler of bed.samplers) {
         for (const { id, team, credential } of sampler.runs()) {
             const isNamed = team === soakTeam.name || (team === undefined && !itemIds.has(id));
-            witness.check(isNamed, "a sampler hears the team of the key", { id, team });
-            witness.check(credential === undefined, "a sampler hears no key", { id });
+            checker.check(isNamed, "a sampler hears the team of the key", { id, team });
+            checker.check(credential === undefined, "a sampler hears no key", { id });
         }
     }
 
@@ -17,14 +17,14 @@
         const text = JSON.stringify(counts);
         const before = reported.get(window) ?? text;
         reported.set(window, before);
-        witness.check(before === text, "a window is reported with the same counts", { window, before, text });
+        checker.check(before === text, "a window is reported with the same counts", { window, before, text });
     }
 
     for (const program of bed.programs) {
-        const told = program.lines().filter(line => line.includes(soakTeam.key));
-        witness.check(told.length === 0, "no log line shows a key", {
+        const exposingLines = program.lines().filter(line => line.includes(soakTeam.key));
+        checker.check(exposingLines.length === 0, "no log line shows a key", {
             program: program.name,
-            lines: told.length,
+            lines: exposingLines.length,
         });
     }
 }
--- a/packages/soak/src/checks.test.ts
+++ b/packages/soak/src/checks.test.ts
@@ -1,25 +1,25 @@
 import { createFakeClock } from "@auburnarch/clock/createFakeClock";
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { expect, test } from "vitest";
-import { checkEnd } from "./checkEnd.js";
-import { checkLeft } from "./checkLeft.js";
+import { checkDepartedSamplers } from "./checkDepartedSamplers.js";
+import { checkFinalState } from "./checkFinalState.js";
 import { checkPage } from "./checkPage.js";
 import { checkTeams } from "./checkTeams.js";
-import { createWitness } from "./createWitness.js";
+import { createPromiseChecker } from "./createPromiseChecker.js";
 import { drawFaults } from "./drawFaults.js";
-import type { SoakBed } from "./SoakBed.js";
+import type { FaultInterval } from "./FaultInterval.js";
 import { soakTeam } from "./soakTeam.js";
+import type { SoakTestBed } from "./SoakTestBed.js";
 import type { StepRecord } from "./StepRecord.js";
-import type { Trouble } from "./Trouble.js";
 
-type Sampler = SoakBed["samplers"][number];
+type Sampler = SoakTestBed["samplers"][number];
 
 const run = (id: string, atMs = 0, version = 2) => ({ id, after: 0, version, atMs });
 const order = (holder: string, atMs: number) => ({ model: "m", version: 2, holder, fence: 1, atMs });
 
-function bedOf(runs: ReturnType<Sampler["runs"]>, over: Partial<SoakBed> = {}): SoakBed {
+function bedOf(runs: ReturnType<Sampler["runs"]>, over: Partial<SoakTestBed> = {}): SoakTestBed {
     const sampler = { id: "s-1", runs: () => runs, orders: () => [] as ReturnType<Sampler["orders"]> };
-    return { eventsOfItem: 2, samplers: [sampler], programs: [], ...over } as unknown as SoakBed;
+    return { eventsPerItem: 2, samplers: [sampler], programs: [], ...over } as unknown as SoakTestBed;
 }
 
 const stepOf = (over: Partial<StepRecord> = {}): StepRecord => ({
@@ -31,7 +31,7 @@
     isAccepted: true,
     positions: new Map(),
     endedAtMs: undefined,
-    isEndAsked: false,
+    isEndRequested: false,
     ...over,
 });
 const result = (id: string, over: Record<string, unknown> = {}) => ({
@@ -48,13 +48,13 @@
     pages: { after: number; results: unknown[]; atMs?: number; }[],
     runs = [run("a"), run("b")],
 ): string[] {
-    const witness = createWitness(createFakeClock());
+    const checker = createPromiseChecker(createFakeClock());
     const step = stepOf();
     for (const { after, results, atMs = 0 } of pages) {
         const body = JSON.stringify({ total: 2, next: after + results.length, results });
-        checkPage(bedOf(runs), witness, step, after, body, atMs);
+        checkPage(bedOf(runs), checker, step, after, body, atMs);
     }
-    return witness.breaches().map(breach => breach.promise);
+    return checker.breaches().map(breach => breach.promise);
 }
 
 test("a page that keeps every promise passes, and each broken one is named", () => {
@@ -86,25 +86,29 @@
     });
 });
 
-function endBreaches(bed: SoakBed, steps: StepRecord[] = [], status = 200): string[] {
-    const witness = createWitness(createFakeClock());
-    checkEnd(bed, witness, steps, [{ requestId: "q", isRepeatable: false, status }]);
-    return witness.breaches().map(breach => breach.promise);
+function finalStateBreaches(bed: SoakTestBed, steps: StepRecord[] = [], status = 200): string[] {
+    const checker = createPromiseChecker(createFakeClock());
+    checkFinalState(bed, checker, steps, [{ requestId: "q", isRepeatable: false, status }]);
+    return checker.breaches().map(breach => breach.promise);
 }
 
 test("what shows only in the end is named too", () => {
     const orders = [order("r1", 0), order("r2", 1_000)];
     const sampler = { id: "s-1", runs: () => [], orders: () => orders } as unknown as Sampler;
-    const program = { lines: () => ["event=promiseBroken"], ownExits: () => ["front-1: 1"] };
+    const program = { lines: () => ["event=promiseBroken"], unexpectedExits: () => ["front-1: 1"] };
     expect({
-        good: endBreaches(bedOf([run("q")])),
-        twice: endBreaches(bedOf([run("q"), run("q")])),
-        ranThough: endBreaches(bedOf([run("q")]), [], 503),
-        refusedRan: endBreaches(bedOf([run("a")]), [stepOf({ isAccepted: false, submissions: [503, 429] })]),
-        unknownRan: endBreaches(bedOf([run("a")]), [stepOf({ isAccepted: false, submissions: [503, 502] })]),
-        endedRan: endBreaches(bedOf([run("a", 9_000)]), [stepOf({ endedAtMs: 500 })]),
-        twoHolders: endBreaches(bedOf([], { samplers: [sampler] })),
-        process: endBreaches(bedOf([], { programs: [program] as unknown as SoakBed["programs"] })),
+        good: finalStateBreaches(bedOf([run("q")])),
+        twice: finalStateBreaches(bedOf([run("q"), run("q")])),
+        ranThough: finalStateBreaches(bedOf([run("q")]), [], 503),
+        refusedRan: finalStateBreaches(bedOf([run("a")]), [
+            stepOf({ isAccepted: false, submissions: [503, 429] }),
+        ]),
+        unknownRan: finalStateBreaches(bedOf([run("a")]), [
+            stepOf({ isAccepted: false, submissions: [503, 502] }),
+        ]),
+        endedRan: finalStateBreaches(bedOf([run("a", 9_000)]), [stepOf({ endedAtMs: 500 })]),
+        twoHolders: finalStateBreaches(bedOf([], { samplers: [sampler] })),
+        process: finalStateBreaches(bedOf([], { programs: [program] as unknown as SoakTestBed["programs"] })),
     }).toEqual({
         good: [],
         twice: ["it runs once at most"],
@@ -118,25 +122,29 @@
 });
 
 test("a request that reaches a sampler after it left is named unless its sender may have lost the store", () => {
-    const breaches = (atMs: number, troubles: Trouble[]): number => {
-        const witness = createWitness(createFakeClock());
-        checkLeft({ ...bedOf([run("q", atMs)]), leftAtMs: new Map([["s-1", 1_000]]) }, witness, troubles);
-        return witness.breaches().length;
+    const breaches = (atMs: number, faultIntervals: FaultInterval[]): number => {
+        const checker = createPromiseChecker(createFakeClock());
+        checkDepartedSamplers(
+            { ...bedOf([run("q", atMs)]), leftAtMs: new Map([["s-1", 1_000]]) },
+            checker,
+            faultIntervals,
+        );
+        return checker.breaches().length;
     };
-    const lost: Trouble = { kind: "storeLink", fromMs: 500, untilMs: 4_000 };
+    const storeUnreachable: FaultInterval = { kind: "storeLink", fromMs: 500, untilMs: 4_000 };
     expect({
         due: breaches(2_900, []),
         late: breaches(3_100, []),
-        cutOff: breaches(3_100, [lost]),
-        justBack: breaches(6_900, [lost]),
-        inTouch: breaches(7_100, [lost]),
-        harmless: breaches(3_100, [{ ...lost, kind: "samplerLink" }]),
+        cutOff: breaches(3_100, [storeUnreachable]),
+        justBack: breaches(6_900, [storeUnreachable]),
+        inTouch: breaches(7_100, [storeUnreachable]),
+        harmless: breaches(3_100, [{ ...storeUnreachable, kind: "samplerLink" }]),
     }).toEqual({ due: 0, late: 1, cutOff: 0, justBack: 0, inTouch: 1, harmless: 1 });
 });
 
 test("a seed draws the same faults each time, of every kind over some seeds", () => {
-    const scene = { processes: 5, samplers: 7, lengthMs: 12_000, faults: 10 };
-    const draw = (seed: number) => drawFaults(createRandom(seed), scene);
+    const options = { processes: 5, samplers: 7, lengthMs: 12_000, faults: 10 };
+    const draw = (seed: number) => drawFaults(createRandom(seed), options);
     expect(draw(7)).toEqual(draw(7));
     const kinds = new Set(
         Array.from({ length: 40 }, (_, seed) => draw(seed)).flat().map(each => each.fault.kind),
@@ -159,12 +167,12 @@
 
 test("a team that is not named, a key that goes on, and a window reported with other counts are noticed", () => {
     const breachesOf = (
-        heard: { team?: string; credential?: string; },
+        received: { team?: string; credential?: string; },
         counts: Record<string, number>[],
         line = "event=started",
     ): string[] => {
-        const witness = createWitness(createFakeClock());
-        const runs = [{ id: "item-1", after: 0, version: 1, atMs: 0, ...heard }];
+        const checker = createPromiseChecker(createFakeClock());
+        const runs = [{ id: "item-1", after: 0, version: 1, atMs: 0, ...received }];
         const calls = counts.map(each => ({
             path: "/usage",
             holder: "r",
@@ -178,8 +186,8 @@
             usageReports: { calls: () => calls },
             programs: [{ name: "r", lines: () => [line] }],
         };
-        checkTeams(bed as unknown as SoakBed, witness, new Set(["item-1"]));
-        return witness.breaches().map(breach => breach.promise);
+        checkTeams(bed as unknown as SoakTestBed, checker, new Set(["item-1"]));
+        return checker.breaches().map(breach => breach.promise);
     };
     const named = { team: soakTeam.name };
     expect({
--- a/packages/soak/src/createLinkProxy.ts
+++ b/packages/soak/src/createLinkProxy.ts
@@ -3,9 +3,9 @@
 import type { LinkMode } from "./LinkMode.js";
 import type { LinkProxy } from "./LinkProxy.js";
 
-interface Pair {
-    near: Socket;
-    far: Socket;
+interface SocketPair {
+    client: Socket;
+    target: Socket;
     isSilenced: boolean;
 }
 
@@ -13,23 +13,23 @@
 
 /** Listens on loopback and carries connections to `targetPort`, as the mode of the moment has it. */
 export async function createLinkProxy(clock: Clock, targetPort: () => number): Promise<LinkProxy> {
-    const pairs = new Set<Pair>();
+    const pairs = new Set<SocketPair>();
     let mode: LinkMode = "well";
 
-    function isCarried(pair: Pair, isAnswer: boolean): boolean {
+    function isForwarded(pair: SocketPair, isAnswer: boolean): boolean {
         return !pair.isSilenced && mode !== "silent" && !(mode === "deaf" && isAnswer);
     }
 
     /** What is not carried is lost for good: the receiver sees silence, as behind a partition that outlasts it. */
-    function carry(pair: Pair, from: Socket, to: Socket, isAnswer: boolean): void {
-        let last = Promise.resolve();
+    function forward(pair: SocketPair, from: Socket, to: Socket, isAnswer: boolean): void {
+        let lastWrite = Promise.resolve();
         from.on("data", chunk => {
-            if (!isCarried(pair, isAnswer)) {
+            if (!isForwarded(pair, isAnswer)) {
                 pair.isSilenced = true;
                 return;
             }
             const delayMs = mode === "slow" ? slowDelayMs : 0;
-            last = last.then(async () => {
+            lastWrite = lastWrite.then(async () => {
                 if (delayMs > 0) {
                     await clock.sleep(delayMs);
                 }
@@ -38,27 +38,27 @@
                 }
             });
         });
-        from.on("end", () => void last.then(() => pair.isSilenced ? undefined : to.end()));
+        from.on("end", () => void lastWrite.then(() => pair.isSilenced ? undefined : to.end()));
         from.on("error", () => to.destroy());
         from.on("close", () => {
             pairs.delete(pair);
             if (!pair.isSilenced) {
-                void last.then(() => to.destroy());
+                void lastWrite.then(() => to.destroy());
             }
         });
     }
 
-    const server = createServer({ allowHalfOpen: true }, near => {
+    const server = createServer({ allowHalfOpen: true }, client => {
         if (mode === "reset") {
-            near.on("error", () => undefined);
-            near.resetAndDestroy();
+            client.on("error", () => undefined);
+            client.resetAndDestroy();
             return;
         }
-        const far = connect({ host: "127.0.0.1", port: targetPort(), allowHalfOpen: true });
-        const pair = { near, far, isSilenced: false };
+        const target = connect({ host: "127.0.0.1", port: targetPort(), allowHalfOpen: true });
+        const pair = { client, target, isSilenced: false };
         pairs.add(pair);
-        carry(pair, near, far, false);
-        carry(pair, far, near, true);
+        forward(pair, client, target, false);
+        forward(pair, target, client, true);
     });
     await new Promise<void>(resolve => server.listen(0, "127.0.0.1", resolve));
 
@@ -70,14 +70,14 @@
             for (const pair of pairs) {
                 pair.isSilenced ||= next === "oldSilent";
                 if (next === "reset") {
-                    pair.near.resetAndDestroy();
-                    pair.far.resetAndDestroy();
+                    pair.client.resetAndDestroy();
+                    pair.target.resetAndDestroy();
                 }
             }
         },
         close: () => {
             server.close();
-            pairs.forEach(({ near, far }) => {
+            pairs.forEach(({ client: near, target: far }) => {
                 near.destroy();
                 far.destroy();
             });
--- a/packages/soak/src/createProgram.ts
+++ b/packages/soak/src/createProgram.ts
@@ -24,9 +24,9 @@
 const orderHandOverMs = 3_000;
 const lotRetentionMs = 120_000;
 /** A process that is still there after this is ended, whatever became of its run. */
-const lifetimeMs = 180_000;
-const keptLines = 40_000;
-const tornBytes = 40;
+const maxLifetimeMs = 180_000;
+const maxLines = 40_000;
+const truncatedBytes = 40;
 
 /** Writes a process's settings and makes its handle; it is not started yet. */
 export async function createProgram(clock: Clock, options: ProgramOptions): Promise<Program> {
@@ -34,11 +34,11 @@
     const dataFolder = join(folder, `${name}-data`);
     const settingsPath = join(folder, `${name}.json`);
     const lines: string[] = [];
-    const ownExits: string[] = [];
+    const unexpectedExits: string[] = [];
     let incarnation = 0;
     let child: ChildProcess | undefined;
     let ended: Promise<void> = Promise.resolve();
-    let isAsked = false;
+    let isEndRequested = false;
 
     await mkdir(dataFolder, { recursive: true });
     await writeFile(
@@ -61,33 +61,35 @@
         }),
     );
 
-    function noteLine(line: string): void {
+    function recordLine(line: string): void {
         lines.push(line);
-        if (lines.length > keptLines) {
+        if (lines.length > maxLines) {
             lines.shift();
         }
     }
 
     function start(): void {
         incarnation++;
-        isAsked = false;
+        isEndRequested = false;
         const startedAtMs = clock.monotonicMs();
         const linesBefore = lines.length;
         const started = spawn(process.execPath, [binary, settingsPath], {
             stdio: ["ignore", "pipe", "pipe"],
         });
-        const cancelLifetime = clock.startTimer(lifetimeMs, () => started.kill("SIGKILL"));
-        createInterface({ input: started.stdout! }).on("line", noteLine);
-        createInterface({ input: started.stderr! }).on("line", line => noteLine(`stderr ${line}`));
+        const cancelLifetime = clock.startTimer(maxLifetimeMs, () => started.kill("SIGKILL"));
+        createInterface({ input: started.stdout! }).on("line", recordLine);
+        createInterface({ input: started.stderr! }).on("line", line => recordLine(`stderr ${line}`));
         ended = new Promise(resolve => {
             started.once("exit", (code, signal) => {
                 cancelLifetime();
-                if (!isAsked) {
-                    const livedMs = Math.round(clock.monotonicMs() - startedAtMs);
+                if (!isEndRequested) {
+                    const uptimeMs = Math.round(clock.monotonicMs() - startedAtMs);
                     // One that has logged nothing had not run a statement of ours yet.
-                    const wrote = lines.length - linesBefore;
-                    ownExits.push(
-                        `${name}: ${signal ?? code} ${livedMs} ms after its start, ${wrote} lines logged`,
+                    const loggedLines = lines.length - linesBefore;
+                    unexpectedExits.push(
+                        `${name}: ${
+                            signal ?? code
+                        } ${uptimeMs} ms after its start, ${loggedLines} lines logged`,
                     );
                 }
                 child = undefined;
@@ -97,12 +99,12 @@
         child = started;
     }
 
-    async function tearNewest(): Promise<void> {
+    async function truncateFiles(): Promise<void> {
         const files = await readdir(dataFolder);
         for (const file of files) {
             const path = join(dataFolder, file);
             const { size } = await stat(path);
-            await truncate(path, Math.max(0, size - tornBytes));
+            await truncate(path, Math.max(0, size - truncatedBytes));
         }
     }
 
@@ -114,19 +116,19 @@
         incarnation: () => incarnation,
         isUp: () => child !== undefined,
         lines: () => lines,
-        ownExits: () => ownExits,
+        unexpectedExits: () => unexpectedExits,
         start,
         signal: signal => void child?.kill(signal),
         end: async signal => {
-            isAsked = true;
+            isEndRequested = true;
             // A stopped process takes no signal but this one.
             child?.kill("SIGCONT");
             child?.kill(signal);
             await ended;
         },
-        spoilDisk: async how => {
-            if (how === "torn") {
-                await tearNewest();
+        damageDisk: async damage => {
+            if (damage === "torn") {
+                await truncateFiles();
                 return;
             }
             await rm(dataFolder, { recursive: true, force: true });
--- a/packages/soak/src/createWitness.ts
+++ b/packages/soak/src/createPromiseChecker.ts
@@ -1,13 +1,13 @@
 import type { Clock } from "@auburnarch/types/Clock";
-import type { Witness } from "./Witness.js";
+import type { PromiseChecker } from "./PromiseChecker.js";
 
 /** Makes the witness of one run; times count from now. */
-export function createWitness(clock: Clock): Witness {
+export function createPromiseChecker(clock: Clock): PromiseChecker {
     const startedAtMs = clock.monotonicMs();
-    const breaches: ReturnType<Witness["breaches"]> = [];
+    const breaches: ReturnType<PromiseChecker["breaches"]> = [];
     return {
-        check: (holds, promise, detail) => {
-            if (!holds) {
+        check: (isKept, promise, detail) => {
+            if (!isKept) {
                 const atMs = Math.round(clock.monotonicMs() - startedAtMs);
                 breaches.push({ atMs, promise, detail: JSON.stringify(detail) });
             }
--- a/packages/soak/src/runCaller.ts
+++ b/packages/soak/src/createSoakCaller.ts
@@ -1,17 +1,17 @@
-import { createClientStandIn } from "@auburnarch/platform/testing/createClientStandIn";
+import { createFakeClient } from "@auburnarch/platform/testing/createFakeClient";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Random } from "@auburnarch/types/Random";
 import type { PlainCall } from "./PlainCall.js";
 import type { Program } from "./Program.js";
-import type { SoakBed } from "./SoakBed.js";
+import type { PromiseChecker } from "./PromiseChecker.js";
 import { soakTeam } from "./soakTeam.js";
-import type { Witness } from "./Witness.js";
+import type { SoakTestBed } from "./SoakTestBed.js";
 
 interface CallerDeps {
-    bed: SoakBed;
+    bed: SoakTestBed;
     clock: Clock;
     random: Random;
-    witness: Witness;
+    checker: PromiseChecker;
     name: string;
 }
 
@@ -19,7 +19,7 @@
     /** Sends requests until the signal is aborted. */
     run(signal: AbortSignal): Promise<void>;
     /** Whether a gateway serves the newest route of the configuration. */
-    seesNewest(gateway: Program): Promise<boolean>;
+    servesNewestRoute(gateway: Program): Promise<boolean>;
     calls(): PlainCall[];
     close(): void;
 }
@@ -32,11 +32,11 @@
 const limitMs = 2_500;
 
 /** Makes one client of plain requests, which keeps its connections until they end. */
-export function runCaller({ bed, clock, random, witness, name }: CallerDeps): Caller {
-    const client = createClientStandIn(soakTeam.key);
+export function createSoakCaller({ bed, clock, random, checker: witness, name }: CallerDeps): Caller {
+    const client = createFakeClient(soakTeam.key);
     const calls: PlainCall[] = [];
     /** Newest version whose route each start of a gateway has served. */
-    const served = new Map<string, number>();
+    const newestServed = new Map<string, number>();
 
     async function callPlain(gateway: Program): Promise<void> {
         const isRepeatable = random.nextInt(2) === 0;
@@ -64,7 +64,7 @@
     async function callVersion(gateway: Program, version: number): Promise<number> {
         const startOf = (): string => `${gateway.name}.${gateway.incarnation()}`;
         const start = startOf();
-        const newest = served.get(start) ?? 0;
+        const newest = newestServed.get(start) ?? 0;
         const reply = await client.call(gateway.clientPort, {
             method: "POST",
             path: `/v${version}/x`,
@@ -74,7 +74,7 @@
         });
         const status = reply.kind === "answered" ? reply.status : 0;
         if (status === ok && startOf() === start) {
-            served.set(start, Math.max(newest, version));
+            newestServed.set(start, Math.max(newest, version));
         }
         const wentBack = status === notFound && version <= newest && startOf() === start;
         witness.check(!wentBack, "the configuration goes forward only", { start, version, newest });
@@ -94,7 +94,7 @@
                 await clock.sleep(pauseMs, signal);
             }
         },
-        seesNewest: async gateway => await callVersion(gateway, bed.configVersion()) === ok,
+        servesNewestRoute: async gateway => await callVersion(gateway, bed.configVersion()) === ok,
         calls: () => calls,
         close: client.close,
     };
--- a/packages/soak/src/createSoakBed.ts
+++ b/packages/soak/src/createSoakTestBed.ts
@@ -1,7 +1,7 @@
 import { createPlatformWrites } from "@auburnarch/platform/testing/createPlatformWrites";
-import { encodeStandInConfiguration } from "@auburnarch/platform/testing/encodeStandInConfiguration";
+import { encodeTestConfiguration } from "@auburnarch/platform/testing/encodeTestConfiguration";
+import type { FakeSampler } from "@auburnarch/platform/testing/FakeSampler";
 import { findFreePort } from "@auburnarch/platform/testing/findFreePort";
-import type { SamplerStandIn } from "@auburnarch/platform/testing/SamplerStandIn";
 import { servePlatformStore } from "@auburnarch/platform/testing/servePlatformStore";
 import { serveSampler } from "@auburnarch/platform/testing/serveSampler";
 import { serveUsageReports } from "@auburnarch/platform/testing/serveUsageReports";
@@ -13,10 +13,10 @@
 import { createProgram } from "./createProgram.js";
 import type { LinkProxy } from "./LinkProxy.js";
 import type { Program } from "./Program.js";
-import type { SoakBed } from "./SoakBed.js";
 import { soakTeam } from "./soakTeam.js";
+import type { SoakTestBed } from "./SoakTestBed.js";
 
-interface SoakBedOptions {
+interface SoakTestBedOptions {
     gateways: number;
     runners: number;
     modelSamplers: number;
@@ -24,14 +24,14 @@
     models: string[];
 }
 
-const eventsOfItem = 25;
+const eventsPerItem = 25;
 const eventIntervalMs = 20;
 const tenants = [{ "name": soakTeam.name, "api-keys": [soakTeam.key] }];
 /** A draining sampler serves on for this long. */
 const drainMs = 2_500;
 
 /** Starts the stand-ins and the programs of one run, with a link between each program and each of them. */
-export async function createSoakBed(clock: Clock, options: SoakBedOptions): Promise<SoakBed> {
+export async function createSoakTestBed(clock: Clock, options: SoakTestBedOptions): Promise<SoakTestBed> {
     const { models } = options;
     const folder = await mkdtemp(join(tmpdir(), "auburnarch-soak-"));
     const store = await servePlatformStore();
@@ -39,22 +39,22 @@
     const writes = createPlatformWrites(store);
     const storeLinks = new Map<string, LinkProxy>();
     const programs: Program[] = [];
-    const samplers: SamplerStandIn[] = [];
+    const samplers: FakeSampler[] = [];
     const leftAtMs = new Map<string, number>();
     const versions = new Map(models.map(model => [model, 1]));
     const configVersions = [1];
 
-    function putConfiguration(): void {
+    function publishConfiguration(): void {
         const version = configVersions.at(-1)!;
         const extraRoutes = configVersions.map(each => `v${each}`);
-        writes.configure(encodeStandInConfiguration({ version, models, extraRoutes, tenants }));
+        writes.configure(encodeTestConfiguration({ version, models, extraRoutes, tenants }));
     }
 
-    async function startSampler(id: string, service: string, port: () => number): Promise<SamplerStandIn> {
+    async function startSampler(id: string, service: string, port: () => number): Promise<FakeSampler> {
         const sampler = await serveSampler({
             id,
             service,
-            events: eventsOfItem,
+            events: eventsPerItem,
             eventIntervalMs,
             models: service === "llm" ? models : [],
             startVersions: versions,
@@ -70,7 +70,7 @@
         return sampler;
     }
 
-    async function takeAway(sampler: SamplerStandIn, isAnnounced: boolean): Promise<void> {
+    async function deregisterSampler(sampler: FakeSampler, isAnnounced: boolean): Promise<void> {
         leftAtMs.set(sampler.id, clock.monotonicMs());
         if (isAnnounced) {
             writes.drainSampler(sampler.id, sampler.entry());
@@ -79,31 +79,31 @@
         writes.removeSampler(sampler.id);
     }
 
-    async function createPlace(place: number, service: string): Promise<SoakBed["places"][number]> {
-        let number = 0;
-        let isLeft = false;
+    async function createSlot(slotIndex: number, service: string): Promise<SoakTestBed["slots"][number]> {
+        let nextNumber = 0;
+        let hasLeft = false;
         // Known only once the sampler behind the link listens.
-        const now: { sampler?: SamplerStandIn; } = {};
-        const link = await createLinkProxy(clock, () => now.sampler!.port);
-        const next = (): Promise<SamplerStandIn> =>
-            startSampler(`${service}-${place}-${number++}`, service, () => link.port);
-        now.sampler = await next();
+        const slot: { sampler?: FakeSampler; } = {};
+        const link = await createLinkProxy(clock, () => slot.sampler!.port);
+        const startNext = (): Promise<FakeSampler> =>
+            startSampler(`${service}-${slotIndex}-${nextNumber++}`, service, () => link.port);
+        slot.sampler = await startNext();
         return {
             service,
             link,
-            current: () => now.sampler!,
+            current: () => slot.sampler!,
             replace: async isAnnounced => {
-                if (isLeft) {
+                if (hasLeft) {
                     return;
                 }
-                const old = now.sampler!;
-                await takeAway(old, isAnnounced);
-                now.sampler = await next();
+                const old = slot.sampler!;
+                await deregisterSampler(old, isAnnounced);
+                slot.sampler = await startNext();
                 old.close();
             },
             leave: async isAnnounced => {
-                isLeft = true;
-                await takeAway(now.sampler!, isAnnounced);
+                hasLeft = true;
+                await deregisterSampler(slot.sampler!, isAnnounced);
             },
         };
     }
@@ -126,10 +126,10 @@
         return program;
     }
 
-    putConfiguration();
-    const places: SoakBed["places"] = [];
+    publishConfiguration();
+    const slots: SoakTestBed["slots"] = [];
     for (let index = 0; index < options.modelSamplers + options.plainSamplers; index++) {
-        places.push(await createPlace(index, index < options.modelSamplers ? "llm" : "tiles"));
+        slots.push(await createSlot(index, index < options.modelSamplers ? "llm" : "tiles"));
     }
     const gateways: Program[] = [];
     for (let index = 1; index <= options.gateways; index++) {
@@ -141,13 +141,13 @@
 
     return {
         models,
-        eventsOfItem,
+        eventsPerItem,
         store,
         usageReports,
         gateways,
         programs,
         storeLinks,
-        places,
+        slots,
         samplers,
         leftAtMs,
         versions,
@@ -158,11 +158,11 @@
         configVersion: () => configVersions.at(-1)!,
         changeConfiguration: () => {
             configVersions.push(configVersions.at(-1)! + 3);
-            putConfiguration();
+            publishConfiguration();
         },
         close: async () => {
             await Promise.all(programs.map(program => program.end("SIGKILL")));
-            const links = [...storeLinks.values(), ...places.map(place => place.link)];
+            const links = [...storeLinks.values(), ...slots.map(place => place.link)];
             [...links, ...samplers, store, usageReports].forEach(each => each.close());
             await rm(folder, { recursive: true, force: true });
         },
--- a/packages/soak/src/runTrainer.ts
+++ b/packages/soak/src/createSoakTrainer.ts
@@ -1,20 +1,20 @@
 import { clientCalls } from "@auburnarch/platform/testing/clientCalls";
-import { createClientStandIn } from "@auburnarch/platform/testing/createClientStandIn";
-import { encodeStandInLot } from "@auburnarch/platform/testing/encodeStandInLot";
+import { createFakeClient } from "@auburnarch/platform/testing/createFakeClient";
+import { encodeTestBatchJob } from "@auburnarch/platform/testing/encodeTestBatchJob";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Random } from "@auburnarch/types/Random";
 import { checkPage } from "./checkPage.js";
 import type { Program } from "./Program.js";
-import type { SoakBed } from "./SoakBed.js";
+import type { PromiseChecker } from "./PromiseChecker.js";
 import { soakTeam } from "./soakTeam.js";
+import type { SoakTestBed } from "./SoakTestBed.js";
 import type { StepRecord } from "./StepRecord.js";
-import type { Witness } from "./Witness.js";
 
 interface TrainerDeps {
-    bed: SoakBed;
+    bed: SoakTestBed;
     clock: Clock;
     random: Random;
-    witness: Witness;
+    checker: PromiseChecker;
     model: string;
 }
 
@@ -27,10 +27,10 @@
     close(): void;
 }
 
-const itemsOfStep = 8;
+const itemsPerStep = 8;
 const groupSize = 4;
-const submitTries = 12;
-const endTries = 10;
+const maxSubmitAttempts = 12;
+const maxEndAttempts = 10;
 const retryMs = 150;
 const waitMs = 700;
 const accepted = 202;
@@ -40,14 +40,14 @@
 const settleMs = 1_000;
 
 /** Makes one trainer: it submits a step, reads it at any gateway from any position, ends it, and names a version. */
-export function runTrainer({ bed, clock, random, witness, model }: TrainerDeps): Trainer {
-    const client = createClientStandIn(soakTeam.key);
+export function createSoakTrainer({ bed, clock, random, checker: witness, model }: TrainerDeps): Trainer {
+    const client = createFakeClient(soakTeam.key);
     const steps: StepRecord[] = [];
     const anyGateway = (): Program => bed.gateways[random.nextInt(bed.gateways.length)]!;
 
     async function submit(step: StepRecord): Promise<void> {
-        const body = encodeStandInLot({ ...step, step: steps.length, groupSize });
-        for (let tries = 0; tries < submitTries && !step.isAccepted; tries++) {
+        const body = encodeTestBatchJob({ ...step, step: steps.length, groupSize });
+        for (let attempts = 0; attempts < maxSubmitAttempts && !step.isAccepted; attempts++) {
             const call = clientCalls.submit(model, step.lot, body);
             const reply = await client.call(anyGateway().clientPort, call);
             const status = reply.kind === "answered" ? reply.status : 0;
@@ -90,8 +90,8 @@
     }
 
     async function end(step: StepRecord): Promise<void> {
-        step.isEndAsked = true;
-        for (let tries = 0; tries < endTries && step.endedAtMs === undefined; tries++) {
+        step.isEndRequested = true;
+        for (let attempts = 0; attempts < maxEndAttempts && step.endedAtMs === undefined; attempts++) {
             const reply = await client.call(anyGateway().clientPort, clientCalls.end(step.lot));
             if (reply.kind === "answered" && reply.status === ok) {
                 step.endedAtMs = clock.monotonicMs();
@@ -110,12 +110,12 @@
                 lot,
                 model,
                 minVersion: Math.max(1, version - 1),
-                items: Array.from({ length: itemsOfStep }, (_, index) => `${lot}-i${index}`),
+                items: Array.from({ length: itemsPerStep }, (_, index) => `${lot}-i${index}`),
                 submissions: [],
                 isAccepted: false,
                 positions: new Map(),
                 endedAtMs: undefined,
-                isEndAsked: false,
+                isEndRequested: false,
             };
             steps.push(step);
             await submit(step);
--- a/packages/soak/src/drawFaults.ts
+++ b/packages/soak/src/drawFaults.ts
@@ -3,7 +3,7 @@
 import type { SoakFault } from "./SoakFault.js";
 import type { TimedFault } from "./TimedFault.js";
 
-interface Scene {
+interface FaultDrawOptions {
     processes: number;
     samplers: number;
     /** Faults strike within this time. */
@@ -15,37 +15,37 @@
 const storeModes = ["busy", "reset", "loseAnswers"] as const;
 const disks = ["kept", "kept", "torn", "wiped"] as const;
 /** Outages long enough for leases and lists of peers to lapse, and short ones. */
-const shortestMs = 200;
-const longestMs = 3_500;
+const minDurationMs = 200;
+const maxDurationMs = 3_500;
 /** One fault in this many comes again soon after, so that faults of a kind follow on each other. */
 const repeatOneIn = 4;
 const repeatAfterMs = 900;
 
 /** Draws the faults of one run; they overlap as they fall. */
-export function drawFaults(random: Random, scene: Scene): TimedFault[] {
-    const one = <T>(values: readonly T[]): T => values[random.nextInt(values.length)]!;
-    const spanMs = (): number => shortestMs + random.nextInt(longestMs - shortestMs);
-    const process = (): number => random.nextInt(scene.processes);
-    const sampler = (): number => random.nextInt(scene.samplers);
-    const draws: (() => SoakFault)[] = [
-        () => ({ kind: "storeMode", mode: one(storeModes), forMs: spanMs() }),
+export function drawFaults(random: Random, options: FaultDrawOptions): TimedFault[] {
+    const pick = <T>(values: readonly T[]): T => values[random.nextInt(values.length)]!;
+    const drawDurationMs = (): number => minDurationMs + random.nextInt(maxDurationMs - minDurationMs);
+    const process = (): number => random.nextInt(options.processes);
+    const sampler = (): number => random.nextInt(options.samplers);
+    const faultDraws: (() => SoakFault)[] = [
+        () => ({ kind: "storeMode", mode: pick(storeModes), forMs: drawDurationMs() }),
         () => ({ kind: "storeHistory" }),
-        () => ({ kind: "storeLink", process: process(), mode: one(linkModes), forMs: spanMs() }),
-        () => ({ kind: "storeLink", process: process(), mode: one(linkModes), forMs: spanMs() }),
-        () => ({ kind: "samplerLink", sampler: sampler(), mode: one(linkModes), forMs: spanMs() }),
-        () => ({ kind: "kill", process: process(), downMs: spanMs() / 2, disk: one(disks) }),
-        () => ({ kind: "killAll", downMs: spanMs() / 3 }),
-        () => ({ kind: "pause", process: process(), forMs: spanMs() }),
-        () => ({ kind: "terminate", process: process(), downMs: spanMs() / 4 }),
+        () => ({ kind: "storeLink", process: process(), mode: pick(linkModes), forMs: drawDurationMs() }),
+        () => ({ kind: "storeLink", process: process(), mode: pick(linkModes), forMs: drawDurationMs() }),
+        () => ({ kind: "samplerLink", sampler: sampler(), mode: pick(linkModes), forMs: drawDurationMs() }),
+        () => ({ kind: "kill", process: process(), downMs: drawDurationMs() / 2, disk: pick(disks) }),
+        () => ({ kind: "killAll", downMs: drawDurationMs() / 3 }),
+        () => ({ kind: "pause", process: process(), forMs: drawDurationMs() }),
+        () => ({ kind: "terminate", process: process(), downMs: drawDurationMs() / 4 }),
         () => ({ kind: "reload", process: process() }),
         () => ({ kind: "replaceSampler", sampler: sampler(), isAnnounced: random.nextInt(3) > 0 }),
         () => ({ kind: "breakStreams", sampler: sampler() }),
         () => ({ kind: "changeConfiguration" }),
     ];
     const drawn: TimedFault[] = [];
-    while (drawn.length < scene.faults) {
-        const atMs = random.nextInt(scene.lengthMs);
-        const fault = one(draws)();
+    while (drawn.length < options.faults) {
+        const atMs = random.nextInt(options.lengthMs);
+        const fault = pick(faultDraws)();
         drawn.push({ atMs, fault });
         if (random.nextInt(repeatOneIn) === 0) {
             drawn.push({ atMs: atMs + repeatAfterMs, fault });
--- a/packages/soak/src/endedAtStart.test.ts
+++ b/packages/soak/src/endedAtStart.test.ts
@@ -1,8 +1,8 @@
 import { createSystemClock } from "@auburnarch/clock/createSystemClock";
 import { clientCalls } from "@auburnarch/platform/testing/clientCalls";
-import { createClientStandIn } from "@auburnarch/platform/testing/createClientStandIn";
+import { createFakeClient } from "@auburnarch/platform/testing/createFakeClient";
 import { expect, test, vi } from "vitest";
-import { createSoakBed } from "./createSoakBed.js";
+import { createSoakTestBed } from "./createSoakTestBed.js";
 import type { Program } from "./Program.js";
 import { soakTeam } from "./soakTeam.js";
 
@@ -14,14 +14,14 @@
 
 // Guards against: a caller loses more than a connection while a gateway is ended at its start, again and again.
 test("a gateway that a signal ends at its start takes no request and holds up no other gateway's", async () => {
-    const bed = await createSoakBed(clock, {
+    const bed = await createSoakTestBed(clock, {
         gateways: 2,
         runners: 2,
         modelSamplers: 1,
         plainSamplers: 2,
         models: ["plume"],
     });
-    const client = createClientStandIn(soakTeam.key);
+    const client = createFakeClient(soakTeam.key);
     let sent = 0;
     const send = async (gateway: Program): Promise<string> => {
         const requestId = `request-${sent++}`;
@@ -62,7 +62,7 @@
         ended.start();
         await becomesReady(ended);
         expect({
-            exits: ended.ownExits().map(exit => exit.replace(/\d+ ms/u, "some ms")),
+            exits: ended.unexpectedExits().map(exit => exit.replace(/\d+ ms/u, "some ms")),
             atEnded: [...atEnded],
             atOther: [...atOther],
             afterwards: await send(ended),
--- a/packages/soak/src/strikeFault.ts
+++ b/packages/soak/src/injectFault.ts
@@ -3,14 +3,14 @@
 import type { LinkMode } from "./LinkMode.js";
 import type { LinkProxy } from "./LinkProxy.js";
 import type { Program } from "./Program.js";
-import type { SoakBed } from "./SoakBed.js";
 import type { SoakFault } from "./SoakFault.js";
+import type { SoakTestBed } from "./SoakTestBed.js";
 
 /** Strikes one fault; resolves once it is over. */
-export async function strikeFault(bed: SoakBed, clock: Clock, fault: SoakFault): Promise<void> {
-    const { programs, places, store } = bed;
+export async function injectFault(bed: SoakTestBed, clock: Clock, fault: SoakFault): Promise<void> {
+    const { programs, slots: places, store } = bed;
 
-    async function harmLink(link: LinkProxy, mode: LinkMode, forMs: number): Promise<void> {
+    async function disturbLink(link: LinkProxy, mode: LinkMode, forMs: number): Promise<void> {
         link.setMode(mode);
         await clock.sleep(forMs);
         link.setMode("well");
@@ -32,7 +32,7 @@
         const program = programs[process]!;
         const restarted = restart(program, "SIGKILL", downMs);
         if (disk !== "kept" && program.role === "runner") {
-            await program.spoilDisk(disk);
+            await program.damageDisk(disk);
         }
         await restarted;
     }
@@ -52,11 +52,12 @@
         .with({ kind: "storeHistory" }, async () => store.dropHistory())
         .with(
             { kind: "storeLink" },
-            ({ process, mode, forMs }) => harmLink(bed.storeLinks.get(programs[process]!.name)!, mode, forMs),
+            ({ process, mode, forMs }) =>
+                disturbLink(bed.storeLinks.get(programs[process]!.name)!, mode, forMs),
         )
         .with(
             { kind: "samplerLink" },
-            ({ sampler, mode, forMs }) => harmLink(places[sampler]!.link, mode, forMs),
+            ({ sampler, mode, forMs }) => disturbLink(places[sampler]!.link, mode, forMs),
         )
         .with({ kind: "kill" }, kill)
         .with({ kind: "killAll" }, async ({ downMs }) => {
--- a/packages/soak/src/knownSeeds.test.ts
+++ b/packages/soak/src/knownSeeds.test.ts
@@ -2,10 +2,10 @@
 import { expect, test } from "vitest";
 import { runSoak } from "./runSoak.js";
 
-const usual = { lengthMs: 12_000, faults: 10, gateways: 2, runners: 3 };
+const runOptions = { lengthMs: 12_000, faults: 10, gateways: 2, runners: 3 };
 
 test.each([103, 120])("the faults of seed %i break no promise", async seed => {
     // Guards against: texts with an event behind their last one.
-    const { breaches } = await runSoak(createSystemClock(), { seed, ...usual });
+    const { breaches } = await runSoak(createSystemClock(), { seed, ...runOptions });
     expect(breaches).toEqual([]);
 });
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -1,22 +1,22 @@
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { clientCalls } from "@auburnarch/platform/testing/clientCalls";
-import { createClientStandIn } from "@auburnarch/platform/testing/createClientStandIn";
+import { createFakeClient } from "@auburnarch/platform/testing/createFakeClient";
 import type { Clock } from "@auburnarch/types/Clock";
-import { checkEnd } from "./checkEnd.js";
-import { checkLeft } from "./checkLeft.js";
+import { checkDepartedSamplers } from "./checkDepartedSamplers.js";
+import { checkFinalState } from "./checkFinalState.js";
 import { checkTeams } from "./checkTeams.js";
-import { createSoakBed } from "./createSoakBed.js";
-import { createWitness } from "./createWitness.js";
+import { createPromiseChecker } from "./createPromiseChecker.js";
+import { createSoakCaller } from "./createSoakCaller.js";
+import { createSoakTestBed } from "./createSoakTestBed.js";
+import { createSoakTrainer } from "./createSoakTrainer.js";
+import { drawDepartures } from "./drawDepartures.js";
 import { drawFaults } from "./drawFaults.js";
-import { drawLeaves } from "./drawLeaves.js";
+import type { FaultInterval } from "./FaultInterval.js";
+import { injectFault } from "./injectFault.js";
 import type { Program } from "./Program.js";
-import { runCaller } from "./runCaller.js";
-import { runTrainer } from "./runTrainer.js";
-import type { SoakBed } from "./SoakBed.js";
 import type { SoakFault } from "./SoakFault.js";
 import type { SoakReport } from "./SoakReport.js";
-import { strikeFault } from "./strikeFault.js";
-import type { Trouble } from "./Trouble.js";
+import type { SoakTestBed } from "./SoakTestBed.js";
 
 interface SoakOptions {
     seed: number;
@@ -28,7 +28,7 @@
     /** Traffic goes on for so long after the faults; none by default. */
     calmMs?: number;
     /** Whether a sampler of each service leaves for good while faults strike; by default not. */
-    hasLeaves?: boolean;
+    hasDepartures?: boolean;
 }
 
 const models = ["plume", "ridge"];
@@ -37,13 +37,13 @@
 const ok = 200;
 const stepLimitMs = 9_000;
 /** After the last fault: processes start, leases lapse, jobs are taken over. */
-const healLimitMs = 20_000;
+const recoveryLimitMs = 20_000;
 const pollMs = 200;
 
 /** Waits until `holds`; false once the time is up. */
-async function waitUntil(clock: Clock, limitMs: number, holds: () => Promise<boolean>): Promise<boolean> {
+async function waitUntil(clock: Clock, limitMs: number, condition: () => Promise<boolean>): Promise<boolean> {
     const untilMs = clock.monotonicMs() + limitMs;
-    while (!await holds()) {
+    while (!await condition()) {
         if (clock.monotonicMs() > untilMs) {
             return false;
         }
@@ -52,10 +52,10 @@
     return true;
 }
 
-function healAll(bed: SoakBed): void {
+function endAllFaults(bed: SoakTestBed): void {
     bed.store.setMode("well");
     bed.storeLinks.forEach(link => link.setMode("well"));
-    bed.places.forEach(place => place.link.setMode("well"));
+    bed.slots.forEach(place => place.link.setMode("well"));
     for (const program of bed.programs) {
         program.signal("SIGCONT");
         if (!program.isUp()) {
@@ -68,18 +68,20 @@
 export async function runSoak(clock: Clock, options: SoakOptions): Promise<SoakReport> {
     const random = createRandom(options.seed);
     const { gateways, runners, lengthMs, calmMs = 0 } = options;
-    const bed = await createSoakBed(clock, { gateways, runners, modelSamplers, plainSamplers, models });
-    const witness = createWitness(clock);
-    const probes = createClientStandIn();
-    const shared = { bed, clock, witness };
-    const trainers = models.map(model => runTrainer({ ...shared, random: random.fork(), model }));
-    const caller = runCaller({ ...shared, random: random.fork(), name: "caller" });
+    const bed = await createSoakTestBed(clock, { gateways, runners, modelSamplers, plainSamplers, models });
+    const checker = createPromiseChecker(clock);
+    const probes = createFakeClient();
+    const shared = { bed, clock, checker };
+    const trainers = models.map(model => createSoakTrainer({ ...shared, random: random.fork(), model }));
+    const caller = createSoakCaller({ ...shared, random: random.fork(), name: "caller" });
     const processes = gateways + runners;
     const samplers = modelSamplers + plainSamplers;
     const drawn = drawFaults(random.fork(), { processes, samplers, lengthMs, faults: options.faults });
-    const leaves = options.hasLeaves === true ? drawLeaves(random.fork(), modelSamplers, lengthMs) : [];
-    const faults = [...drawn, ...leaves].sort((a, b) => a.atMs - b.atMs);
-    const troubles: Trouble[] = [];
+    const departures = options.hasDepartures === true
+        ? drawDepartures(random.fork(), modelSamplers, lengthMs)
+        : [];
+    const faults = [...drawn, ...departures].sort((a, b) => a.atMs - b.atMs);
+    const faultIntervals: FaultInterval[] = [];
 
     const isReady = async (gateway: Program): Promise<boolean> => {
         const reply = await probes.call(gateway.readyPort, { ...clientCalls.isReady(), limitMs: 1_000 });
@@ -88,22 +90,22 @@
     const allReady = async (): Promise<boolean> =>
         (await Promise.all(bed.gateways.map(isReady))).every(Boolean);
 
-    async function strikeNoted(fault: SoakFault): Promise<void> {
-        const trouble: Trouble = { kind: fault.kind, fromMs: clock.monotonicMs(), untilMs: Infinity };
-        troubles.push(trouble);
-        await strikeFault(bed, clock, fault);
-        trouble.untilMs = clock.monotonicMs();
+    async function injectRecorded(fault: SoakFault): Promise<void> {
+        const interval: FaultInterval = { kind: fault.kind, fromMs: clock.monotonicMs(), untilMs: Infinity };
+        faultIntervals.push(interval);
+        await injectFault(bed, clock, fault);
+        interval.untilMs = clock.monotonicMs();
     }
 
-    async function strikeAll(): Promise<void> {
+    async function injectAll(): Promise<void> {
         const startedAtMs = clock.monotonicMs();
-        const struck: Promise<void>[] = [];
+        const injected: Promise<void>[] = [];
         for (const { atMs, fault } of faults) {
             await clock.sleep(Math.max(0, startedAtMs + atMs - clock.monotonicMs()));
-            struck.push(strikeNoted(fault));
+            injected.push(injectRecorded(fault));
         }
-        await Promise.all(struck);
-        healAll(bed);
+        await Promise.all(injected);
+        endAllFaults(bed);
         await clock.sleep(calmMs);
     }
 
@@ -115,24 +117,24 @@
         }));
     }
 
-    async function checkHealed(): Promise<void> {
-        witness.check(await waitUntil(clock, healLimitMs, allReady), "gateways are ready again", {});
+    async function checkRecovery(): Promise<void> {
+        checker.check(await waitUntil(clock, recoveryLimitMs, allReady), "gateways are ready again", {});
         for (const gateway of bed.gateways) {
-            const isSeen = await waitUntil(clock, healLimitMs, () => caller.seesNewest(gateway));
-            witness.check(isSeen, "the newest configuration is in force", { gateway: gateway.name });
+            const isSeen = await waitUntil(clock, recoveryLimitMs, () => caller.servesNewestRoute(gateway));
+            checker.check(isSeen, "the newest configuration is in force", { gateway: gateway.name });
         }
         for (const trainer of trainers) {
-            const last = await trainer.runStep(healLimitMs);
+            const last = await trainer.runStep(recoveryLimitMs);
             const isWhole = last.positions.size === last.items.length;
-            witness.check(isWhole, "steps are made again", { ...last, positions: last.positions.size });
+            checker.check(isWhole, "steps are made again", { ...last, positions: last.positions.size });
             for (const step of trainer.steps().filter(each => each.isAccepted)) {
                 for (const gateway of bed.gateways) {
                     const isRead = await waitUntil(
                         clock,
-                        healLimitMs,
+                        recoveryLimitMs,
                         () => trainer.readAgain(step, gateway),
                     );
-                    witness.check(isRead, "an accepted job can be read", {
+                    checker.check(isRead, "an accepted job can be read", {
                         lot: step.lot,
                         gateway: gateway.name,
                     });
@@ -142,21 +144,21 @@
     }
 
     try {
-        witness.check(await waitUntil(clock, healLimitMs, allReady), "gateways start", {});
+        checker.check(await waitUntil(clock, recoveryLimitMs, allReady), "gateways start", {});
         const stopped = new AbortController();
         const traffic = [caller.run(stopped.signal), train(stopped.signal)];
-        await strikeAll();
+        await injectAll();
         stopped.abort();
         await Promise.all(traffic);
-        await checkHealed();
+        await checkRecovery();
         const steps = trainers.flatMap(trainer => trainer.steps());
-        checkEnd(bed, witness, steps, caller.calls());
-        checkTeams(bed, witness, new Set(steps.flatMap(step => step.items)));
-        checkLeft(bed, witness, troubles);
+        checkFinalState(bed, checker, steps, caller.calls());
+        checkTeams(bed, checker, new Set(steps.flatMap(step => step.items)));
+        checkDepartedSamplers(bed, checker, faultIntervals);
         return {
             seed: options.seed,
             faults,
-            breaches: witness.breaches(),
+            breaches: checker.breaches(),
             steps: steps.length,
             wholeSteps: steps.filter(step => step.positions.size === step.items.length).length,
             plainCalls: caller.calls().length,
--- a/packages/soak/src/soak.test.ts
+++ b/packages/soak/src/soak.test.ts
@@ -22,7 +22,7 @@
         gateways: 2,
         runners: 2,
         calmMs: 6_000,
-        hasLeaves: true,
+        hasDepartures: true,
     });
     expect(report.breaches).toEqual([]);
     expect(report.faults.filter(({ fault }) => fault.kind === "leaveSampler").length).toBe(2);
