--- a/packages/types/src/AttemptId.ts
+++ b/packages/types/src/AttemptId.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./Brand.js";
 
-/** Names one try to run a request or a sample on one sampler; never used twice. */
+/** Identifies one attempt to run a request or a sample on one sampler; never reused. */
 export type AttemptId = Brand<string, "AttemptId">;
--- a/packages/types/src/AttemptOutcome.ts
+++ b/packages/types/src/AttemptOutcome.ts
@@ -1,8 +1,8 @@
 import type { ResultCode } from "./ResultCode.js";
 
 /**
- * The three ends of an attempt. `notRun` is said only with proof; `unknown` covers everything else that is not
- * a received answer, and a non-idempotent request is never repeated after it.
+ * The possible outcomes of an attempt. `notRun` is reported only with proof; `unknown` covers everything else that is
+ * not a received answer, and a non-idempotent request is never repeated after it.
  */
 export type AttemptOutcome<Answer> =
     | { kind: "ran"; answer: Answer; }
--- a/packages/types/src/AttemptState.ts
+++ b/packages/types/src/AttemptState.ts
@@ -1,8 +1,8 @@
 import type { IncarnationId } from "./IncarnationId.js";
 
 /**
- * A sidecar's word on an attempt. `neverSeen` leaves a tombstone, so that a late arrival is refused;
- * it is worth something only from the incarnation the attempt was sent to.
+ * State of an attempt as a sidecar reports it. After `neverSeen` the sidecar keeps a tombstone, so that a late arrival
+ * is refused. The state is valid only from the incarnation to which the attempt was sent.
  */
 export interface AttemptState {
     incarnation: IncarnationId;
--- a/packages/types/src/Brand.ts
+++ b/packages/types/src/Brand.ts
@@ -1,4 +1,4 @@
 declare const brand: unique symbol;
 
-/** A primitive that carries its role in the type, so that two ids of different roles cannot be swapped. */
+/** A primitive whose type carries its role, so that ids of different roles cannot be confused. */
 export type Brand<T, Name extends string> = T & { readonly [brand]: Name; };
--- a/packages/types/src/DocumentDigest.ts
+++ b/packages/types/src/DocumentDigest.ts
@@ -1,2 +1,2 @@
-/** Versions of shared documents by name; a name with version 0 asks for a document not held yet. */
+/** Versions of shared documents by name; version 0 requests a document that the sender does not have yet. */
 export type DocumentDigest = Record<string, number>;
--- a/packages/types/src/EngineChunk.ts
+++ b/packages/types/src/EngineChunk.ts
@@ -1,7 +1,7 @@
-/** Tokens streamed by an engine. */
+/** Consecutive tokens streamed by an engine. */
 export interface EngineChunk {
     text: string;
     tokens: number;
-    /** `policy@version` where the engine states what produced the chunk; undefined where it does not. */
+    /** `policy@version` that produced the chunk; undefined if the engine does not state it. */
     fingerprint: string | undefined;
 }
--- a/packages/types/src/EngineDescription.ts
+++ b/packages/types/src/EngineDescription.ts
@@ -1,12 +1,12 @@
 import type { PolicyId } from "./PolicyId.js";
 import type { WeightVersion } from "./WeightVersion.js";
 
-/** What an engine says it is; `bootId` changes when the engine restarts. */
+/** An engine's description of itself; `bootId` changes when the engine restarts. */
 export interface EngineDescription {
     bootId: string;
     served: { policy: PolicyId; version: WeightVersion; }[];
     maxBatch: number;
-    /** Tokens a second of one generation alone. */
+    /** Tokens per second of a single generation with nothing else in the batch. */
     tokensPerSecond: number;
     honoursFencing: boolean;
 }
--- a/packages/types/src/EngineFinish.ts
+++ b/packages/types/src/EngineFinish.ts
@@ -1,4 +1,4 @@
-/** How a generation ended at the engine; `engineMs` is the engine time it was charged with. */
+/** How a generation ended at the engine; `engineMs` is the engine time charged to it. */
 export interface EngineFinish {
     reason: "stop" | "length" | "cancelled" | "crashed" | "rejected";
     engineMs: number;
--- a/packages/types/src/EngineLoad.ts
+++ b/packages/types/src/EngineLoad.ts
@@ -1,4 +1,4 @@
-/** Load as an engine reports it, `ageMs` old when read. */
+/** Load as an engine reports it; the figures are `ageMs` old when read. */
 export interface EngineLoad {
     running: number;
     waiting: number;
--- a/packages/types/src/EngineOrderResult.ts
+++ b/packages/types/src/EngineOrderResult.ts
@@ -1,4 +1,4 @@
-/** Answer to an order; `failed` leaves what the engine serves in doubt until it is described again. */
+/** Answer to an order. After `failed` the served version is unknown until the engine is described again. */
 export type EngineOrderResult =
     | { kind: "done"; }
     | { kind: "fenced"; highestFencing: number; }
--- a/packages/types/src/EnginePort.ts
+++ b/packages/types/src/EnginePort.ts
@@ -7,9 +7,12 @@
 import type { EngineOrderResult } from "./EngineOrderResult.js";
 import type { EngineRequest } from "./EngineRequest.js";
 
-/** A model engine. Calls reject with code `engineUnreachable` when the engine is gone. */
+/** A model engine. Calls reject with code `engineUnreachable` when the engine cannot be reached. */
 export interface EnginePort {
-    /** Streams chunks to `onChunk` in order; aborting `signal` cancels. Resolves with reason `crashed` if it dies. */
+    /**
+     * Streams chunks to `onChunk` in order; aborting `signal` cancels. Resolves with reason `crashed` if the engine
+     * crashes.
+     */
     generate(
         request: EngineRequest,
         onChunk: (chunk: EngineChunk) => void,
@@ -19,8 +22,8 @@
     order(order: EngineOrder): Promise<EngineOrderResult>;
     describe(): Promise<EngineDescription>;
     readLoad(): Promise<EngineLoad>;
-    /** KV cache of a running or just cancelled attempt, for import elsewhere; undefined where it is gone. */
+    /** KV cache of a running or just cancelled attempt, for import elsewhere; undefined if it no longer exists. */
     exportCache(attempt: AttemptId): Promise<string | undefined>;
-    /** True if the cache was taken in; a resumed generation then skips the prefill. */
+    /** True if the cache was imported; a resumed generation then skips the prefill. */
     importCache(attempt: AttemptId, cache: string): Promise<boolean>;
 }
--- a/packages/types/src/EngineRequest.ts
+++ b/packages/types/src/EngineRequest.ts
@@ -1,18 +1,18 @@
 import type { AttemptId } from "./AttemptId.js";
 import type { PolicyId } from "./PolicyId.js";
 
-/** One generation asked of a model engine. */
+/** A request to a model engine for one generation. */
 export interface EngineRequest {
     attempt: AttemptId;
     policy: PolicyId;
     prompt: string;
-    /** Text that earlier attempts produced; the engine continues behind it. Empty for a fresh start. */
+    /** Text that earlier attempts produced and the engine continues. Empty for a fresh start. */
     resumeText: string;
-    /** Tokens that `resumeText` holds. */
+    /** Number of tokens in `resumeText`. */
     resumeTokens: number;
-    /** Bound of the whole text, `resumeTokens` included. */
+    /** Upper bound for the whole text, including `resumeTokens`. */
     maxTokens: number;
-    /** Higher runs first. 0 to 100; interactive traffic uses 100. */
+    /** From 0 to 100; higher runs first. Interactive traffic uses 100. */
     priority: number;
     seed: number;
 }
--- a/packages/types/src/EntryRecord.ts
+++ b/packages/types/src/EntryRecord.ts
@@ -3,11 +3,11 @@
 import type { Region } from "./Region.js";
 import type { VmId } from "./VmId.js";
 
-/** Who an entry is, from its settings. */
+/** Identity of an entry, from its settings. */
 export interface EntryRecord {
     entry: EntryId;
     vm: VmId;
-    /** `http://ip:port` where other processes reach it. */
+    /** `http://ip:port` at which other processes reach it. */
     address: string;
     failureDomain: FailureDomain;
     region: Region;
--- a/packages/types/src/FailureDomain.ts
+++ b/packages/types/src/FailureDomain.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./Brand.js";
 
-/** Name of a failure domain: a place. */
+/** Name of a failure domain. */
 export type FailureDomain = Brand<string, "FailureDomain">;
--- a/packages/types/src/FencingNumber.ts
+++ b/packages/types/src/FencingNumber.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./Brand.js";
 
-/** Grows with each change of a lease's holder; a receiver refuses a number lower than the highest it knows. */
+/** Increases with each change of a lease's holder; a receiver refuses a number lower than the highest it knows. */
 export type FencingNumber = Brand<number, "FencingNumber">;
--- a/packages/types/src/GroupStore.ts
+++ b/packages/types/src/GroupStore.ts
@@ -1,4 +1,7 @@
-/** Keeps verified but unacknowledged groups beyond the owner's process. Losing it costs work, never truth. */
+/**
+ * Stores verified but unacknowledged groups outside the owner's process. If its content is lost, the groups are
+ * generated again; no guarantee is broken.
+ */
 export interface GroupStore {
     save(record: { job: string; step: number; group: number; fencing: number; body: string; }): Promise<void>;
     load(job: string, step: number): Promise<{ group: number; fencing: number; body: string; }[]>;
--- a/packages/types/src/IncarnationId.ts
+++ b/packages/types/src/IncarnationId.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./Brand.js";
 
-/** Drawn anew at each start of a process; tells one run of it from the next. */
+/** Drawn at random at each start of a process, to distinguish its runs. */
 export type IncarnationId = Brand<string, "IncarnationId">;
--- a/packages/types/src/KeyDigest.ts
+++ b/packages/types/src/KeyDigest.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./Brand.js";
 
-/** SHA-256 of a caller's key, in hex. The key itself is held nowhere. */
+/** SHA-256 of a caller's key, in hex. The key itself is stored nowhere. */
 export type KeyDigest = Brand<string, "KeyDigest">;
--- a/packages/types/src/Lease.ts
+++ b/packages/types/src/Lease.ts
@@ -1,19 +1,19 @@
 import type { FencingNumber } from "./FencingNumber.js";
 
-/** A lease as its holder uses it. */
+/** A lease as seen by its holder. */
 export interface Lease {
     key: string;
     fencing: FencingNumber;
-    /** True if nobody held it before, so that there is no earlier holder whose doings are unknown. */
+    /** True if nobody held it before, so that no earlier holder may have acted under it. */
     isFirst?: boolean;
-    /** What was found when it was acquired; undefined where the keeper does not tell. */
+    /** State of the lease when it was acquired; undefined if the lease keeper does not report it. */
     found?: "nothing" | "ownEarlier" | "released" | "lapsed";
-    /** Milliseconds since the last confirmed renewal was sent, on the holder's own clock. */
+    /** Milliseconds since the last confirmed renewal was sent, by the holder's own clock. */
     ageMs?(): number;
-    /** True while the holder's own clock, counted from before the last renewal was sent, is within the lease. */
+    /** True while the lease is valid by the holder's own clock, counted from before the last renewal was sent. */
     isHeld(): boolean;
-    /** Gives the lease up, so that another may take it at once. */
+    /** Releases the lease, so that another process may acquire it at once. */
     release(): Promise<void>;
-    /** Aborted once the lease is lost for good (another holder seen). */
+    /** Aborted once the lease is permanently lost, because another holder was seen. */
     lost: AbortSignal;
 }
--- a/packages/types/src/LimitsManifest.ts
+++ b/packages/types/src/LimitsManifest.ts
@@ -1,12 +1,12 @@
-/** Limits that hold on every entry; each has a default. */
+/** Limits that apply on every entry; each has a default. */
 export interface LimitsManifest {
     maxBodyBytes: number;
     maxQueuedPerTeam: number;
     defaultDeadlineMs: number;
-    /** Retries and hedges may add at most this part to the first attempts. */
+    /** Retries and hedges together, as a ratio of the first attempts, at most. */
     retryBudgetRatio: number;
-    /** At most this part of a policy's samplers swaps weights at once. */
+    /** Share of a policy's samplers that may swap weights at the same time, at most. */
     maxSwappingRatio: number;
-    /** Interactive requests wait at most this long behind rollouts. */
+    /** Longest time an interactive request waits for rollouts. */
     interactiveWaitMs: number;
 }
--- a/packages/types/src/Manifest.ts
+++ b/packages/types/src/Manifest.ts
@@ -4,7 +4,7 @@
 import type { ServiceManifest } from "./ServiceManifest.js";
 import type { TeamManifest } from "./TeamManifest.js";
 
-/** The whole intent of the operators; validated whole, published as one object. */
+/** The complete configuration that the operators want; validated as a whole and published as one object. */
 export interface Manifest {
     name: string;
     teams: TeamManifest[];
--- a/packages/types/src/OperatorApply.ts
+++ b/packages/types/src/OperatorApply.ts
@@ -1,6 +1,6 @@
 /** Body of `POST /operator/manifest`; the answer is an `OperatorApplied` or an `OperatorError`. */
 export interface OperatorApply {
     manifest: unknown;
-    /** Version the change was made against; 0 demands that none is published. */
+    /** Version that the change is based on; 0 requires that no manifest is published. */
     expectedVersion: number;
 }
--- a/packages/types/src/OperatorDrained.ts
+++ b/packages/types/src/OperatorDrained.ts
@@ -1,6 +1,6 @@
 import type { SamplerId } from "./SamplerId.js";
 
-/** Answer of `POST /operator/drain`: the sidecar refuses new work from now on; `running` attempts go on. */
+/** Answer of `POST /operator/drain`: the sidecar refuses new work from now on; `running` attempts continue. */
 export interface OperatorDrained {
     sampler: SamplerId;
     running: number;
--- a/packages/types/src/OperatorError.ts
+++ b/packages/types/src/OperatorError.ts
@@ -1,7 +1,7 @@
 import type { ConfigFault } from "./ConfigFault.js";
 import type { VersionedManifest } from "./VersionedManifest.js";
 
-/** Body of every answer of the operators' interface that is not a success. */
+/** Body of every unsuccessful answer of the operator interface. */
 export interface OperatorError {
     /** Number of the result code. */
     code: number;
@@ -10,6 +10,6 @@
     action: string;
     /** Faults of a refused manifest. */
     faults?: ConfigFault[];
-    /** With `manifestRaced`: what stands published now. */
+    /** With `manifestRaced`: the manifest published now. */
     current?: VersionedManifest;
 }
--- a/packages/types/src/OperatorExplain.ts
+++ b/packages/types/src/OperatorExplain.ts
@@ -1,4 +1,4 @@
-/** Answer of `GET /operator/explain?id=…`: the decisions kept for a sample, attempt or request, oldest first. */
+/** Answer of `GET /operator/explain?id=…`: the decisions recorded for a sample, attempt or request, oldest first. */
 export interface OperatorExplain {
     id: string;
     decisions: {
--- a/packages/types/src/OperatorJob.ts
+++ b/packages/types/src/OperatorJob.ts
@@ -7,15 +7,15 @@
     job: JobId;
     team: TeamId;
     policy: PolicyId;
-    /** Name of the owning entry; undefined while there is none. */
+    /** Name of the owning entry; undefined while no entry owns the job. */
     owner: string | undefined;
     fencing: number | undefined;
-    /** Open step; undefined where none is open. */
+    /** The open step; undefined if none is open. */
     step: number | undefined;
-    /** Groups acknowledged by the trainer, of `groups`. */
+    /** Number of the step's `groups` that the trainer has acknowledged. */
     groupsDelivered: number;
     groups: number;
     publishedVersion: number | undefined;
-    /** Milliseconds until the trainer needs the open step whole; negative once late. */
+    /** Milliseconds until the trainer needs the open step complete; negative once late. */
     needInMs: number | undefined;
 }
--- a/packages/types/src/OperatorManifest.ts
+++ b/packages/types/src/OperatorManifest.ts
@@ -2,8 +2,8 @@
 import type { Manifest } from "./Manifest.js";
 
 /**
- * Answer of `GET /operator/manifest`: what the object API holds now, which may be newer than what is in force.
- * Version 0 and no manifest before the first is published.
+ * Answer of `GET /operator/manifest`: the manifest in the object API, which may be newer than the one in effect.
+ * Version 0 and no manifest before the first one is published.
  */
 export interface OperatorManifest {
     version: ConfigVersion;
--- a/packages/types/src/OperatorMember.ts
+++ b/packages/types/src/OperatorMember.ts
@@ -1,6 +1,6 @@
 import type { ConfigVersion } from "./ConfigVersion.js";
 
-/** A process as the answering entry sees it. */
+/** A process as seen by the answering entry. */
 export interface OperatorMember {
     name: string;
     role: "entry" | "sidecar";
@@ -9,8 +9,8 @@
     failureDomain: string;
     region: string;
     state: "ready" | "suspected" | "leaving" | "swapping" | "unknownVersion" | "engineDown";
-    /** Manifest version in force there as last heard; 0 where not known. */
+    /** Manifest version in effect there as last reported; 0 if unknown. */
     configVersion: ConfigVersion;
-    /** Age of what is known of it. */
+    /** Age of the latest information about it. */
     ageMs: number;
 }
--- a/packages/types/src/OperatorStatus.ts
+++ b/packages/types/src/OperatorStatus.ts
@@ -2,15 +2,15 @@
 import type { EntryId } from "./EntryId.js";
 import type { OperatorMember } from "./OperatorMember.js";
 
-/** Answer of `GET /operator/status`. Members include the answering entry itself. */
+/** Answer of `GET /operator/status`. `members` includes the answering entry itself. */
 export interface OperatorStatus {
     entry: EntryId;
-    /** Version in force at the answering entry; 0 before the first. */
+    /** Manifest version in effect at the answering entry; 0 before the first. */
     configVersion: ConfigVersion;
-    /** Name of the manifest in force; undefined before the first. */
+    /** Name of the manifest in effect; undefined before the first. */
     manifestName: string | undefined;
     ready: boolean;
-    /** False while the object API does not answer this entry. */
+    /** False while this entry gets no answer from the object API. */
     storeReachable: boolean;
     members: OperatorMember[];
 }
--- a/packages/types/src/OperatorTeamUsage.ts
+++ b/packages/types/src/OperatorTeamUsage.ts
@@ -1,6 +1,6 @@
 import type { TeamId } from "./TeamId.js";
 
-/** Use by one team. Teams are charged for `delivered` and `discarded`, not for `overhead`. */
+/** Usage of one team. Teams are charged for `delivered` and `discarded`, not for `overhead`. */
 export interface OperatorTeamUsage {
     team: TeamId;
     samples: number;
--- a/packages/types/src/PlainAnswer.ts
+++ b/packages/types/src/PlainAnswer.ts
@@ -1,4 +1,4 @@
-/** Answer of a plain request; `body` streams and rejects if it is cut short, so a part never passes as a whole. */
+/** Answer to a plain request. `body` rejects if it is cut short, so that a partial body is never taken as complete. */
 export interface PlainAnswer {
     status: number;
     headers: Record<string, string>;
--- a/packages/types/src/PlainRequest.ts
+++ b/packages/types/src/PlainRequest.ts
@@ -3,20 +3,20 @@
 import type { ServiceId } from "./ServiceId.js";
 import type { TeamId } from "./TeamId.js";
 
-/** An interactive or plain HTTP request on its way to a sampler. */
+/** An interactive or plain HTTP request as sent to a sampler. */
 export interface PlainRequest {
     attempt: AttemptId;
     service: ServiceId;
     team: TeamId;
     method: string;
-    /** Path and query below the service. */
+    /** Path and query relative to the service. */
     path: string;
     headers: Record<string, string>;
     body: Uint8Array;
     idempotent: boolean;
     digest: ContentDigest;
-    /** The content is refused and allowed this one run, with nothing else at the sampler. */
+    /** True for a trial: the content is quarantined but may run this once, with nothing else on the sampler. */
     isTrial?: boolean;
-    /** Milliseconds left until the caller's deadline at the moment of sending. */
+    /** Milliseconds left until the caller's deadline when the request is sent. */
     budgetMs: number;
 }
--- a/packages/types/src/PublishedWeights.ts
+++ b/packages/types/src/PublishedWeights.ts
@@ -1,7 +1,7 @@
 import type { PolicyId } from "./PolicyId.js";
 import type { WeightVersion } from "./WeightVersion.js";
 
-/** A weight version that a trainer has published. */
+/** A version of a policy's weights that a trainer has published. */
 export interface PublishedWeights {
     policy: PolicyId;
     version: WeightVersion;
--- a/packages/types/src/Random.ts
+++ b/packages/types/src/Random.ts
@@ -1,4 +1,4 @@
-/** Seeded randomness, as an argument. */
+/** Injectable seeded random numbers. */
 export interface Random {
     /** Uniform in [0, 1). */
     nextUnit(): number;
@@ -6,6 +6,6 @@
     nextInt(bound: number): number;
     /** 32 hex digits, unique with overwhelming probability. */
     nextId(): string;
-    /** A generator of its own, so that one consumer's draws do not shift another's. */
+    /** Creates an independent generator, so that one consumer's draws do not change another's. */
     fork(): Random;
 }
--- a/packages/types/src/ResultCode.ts
+++ b/packages/types/src/ResultCode.ts
@@ -1,11 +1,11 @@
-/** A numbered result that callers, operators and logs see; `docs/result-codes.md` has the table. */
+/** A numbered result shown to callers, to operators and in logs; see `docs/result-codes.md`. */
 export interface ResultCode {
-    /** Four digits; the first names the family. */
+    /** Four digits; the first is the category. */
     number: number;
     name: string;
     httpStatus: number;
-    /** What went wrong, one sentence. */
+    /** What went wrong, in one sentence. */
     meaning: string;
-    /** What the reader does next, one sentence. */
+    /** What the reader should do next, in one sentence. */
     action: string;
 }
--- a/packages/types/src/Sample.ts
+++ b/packages/types/src/Sample.ts
@@ -2,7 +2,7 @@
 import type { SamplerId } from "./SamplerId.js";
 import type { TokenSpan } from "./TokenSpan.js";
 
-/** A verified sample as a trainer receives it. */
+/** A verified sample as delivered to a trainer. */
 export interface Sample {
     sample: SampleId;
     group: number;
--- a/packages/types/src/SampleAnswer.ts
+++ b/packages/types/src/SampleAnswer.ts
@@ -2,7 +2,7 @@
 import type { SamplerId } from "./SamplerId.js";
 import type { TokenSpan } from "./TokenSpan.js";
 
-/** What a finished attempt produced. `spans` include those resumed from. `complete` is false after a cancel. */
+/** Result of a finished attempt. `spans` includes those it resumed from. `complete` is false after a cancellation. */
 export interface SampleAnswer {
     attempt: AttemptId;
     sampler: SamplerId;
--- a/packages/types/src/SampleAttempt.ts
+++ b/packages/types/src/SampleAttempt.ts
@@ -8,26 +8,26 @@
 import type { TokenSpan } from "./TokenSpan.js";
 import type { WeightVersion } from "./WeightVersion.js";
 
-/** One attempt to make one sample, as sent to a sidecar. */
+/** One attempt to generate one sample, as sent to a sidecar. */
 export interface SampleAttempt {
     attempt: AttemptId;
     sample: SampleId;
     job: JobId;
     team: TeamId;
     policy: PolicyId;
-    /** The job lease's number; a sidecar that knows a higher one answers `notRun` with code `fenced`. */
+    /** Fencing number of the job's lease; a sidecar that knows a higher one answers `notRun` with code `fenced`. */
     fencing: FencingNumber;
-    /** The sidecar answers `notRun` with code `staleWeights` when it serves an older version. */
+    /** A sidecar that serves an older version answers `notRun` with code `staleWeights`. */
     minVersion: WeightVersion;
     prompt: string;
     maxTokens: number;
     priority: number;
     seed: number;
     digest: ContentDigest;
-    /** The content is refused and allowed this one run, with nothing else at the sampler. */
+    /** True for a trial: the content is quarantined but may run this once, with nothing else on the sampler. */
     isTrial?: boolean;
-    /** Milliseconds the sidecar may spend from receipt; work past it is dropped before it runs. */
+    /** Time limit of the sidecar, counted from receipt; work that is past it is dropped before it runs. */
     budgetMs: number;
-    /** Spans of an earlier attempt to continue behind; empty for a fresh start. */
+    /** Spans of an earlier attempt to continue from; empty for a fresh start. */
     resume: TokenSpan[];
 }
--- a/packages/types/src/SampleGroup.ts
+++ b/packages/types/src/SampleGroup.ts
@@ -1,6 +1,6 @@
 import type { Sample } from "./Sample.js";
 
-/** A whole group: every index from 0 to group size - 1 exactly once. */
+/** A complete group: contains every index from 0 to group size - 1 exactly once. */
 export interface SampleGroup {
     group: number;
     samples: Sample[];
--- a/packages/types/src/SampleId.ts
+++ b/packages/types/src/SampleId.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./Brand.js";
 
-/** `job/step/group/index`: the identity of a sample whatever the number of its attempts. */
+/** `job/step/group/index`: identifies a sample across all its attempts. */
 export type SampleId = Brand<string, "SampleId">;
--- a/packages/types/src/SampleTask.ts
+++ b/packages/types/src/SampleTask.ts
@@ -4,7 +4,7 @@
 import type { TokenSpan } from "./TokenSpan.js";
 import type { WeightVersion } from "./WeightVersion.js";
 
-/** One sample that a job wants made. */
+/** One sample that a job needs to have generated. */
 export interface SampleTask {
     sample: SampleId;
     step: StepNumber;
@@ -14,10 +14,10 @@
     maxTokens: number;
     seed: number;
     digest: ContentDigest;
-    /** Monotonic time at which the trainer needs it. */
+    /** Monotonic time at which the trainer needs the sample. */
     needAtMs: number;
-    /** Spans of an earlier run to continue behind; a fresh start where left out. */
+    /** Spans of an earlier attempt to continue from; a fresh start if omitted. */
     resume?: TokenSpan[];
-    /** No span may be older than this; raised by the owner as weights are published. */
+    /** Lowest version allowed for a span; the owner raises it as weights are published. */
     minVersion: WeightVersion;
 }
--- a/packages/types/src/SamplerIdentity.ts
+++ b/packages/types/src/SamplerIdentity.ts
@@ -4,11 +4,11 @@
 import type { ServiceId } from "./ServiceId.js";
 import type { VmId } from "./VmId.js";
 
-/** Who a sidecar is, from its settings. */
+/** Identity of a sidecar, from its settings. */
 export interface SamplerIdentity {
     sampler: SamplerId;
     vm: VmId;
-    /** `http://ip:port` where entries reach the sidecar. */
+    /** `http://ip:port` at which entries reach the sidecar. */
     address: string;
     failureDomain: FailureDomain;
     region: Region;
--- a/packages/types/src/SamplerReport.ts
+++ b/packages/types/src/SamplerReport.ts
@@ -9,12 +9,12 @@
 import type { VmId } from "./VmId.js";
 import type { WeightVersion } from "./WeightVersion.js";
 
-/** What a sidecar tells of itself and its backend server, in heartbeats and beside answers. */
+/** A sidecar's report on itself and its backend server, sent in heartbeats and with answers. */
 export interface SamplerReport {
     sampler: SamplerId;
     vm: VmId;
     incarnation: IncarnationId;
-    /** Grows with each report of the incarnation; an older one is dropped. */
+    /** Increases with each report of the incarnation; an older report is dropped. */
     sequence: number;
     address: string;
     failureDomain: FailureDomain;
@@ -23,8 +23,8 @@
     state: "ready" | "swapping" | "unknownVersion" | "leaving" | "engineDown";
     served: { policy: PolicyId; version: WeightVersion; }[];
     /**
-     * True where the engine states the version of each chunk. Elsewhere spans are proven only once their attempt has
-     * ended, so those of an attempt with another outcome than `ran` are worth nothing.
+     * True if the engine states the version of each chunk. Otherwise the version of a span is proven only once its
+     * attempt has ended, so the spans of an attempt with an outcome other than `ran` must be discarded.
      */
     stampsVersions?: boolean;
     running: number;
@@ -34,6 +34,6 @@
     tokensPerSecond: number;
     maxBatch: number;
     configVersion: ConfigVersion;
-    /** Digests that were in flight when the engine died, not yet cleared. */
+    /** Content digests that were in flight when the engine crashed and are not cleared yet. */
     suspects: { digest: ContentDigest; deaths: { vm: VmId; bootId: string; contents?: number; }[]; }[];
 }
--- a/packages/types/src/SamplerView.ts
+++ b/packages/types/src/SamplerView.ts
@@ -1,15 +1,15 @@
 import type { SamplerReport } from "./SamplerReport.js";
 
-/** A sampler as one entry sees it when it decides. */
+/** A sampler as seen by one entry at the time of a routing decision. */
 export interface SamplerView {
     report: SamplerReport;
-    /** Age of the report on this entry's monotonic clock. */
+    /** Age of the report by this entry's monotonic clock. */
     reportAgeMs: number;
-    /** Attempts this entry has in flight there, with the tokens it still expects of each. */
+    /** Attempts that this entry has in flight there; `sentTokens` is the number of tokens it still expects of them. */
     sentAttempts: number;
     sentTokens: number;
-    /** Attempts sent since the report was made, which it cannot include. */
+    /** Attempts sent since the report was made, which the report cannot include. */
     sentSinceReport: number;
-    /** Suspected down or ejected: not to be chosen while another is left. */
+    /** Suspected to be down, or ejected: not picked while another sampler is available. */
     suspected: boolean;
 }
--- a/packages/types/src/ScoringPort.ts
+++ b/packages/types/src/ScoringPort.ts
@@ -1,2 +1,2 @@
-/** A scoring service. Scores one finished text; idempotent. Rejects with code `scoringUnavailable`. */
+/** Scores one finished text at a scoring service; idempotent. Rejects with code `scoringUnavailable`. */
 export type ScoringPort = (service: string, prompt: string, text: string) => Promise<number>;
--- a/packages/types/src/SharedDocument.ts
+++ b/packages/types/src/SharedDocument.ts
@@ -1,6 +1,6 @@
 /**
- * A versioned value that every process is to know: the manifest, the quarantine list, who owns which job.
- * A process takes a document only if its version is higher than the one it has.
+ * A versioned value that is distributed to every process: the manifest, the quarantine list, who owns which job.
+ * A process accepts a document only if its version is higher than the one it has.
  */
 export interface SharedDocument {
     /** `manifest`, `quarantine`, `owner/<job>`, `weights/<policy>`, `range/<n>`. */
--- a/packages/types/src/SidecarPort.ts
+++ b/packages/types/src/SidecarPort.ts
@@ -12,11 +12,11 @@
 import type { UsageCounter } from "./UsageCounter.js";
 
 /**
- * A sidecar as entries and owners call it, over HTTP or in process. `runSample` and `callPlain` never reject:
- * transport faults become outcomes. The others reject with code `sidecarUnreachable`.
+ * A sidecar as called by entries and owners, over HTTP or in process. `runSample` and `callPlain` never reject:
+ * transport errors are returned as outcomes. The other methods reject with code `sidecarUnreachable`.
  */
 export interface SidecarPort {
-    /** Spans stream to `onSpan` in order. Aborting `signal` cancels; the answer then holds what was made. */
+    /** Streams spans to `onSpan` in order. Aborting `signal` cancels; the answer then contains what was generated. */
     runSample(
         attempt: SampleAttempt,
         onSpan: (span: TokenSpan) => void,
@@ -27,6 +27,6 @@
     order(order: SamplerOrder): Promise<SamplerOrderResult>;
     readReport(): Promise<SamplerReport>;
     readUsage(): Promise<UsageCounter[]>;
-    /** From now on new work is refused with code `leaving`; running work goes on. */
+    /** From now on new work is refused with code `leaving`; running work continues. */
     beginLeaving?(): void | Promise<void>;
 }
--- a/packages/types/src/StepSpec.ts
+++ b/packages/types/src/StepSpec.ts
@@ -1,9 +1,9 @@
 import type { StepNumber } from "./StepNumber.js";
 
-/** A step as its trainer opens it: one prompt a group. */
+/** A step as opened by its trainer, with one prompt per group. */
 export interface StepSpec {
     step: StepNumber;
     prompts: { prompt: string; maxTokens: number; }[];
-    /** Wall time when the trainer needs the last group; undefined takes the job's `stepNeedMs` from opening. */
+    /** Wall time at which the trainer needs the last group; by default the job's `stepNeedMs` after opening. */
     needAtMs: number | undefined;
 }
--- a/packages/types/src/StoredChange.ts
+++ b/packages/types/src/StoredChange.ts
@@ -1,6 +1,6 @@
 import type { ObjectVersion } from "./ObjectVersion.js";
 
-/** A change seen by a watch; `value` is undefined where the object was removed. */
+/** A change seen by a watch; `value` is undefined if the object was removed. */
 export interface StoredChange {
     key: string;
     version: ObjectVersion;
--- a/packages/types/src/StoredObject.ts
+++ b/packages/types/src/StoredObject.ts
@@ -1,6 +1,6 @@
 import type { ObjectVersion } from "./ObjectVersion.js";
 
-/** One object of the object API: a JSON value of at most one megabyte under a key. */
+/** An object of the object API: a JSON value of at most one megabyte under a key. */
 export interface StoredObject {
     key: string;
     version: ObjectVersion;
--- a/packages/types/src/TeamManifest.ts
+++ b/packages/types/src/TeamManifest.ts
@@ -1,9 +1,9 @@
 import type { TeamId } from "./TeamId.js";
 
-/** A team; `tokenDigests` are SHA-256 in hex of the bearer tokens that prove it. */
+/** A team; `tokenDigests` are the SHA-256 digests, in hex, of the bearer tokens that authenticate it. */
 export interface TeamManifest {
     team: TeamId;
-    /** Guaranteed part of engine time, 0 to 1; all teams together at most 1. */
+    /** Guaranteed share of engine time, from 0 to 1; the shares of all teams add up to at most 1. */
     share: number;
     tokenDigests: string[];
 }
--- a/packages/types/src/TrialId.ts
+++ b/packages/types/src/TrialId.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./Brand.js";
 
-/** Names one run that a refused content was allowed. */
+/** Identifies one trial: a single run that a quarantined content is allowed. */
 export type TrialId = Brand<string, "TrialId">;
--- a/packages/types/src/TrueTime.ts
+++ b/packages/types/src/TrueTime.ts
@@ -1,6 +1,7 @@
-/** Milliseconds since 1970 as most machines agree on them, while the time of day of some may jump. */
+/** Time since 1970 as agreed on by most machines, while the wall clock of a single machine may jump. */
 export interface TrueTime {
+    /** Milliseconds since 1970-01-01 UTC. */
     nowMs(): number;
-    /** The true time of a moment of this process's monotonic clock. */
+    /** Converts a time of this process's monotonic clock. */
     atMs(monotonicMs: number): number;
 }
--- a/packages/types/src/UsageCounter.ts
+++ b/packages/types/src/UsageCounter.ts
@@ -3,7 +3,7 @@
 import type { SamplerId } from "./SamplerId.js";
 import type { TeamId } from "./TeamId.js";
 
-/** Cumulative since the incarnation's start; merged by maximum, so that a report said twice counts once. */
+/** Cumulative since the incarnation's start; merged by maximum, so that a repeated report counts once. */
 export interface UsageCounter {
     sampler: SamplerId;
     incarnation: IncarnationId;
--- a/packages/types/src/VmId.ts
+++ b/packages/types/src/VmId.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./Brand.js";
 
-/** Name of a VM as the VM list gives it. */
+/** Name of a VM as in the VM list. */
 export type VmId = Brand<string, "VmId">;
--- a/packages/types/src/VmList.ts
+++ b/packages/types/src/VmList.ts
@@ -1,4 +1,4 @@
 import type { VmRecord } from "./VmRecord.js";
 
-/** The platform's list of live and leaving VMs; lags behind the truth. Rejects with code `vmListUnavailable`. */
+/** Reads the platform's list of live and leaving VMs, which may be out of date. Rejects with `vmListUnavailable`. */
 export type VmList = () => Promise<VmRecord[]>;
--- a/packages/types/src/WeightVersion.ts
+++ b/packages/types/src/WeightVersion.ts
@@ -1,4 +1,4 @@
 import type { Brand } from "./Brand.js";
 
-/** Version of a policy's weights: a whole number from 0 that its trainer raises by publishing. */
+/** Version of a policy's weights: an integer from 0 that increases as its trainer publishes. */
 export type WeightVersion = Brand<number, "WeightVersion">;
