--- a/packages/fakes/src/BatchItem.ts
+++ b/packages/fakes/src/BatchItem.ts
@@ -1,8 +1,8 @@
-/** Work in a batch. All times are what the item would take alone. */
+/** An item of work in a batch. `totalMs` and `doneMs` are times that the item would take with nothing else running. */
 export interface BatchItem {
     totalMs: number;
     doneMs: number;
-    /** Wall time times share of the batch, so that the sum over items is the time the engine was busy. */
+    /** Elapsed time divided by the number of items in the batch, so that the sum over all items is the busy time. */
     engineMs: number;
     onProgress(): void;
     onDone(): void;
--- a/packages/fakes/src/FakeEngineControl.ts
+++ b/packages/fakes/src/FakeEngineControl.ts
@@ -3,28 +3,28 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** Faults and truths of a fake engine. */
+/** Injects faults into a fake engine and shows its actual state. */
 export interface FakeEngineControl {
-    /** Generations end with reason `crashed`; every call rejects until the restart. */
+    /** Ends all generations with reason `crashed`; every call rejects until the restart. */
     crash(): void;
-    /** Comes back empty with a new boot id, serving what is given or what it served before. */
+    /** Restarts without generations and with a new boot id, serving `served` or what it served before. */
     restart(served?: { policy: PolicyId; version: WeightVersion; }[]): void;
     isUp(): boolean;
-    /** A request for which `kills` holds crashes the engine `afterMs` after it begins to run. */
+    /** From now on a request for which `isCrashInducing` is true crashes the engine `afterMs` after it begins to run. */
     crashOn(isCrashInducing: (request: EngineRequest) => boolean, afterMs?: number): void;
-    /** The next load order answers `failed` and leaves the old, the new, or another version. */
+    /** The next load order answers `failed` and leaves the old, the new, or the given version served. */
     failNextLoad(leaves: "old" | "new" | WeightVersion): void;
-    /** Changes the served version behind everyone's back, as a hand at the machine would. */
+    /** Changes the served version without an order, as a manual change on the machine would. */
     setServedVersion(policy: PolicyId, version: WeightVersion): void;
     served(): { policy: PolicyId; version: WeightVersion; }[];
-    /** Engine time by attempt; the sum is `busyMs`. */
+    /** Engine time by attempt; the sum over all attempts is `busyMs`. */
     engineMsByAttempt(): Map<AttemptId, number>;
     busyMs(): number;
     crashes(): number;
-    /** Names the present start of the engine. */
+    /** Identifies the current start of the engine. */
     bootId(): string;
-    /** How often each attempt began to run. */
+    /** Number of times that each attempt began to run. */
     startsByAttempt(): Map<AttemptId, number>;
-    /** Load orders that took effect, in order. */
+    /** Load orders that took effect, oldest first. */
     loads(): { policy: PolicyId; version: WeightVersion; fencing: number; }[];
 }
--- a/packages/fakes/src/FakeEngineOptions.ts
+++ b/packages/fakes/src/FakeEngineOptions.ts
@@ -4,31 +4,31 @@
 import type { Random } from "@auburnarch/types/Random";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** How a fake engine is built and how fast it is. */
+/** Capabilities and speed of a fake engine. */
 export interface FakeEngineOptions {
     clock: Clock;
     random: Random;
-    /** What it serves at the first start. */
+    /** Policies and versions served at the first start. */
     served: { policy: PolicyId; version: WeightVersion; }[];
     maxBatch?: number;
-    /** Tokens a second of one generation alone. */
+    /** Tokens per second of a single generation with nothing else in the batch. */
     tokensPerSecond?: number;
     prefillTokensPerSecond?: number;
-    /** Each further generation in the batch slows all by this part. */
+    /** Slowdown of all generations for each additional one: speed is 1 / (1 + slowdown × (generations − 1)). */
     batchSlowdown?: number;
-    /** Memory of the prefix cache. */
+    /** Capacity of the prefix cache. */
     cacheTokens?: number;
-    /** How late the load report is. */
+    /** Age of the load that the engine reports. */
     reportLagMs?: number;
-    /** How long a load order takes; generations stand still meanwhile. */
+    /** Duration of a load order, during which generations are paused. */
     swapMs?: number;
-    /** Interval at which running generations emit chunks; they also do at swaps and at their end. */
+    /** Interval at which running generations emit chunks; they also emit one before a swap and at their end. */
     chunkMs?: number;
     honoursFencing?: boolean;
     /** Whether chunks name the version that made them. */
     statesFingerprint?: boolean;
-    /** Tokens of the whole text that a request leads to if nothing bounds it; the same for the same prompt and seed. */
+    /** Token count of the complete text of a request without a limit; must depend only on the prompt and the seed. */
     lengthOf?: (request: EngineRequest) => number;
-    /** Restarts by itself so long after a crash; undefined stays down. */
+    /** Delay of the automatic restart after a crash; if undefined the engine stays down. */
     restartAfterMs?: number;
 }
--- a/packages/fakes/src/FakePlainServiceControl.ts
+++ b/packages/fakes/src/FakePlainServiceControl.ts
@@ -1,19 +1,19 @@
 import type { PlainRequest } from "@auburnarch/types/PlainRequest";
 
-/** Faults and the record of a fake plain service. */
+/** Injects faults into a fake plain service and counts the requests it ran. */
 export interface FakePlainServiceControl {
-    /** How often each `Idempotency-Key` truly ran; requests without one are left out. */
+    /** Number of runs for each `Idempotency-Key`; requests without a key are not counted. */
     runsByKey(): Map<string, number>;
-    /** How often each attempt truly ran. */
+    /** Number of runs of each attempt. */
     runsByAttempt(): Map<string, number>;
-    /** The next `count` requests run, but the connection breaks before the answer. */
+    /** The next `count` requests run, but their connections break before the answer. */
     breakAfterRun(count: number): void;
-    /** The next `count` requests find no connection and do not run. */
+    /** The next `count` requests fail to connect and do not run. */
     refuseNext(count: number): void;
-    /** The next `count` answers break off half way through the body. */
+    /** The next `count` answers are cut short half way through the body. */
     cutBody(count: number): void;
     setLatency(latencyMs: number): void;
-    /** A request for which `kills` holds takes the service down after it ran; `restart` brings it back. */
+    /** From now on a request for which `isCrashInducing` is true runs and then crashes the service, until `restart`. */
     crashOn(isCrashInducing: (request: PlainRequest) => boolean): void;
     restart(): void;
 }
--- a/packages/fakes/src/FakeTrainerOptions.ts
+++ b/packages/fakes/src/FakeTrainerOptions.ts
@@ -5,7 +5,7 @@
 import type { StepSpec } from "@auburnarch/types/StepSpec";
 import type { TrainerPort } from "./TrainerPort.js";
 
-/** How a fake trainer works and misbehaves. */
+/** Behaviour of a fake trainer, including the faults it injects. */
 export interface FakeTrainerOptions {
     clock: Clock;
     random: Random;
@@ -14,23 +14,23 @@
     steps: number;
     groupSize: number;
     maxStalenessVersions: number;
-    /** Prompts of a step; deterministic. */
+    /** Prompts of a step; must be deterministic. */
     specOf: (step: StepNumber) => StepSpec;
-    /** Steps open at once, the one being read included. */
+    /** Number of steps open at the same time, including the one being read. */
     openSteps?: number;
-    /** Time to train on one whole step. */
+    /** Time to train on one complete step. */
     trainMs?: number;
     /** Version published before the first step. */
     firstVersion?: number;
     readWaitMs?: number;
     /** Pause after a call that rejected. */
     retryMs?: number;
-    /** Chance that the answer to a read is lost and the same cursor sent again. */
+    /** Probability that the answer to a read is lost and the read is repeated with the same cursor. */
     loseAnswerChance?: number;
-    /** Chance that a read is repeated and both answers compared, the second one taken. */
+    /** Probability that a read is repeated, both answers are compared and the second one is used. */
     rereadChance?: number;
-    /** By default any text goes. */
+    /** Accepts every text by default. */
     isExpectedText?: (prompt: string, text: string) => boolean;
-    /** Called as each step is whole. */
+    /** Called when a step is complete. */
     onStep?: (step: StepNumber) => void;
 }
--- a/packages/fakes/src/Generation.ts
+++ b/packages/fakes/src/Generation.ts
@@ -3,14 +3,14 @@
 import type { EngineRequest } from "@auburnarch/types/EngineRequest";
 import type { BatchItem } from "./BatchItem.js";
 
-/** One generation inside a fake engine. `item` is undefined while it waits. */
+/** One generation in a fake engine. `item` is undefined while the generation waits. */
 export interface Generation {
     request: EngineRequest;
     onChunk: (chunk: EngineChunk) => void;
     resolve: (finish: EngineFinish) => void;
     item: BatchItem | undefined;
     prefillMs: number;
-    /** Tokens of the whole text at the end, resumed ones included. */
+    /** Token count of the complete text, including resumed tokens. */
     targetTokens: number;
     reason: "stop" | "length";
     emittedTokens: number;
--- a/packages/fakes/src/HttpServerHandle.ts
+++ b/packages/fakes/src/HttpServerHandle.ts
@@ -1,4 +1,4 @@
-/** A listening server. `close` ends it with its connections. */
+/** A listening server. `close` also closes its connections. */
 export interface HttpServerHandle {
     port: number;
     close(): Promise<void>;
--- a/packages/fakes/src/JsonCall.ts
+++ b/packages/fakes/src/JsonCall.ts
@@ -1,8 +1,8 @@
-/** A JSON request as a route sees it. */
+/** A JSON request as passed to a route. */
 export interface JsonCall {
     method: string;
     path: string;
     query: URLSearchParams;
-    /** Parsed body; undefined where there was none. */
+    /** Parsed body; undefined if the request has none. */
     body: unknown;
 }
--- a/packages/fakes/src/TrainerPort.ts
+++ b/packages/fakes/src/TrainerPort.ts
@@ -3,7 +3,7 @@
 import type { StepNumber } from "@auburnarch/types/StepNumber";
 import type { StepSpec } from "@auburnarch/types/StepSpec";
 
-/** What a trainer calls for its job: an owner in process, or a client of an entry. */
+/** Interface that a trainer calls for its job, implemented by an owner in process or by a client of an entry. */
 export interface TrainerPort {
     openStep(spec: StepSpec): Promise<void>;
     publishWeights(weights: PublishedWeights): Promise<void>;
--- a/packages/fakes/src/TrainerReport.ts
+++ b/packages/fakes/src/TrainerReport.ts
@@ -1,30 +1,30 @@
-/** What a trainer received, by its own count. */
+/** Counts of what a trainer received. */
 export interface TrainerReport {
     stepsDone: number;
-    /** Samples received once and taken. */
+    /** Distinct samples received. */
     delivered: number;
-    /** Samples of finished steps that never came. */
+    /** Samples of finished steps that were never delivered. */
     missing: number;
-    /** Groups or sample ids that came again under a later cursor. */
+    /** Groups or sample ids that were delivered again under a later cursor. */
     duplicates: number;
-    /** Groups whose samples were not exactly indexes 0 to size - 1, or without spans. */
+    /** Groups whose samples did not have exactly the indexes 0 to size - 1, or lacked spans or the expected text. */
     brokenGroups: number;
-    /** Samples with a span older than the bound when they arrived. */
+    /** Samples with a span that exceeded the staleness limit when they arrived. */
     staleViolations: number;
     stalenessMaxVersions: number;
-    /** Versions behind the published one at receipt, one entry a sample. */
+    /** Versions behind the published one at receipt, one entry per sample. */
     stalenessVersions: number[];
-    /** How long each sample's oldest version had been replaced at receipt; 0 for the newest. */
+    /** Time since each sample's oldest version was superseded, at receipt; 0 for the newest version. */
     stalenessMs: number[];
-    /** Repeated reads of one cursor that gave other groups, stale ones apart. */
+    /** Groups that a repeated read of the same cursor did not return unchanged, except stale ones. */
     rereadMismatches: number;
-    /** Pages dropped for a lower fencing number than one seen. */
+    /** Pages dropped because a higher fencing number had been seen. */
     fencedPages: number;
-    /** Calls that rejected and were made again, by code name. */
+    /** Calls that rejected and were retried, by code name. */
     retries: Record<string, number>;
-    /** Time without a whole step to train on, after the first step opened. */
+    /** Time spent waiting for a complete step to train on, after the first step was opened. */
     idleMs: number;
     trainedMs: number;
-    /** From opening to whole, by step. */
+    /** Time from opening to completion of each step. */
     stepMs: number[];
 }
--- a/packages/fakes/src/createBatch.ts
+++ b/packages/fakes/src/createBatch.ts
@@ -3,16 +3,16 @@
 
 interface BatchOptions {
     clock: Clock;
-    /** Each further item slows all by this part: speed is 1 / (1 + slowdown × (items − 1)). */
+    /** Slowdown of all items for each additional one: speed is 1 / (1 + slowdown × (items − 1)). */
     slowdown: number;
-    /** Interval of progress calls. */
+    /** Interval between calls of `onProgress`. */
     progressMs: number;
 }
 
 interface Batch {
     add(item: BatchItem): void;
     remove(item: BatchItem): void;
-    /** Brings `doneMs` and `engineMs` up to now. */
+    /** Updates `doneMs` and `engineMs` of all items to the current time. */
     settle(): void;
     setPaused(paused: boolean): void;
     items(): BatchItem[];
@@ -22,8 +22,8 @@
 const toleranceMs = 1e-6;
 
 /**
- * Shares one processor among items without a timer a token: between two changes of the set all run at one
- * speed, so that one timer to the next end or progress call suffices.
+ * Shares one processor among items without a timer per token: between two changes of the set all items run at the same
+ * speed, so one timer for the next completion or progress call is enough.
  */
 export function createBatch(options: BatchOptions): Batch {
     const { clock, slowdown, progressMs } = options;
--- a/packages/fakes/src/createEngineOrders.ts
+++ b/packages/fakes/src/createEngineOrders.ts
@@ -17,20 +17,20 @@
     serve(policy: PolicyId, version: WeightVersion): void;
     failNextLoad: FakeEngineControl["failNextLoad"];
     loads: FakeEngineControl["loads"];
-    /** A restart: numbers seen are forgotten and no order runs. */
+    /** Resets the state as a restart does: fencing numbers are forgotten and no order is running. */
     reset(served: Served): void;
 }
 
 interface EngineOrdersDeps {
     options: FakeEngineOptions;
     generations: ReturnType<typeof createGenerations>;
-    /** Whether the engine is up and still in the boot given. */
+    /** Whether the engine is up and its boot id is still `bootId`. */
     isCurrentBoot: (boot: string) => boolean;
 }
 
 const defaultSwapMs = 2_000;
 
-/** The order side of a fake engine. Fencing numbers are compared by policy, where it honours them at all. */
+/** Executes a fake engine's orders. Fencing numbers are compared per policy, if the engine honours them. */
 export function createEngineOrders(deps: EngineOrdersDeps): EngineOrders {
     const { options, generations } = deps;
     const { swapMs = defaultSwapMs, honoursFencing = true } = options;
--- a/packages/fakes/src/createEngineRequests.ts
+++ b/packages/fakes/src/createEngineRequests.ts
@@ -8,7 +8,7 @@
 
 type EngineRequests = Pick<EnginePort, "generate" | "exportCache" | "importCache"> & {
     cancel(attempt: AttemptId): void;
-    /** Forgets what could be exported, as a crash does. */
+    /** Removes all exportable caches, as a crash does. */
     clearExportable(): void;
 };
 
@@ -44,7 +44,7 @@
     };
 }
 
-/** The request side of a fake engine: generations, cancels and the export and import of KV caches. */
+/** Handles a fake engine's requests: generation, cancellation, and export and import of KV caches. */
 export function createEngineRequests(deps: EngineRequestsDeps): EngineRequests {
     const { generations } = deps;
     const exportable = new Set<string>();
--- a/packages/fakes/src/createFakeEngine.test.ts
+++ b/packages/fakes/src/createFakeEngine.test.ts
@@ -41,7 +41,7 @@
     return { clock, ...createFakeEngine({ clock, random, served, lengthOf: () => 100, ...options }) };
 }
 
-test("the sum of engine time over attempts is the time the engine was busy", async () => {
+test("engine time summed over all attempts equals the engine's busy time", async () => {
     const { clock, engine, control } = createFixture({ maxBatch: 3 });
     const ends = [1, 2, 3, 4, 5].map(n =>
         engine.generate(requestOf(`a${n}`, { seed: n }), () => {}, neverAborted)
@@ -54,7 +54,7 @@
     expect(finishes.map(finish => finish.cachedPromptTokens > 0)).toEqual([false, true, true, true, true]);
 });
 
-test("a resumed text equals an unbroken one", async () => {
+test("a resumed generation produces the same text as an uninterrupted one", async () => {
     const { clock, engine } = createFixture();
     const chunks: EngineChunk[] = [];
     const abort = new AbortController();
@@ -72,7 +72,7 @@
     expect(chunks.map(chunk => chunk.text).join("")).toBe(fakeText(resumed.prompt, resumed.seed, 0, 100));
 });
 
-test("chunks before and after a swap name their own versions", async () => {
+test("chunks before and after a swap carry the fingerprint of the version that made them", async () => {
     const { clock, engine } = createFixture({ swapMs: 500 });
     const chunks: EngineChunk[] = [];
     const end = engine.generate(requestOf("a1"), chunk => chunks.push(chunk), neverAborted);
@@ -83,7 +83,7 @@
     expect(chunks.reduce((sum, chunk) => sum + chunk.tokens, 0)).toBe(100);
 });
 
-test("a load that breaks off leaves the version it was told to leave", async () => {
+test("a failed load leaves the configured version served", async () => {
     const { clock, engine, control } = createFixture();
     for (const [leaves, expected] of [["old", 1], ["new", 2], [9 as WeightVersion, 9]] as const) {
         control.setServedVersion(policy, 1 as WeightVersion);
@@ -95,7 +95,7 @@
     }
 });
 
-test("an old fencing number is refused only where the engine honours numbers", async () => {
+test("an order with an old fencing number is refused only by an engine that honours fencing", async () => {
     for (const honoursFencing of [true, false]) {
         const { clock, engine } = createFixture({ honoursFencing });
         void engine.order(loadOrder(2, 7));
@@ -106,7 +106,7 @@
     }
 });
 
-test("a killing prompt ends all in flight as crashed, and a restart has another boot id", async () => {
+test("a crash-inducing prompt ends all generations as crashed, and the restarted engine has a new boot id", async () => {
     const { clock, engine, control } = createFixture({ maxBatch: 2 });
     const before = await engine.describe();
     control.crashOn(request => request.prompt === "kill");
@@ -121,7 +121,7 @@
     expect((await engine.describe()).bootId).not.toBe(before.bootId);
 });
 
-test("higher priority leaves the queue first", async () => {
+test("waiting requests run by priority, then in order of arrival", async () => {
     const { clock, engine } = createFixture({ maxBatch: 1 });
     const order: string[] = [];
     for (const [attempt, priority] of [["a", 0], ["b", 1], ["c", 100], ["d", 1]] as const) {
--- a/packages/fakes/src/createFakeEngine.ts
+++ b/packages/fakes/src/createFakeEngine.ts
@@ -14,7 +14,10 @@
 
 const defaultCrashDelayMs = 50;
 
-/** A continuous-batching engine in memory; see `FakeEngineOptions` for its model and `FakeEngineControl` for its faults. */
+/**
+ * Creates an in-memory engine with continuous batching. `FakeEngineOptions` sets its speed and capabilities,
+ * `FakeEngineControl` injects faults.
+ */
 export function createFakeEngine(
     options: FakeEngineOptions,
 ): { engine: EnginePort; control: FakeEngineControl; } {
@@ -66,7 +69,7 @@
         crashes++;
         requests.clearExportable();
         generations.setPaused(true);
-        // Waiting ones end first, so that none of them takes the place of a running one.
+        // Waiting generations are ended first, so that none of them starts when a running one ends.
         generations.all().reverse().forEach(generation => generations.finish(generation, "crashed"));
         generations.clearCache();
         if (restartAfterMs !== undefined) {
@@ -84,7 +87,7 @@
         generations.setPaused(false);
     }
 
-    /** Guards a call: while the engine is down, nothing of it answers. */
+    /** Wraps a call so that it rejects with `engineUnreachable` while the engine is down. */
     const whileUp =
         <Args extends unknown[], T>(run: (...args: Args) => Promise<T>) => async (...args: Args) => {
             if (!up) {
--- a/packages/fakes/src/createFakeObjectStore.test.ts
+++ b/packages/fakes/src/createFakeObjectStore.test.ts
@@ -14,7 +14,7 @@
     return { clock, ...createFakeObjectStore({ clock, random: createRandom(1), ...options }) };
 }
 
-test("a write takes effect only on the expected version, and versions grow over the whole store", async () => {
+test("a write succeeds only on the expected version, and versions increase over the whole store", async () => {
     const { store } = createFixture();
     const first = await store.write("a", { n: 1 }, noVersion);
     const second = await store.write("b", { n: 2 }, noVersion);
@@ -43,7 +43,7 @@
     `);
 });
 
-test("a watch wakes at once on a change below its prefix, and only on that", async () => {
+test("a watch resolves at once on a change under its prefix and ignores other changes", async () => {
     const { clock, store } = createFixture();
     let wokeAtMs = -1;
     const watched = store.watch("jobs/", noVersion, 10_000).then(found => {
@@ -57,7 +57,8 @@
     expect((await watched).changes).toEqual([{ key: "jobs/a", version: 2, value: 1 }]);
 });
 
-test("a watcher behind the history gets every object, so that removed ones do not linger", async () => {
+// Guards against a watcher that keeps objects whose removal it missed.
+test("a watcher that is behind the history gets a full list", async () => {
     const { store } = createFixture({ historyChanges: 2 });
     const made = await store.write("gone", 1, noVersion);
     await store.remove("gone", made.kind === "written" ? made.version : noVersion);
@@ -69,14 +70,14 @@
     expect(found.changes.length).toBe(10);
 });
 
-test("an answer lost leaves the change in effect", async () => {
+test("a write whose answer is lost still takes effect", async () => {
     const { store, control } = createFixture();
     control.loseAnswers(1);
     expect(await codeName(store.write("a", 7, noVersion))).toBe("storeUnavailable");
     expect(control.peek("a")).toBe(7);
 });
 
-test("an outage ends waiting watches and refuses calls; a stale replica shows the past", async () => {
+test("an outage rejects calls and waiting watches, and a stale replica returns an earlier value", async () => {
     const { clock, store, control } = createFixture();
     const watched = codeName(store.watch("", noVersion, 60_000));
     clock.startTimer(10, () => control.setOutage(true));
@@ -90,7 +91,7 @@
     expect((await store.read("a"))?.value).toBe(1);
 });
 
-test("calls beyond the rate are refused and counted", async () => {
+test("calls beyond the rate limit are refused and counted", async () => {
     const { store, control } = createFixture({ writesPerSecond: 2 });
     const names = [];
     for (let n = 0; n < 4; n++) {
--- a/packages/fakes/src/createFakeObjectStore.ts
+++ b/packages/fakes/src/createFakeObjectStore.ts
@@ -13,11 +13,11 @@
 interface FakeObjectStoreOptions {
     clock: Clock;
     random: Random;
-    /** Mean latency of a call; each call draws between half and one and a half of it. */
+    /** Mean latency of a call; each call draws a value between 0.5 and 1.5 times the mean. */
     latencyMs?: number;
     writesPerSecond?: number;
     readsPerSecond?: number;
-    /** Changes a watcher may be behind before it gets a full list instead. */
+    /** Number of changes that a watcher may be behind before it gets a full list instead. */
     historyChanges?: number;
 }
 
@@ -38,8 +38,8 @@
 }
 
 /**
- * A small object API in memory. Values cross as JSON, so nobody shares a reference with it. The effect of a
- * write happens half way through its latency: an outage that begins after that loses only the answer.
+ * Creates an in-memory object store. Values are stored as JSON, so that callers share no references with it. A write
+ * takes effect half way through its latency: an outage that begins after that loses only the answer.
  */
 export function createFakeObjectStore(
     options: FakeObjectStoreOptions,
--- a/packages/fakes/src/createFakePlainService.ts
+++ b/packages/fakes/src/createFakePlainService.ts
@@ -10,7 +10,7 @@
 interface FakePlainServiceOptions {
     clock: Clock;
     latencyMs?: number;
-    /** Body of the answer; by default JSON that names the method, the path and a hash of the request's body. */
+    /** Body of the answer; by default JSON with the method, the path and a hash of the request's body. */
     answer?: (request: PlainRequest) => Uint8Array;
 }
 
@@ -33,7 +33,7 @@
     yield body.subarray(half);
 }
 
-/** A plain service in memory that records which keys and attempts truly ran, and how often. */
+/** Creates an in-memory plain service that counts the runs of each idempotency key and attempt. */
 export function createFakePlainService(
     options: FakePlainServiceOptions,
 ): { backend: PlainBackend; control: FakePlainServiceControl; } {
--- a/packages/fakes/src/createFakeScoring.ts
+++ b/packages/fakes/src/createFakeScoring.ts
@@ -12,7 +12,7 @@
 
 const scoreSteps = 1_000;
 
-/** A scoring service whose score depends only on the texts: a number in [0, 1). */
+/** Creates a scoring service whose score, in [0, 1), depends only on the prompt and the text. */
 export function createFakeScoring(
     options: { clock: Clock; latencyMs: number; },
 ): { scoring: ScoringPort; control: FakeScoringControl; } {
--- a/packages/fakes/src/createFakeTrainer.test.ts
+++ b/packages/fakes/src/createFakeTrainer.test.ts
@@ -30,7 +30,7 @@
     samples: Array.from({ length: size }, (_, index) => sampleOf(step, group, index, version)),
 });
 
-/** Delivers both groups of a step on one page, made as `groupsOf` says; `done` after it. */
+/** Runs a trainer against an owner that delivers all groups of `groupsOf` on one page, marked as `done`. */
 function runTrainer(
     groupsOf: (step: number, published: number) => SampleGroup[],
     fencingOf: (read: number) => number = () => 1,
@@ -68,7 +68,7 @@
     return clock.runUntil(() => ended, 60_000).then(() => trainer.report());
 }
 
-test("a faultless owner leaves a clean report", async () => {
+test("a correct owner yields a report without errors", async () => {
     const report = await runTrainer((
         step,
         published,
@@ -76,7 +76,7 @@
     expect(report).toMatchSnapshot();
 });
 
-test("a trainer counts duplicates, holes, broken groups, stale samples and changed answers", async () => {
+test("a trainer counts duplicates, missing samples, broken groups, stale samples and mismatched rereads", async () => {
     let made = 0;
     const report = await runTrainer((step, published) => {
         made++;
--- a/packages/fakes/src/createFakeTrainer.ts
+++ b/packages/fakes/src/createFakeTrainer.ts
@@ -8,9 +8,9 @@
 import type { TrainerReport } from "./TrainerReport.js";
 
 interface FakeTrainer {
-    /** Trains all steps; resolves early if `signal` is aborted. */
+    /** Trains on all steps; resolves early if `signal` is aborted. */
     run(signal: AbortSignal): Promise<TrainerReport>;
-    /** The counts so far. */
+    /** Returns the counts so far. */
     report(): TrainerReport;
 }
 
@@ -32,7 +32,7 @@
     stepMs: [],
 });
 
-/** A trainer: opens steps ahead, reads whole groups by cursor, checks them, trains, publishes the next version. */
+/** Creates a trainer that opens steps ahead, reads groups by cursor, checks them, trains and publishes a version. */
 export function createFakeTrainer(options: FakeTrainerOptions): FakeTrainer {
     const { clock, port, policy, openSteps = 2, trainMs = 1_000, retryMs = 200 } = options;
     const { firstVersion = 1 } = options;
@@ -58,7 +58,7 @@
 
     async function publish(version: number, signal: AbortSignal): Promise<void> {
         const weights = { policy, version: version as WeightVersion, location: `${policy}/${version}` };
-        // A repeat after a lost answer is refused as not higher: the version is published all the same.
+        // A retry after a lost answer is refused with `versionNotHigher`, because the version is already published.
         await retry(() =>
             port.publishWeights(weights).catch((error: unknown) => {
                 if (codeOf(error).name !== "versionNotHigher") {
--- a/packages/fakes/src/createFakeVmList.ts
+++ b/packages/fakes/src/createFakeVmList.ts
@@ -17,7 +17,7 @@
     records: VmRecord[];
 }
 
-/** The platform's VM list, showing the truth of `lagMs` ago. Records given at the start are visible at once. */
+/** Creates a VM list that shows its state of `lagMs` ago. Initial records are visible at once. */
 export function createFakeVmList(
     options: { clock: Clock; lagMs: number; records?: VmRecord[]; },
 ): { vmList: VmList; control: FakeVmListControl; } {
--- a/packages/fakes/src/createFakeWeightStore.ts
+++ b/packages/fakes/src/createFakeWeightStore.ts
@@ -6,11 +6,11 @@
 
 interface FakeWeightStoreOptions {
     clock: Clock;
-    /** How long one download takes. */
+    /** Duration of one download. */
     transferMs: number;
-    /** Downloads at once; one more is refused. */
+    /** Maximum number of concurrent downloads; more are refused. */
     maxConcurrent?: number;
-    /** Downloads started a second; more are refused. */
+    /** Maximum number of downloads started per second; more are refused. */
     ratePerSecond?: number;
 }
 
@@ -21,7 +21,7 @@
     setOutage(down: boolean): void;
 }
 
-/** A weight store that refuses downloads beyond its rate or its number of slots. */
+/** Creates a weight store that refuses downloads beyond its rate limit or its number of slots. */
 export function createFakeWeightStore(
     options: FakeWeightStoreOptions,
 ): { weightStore: WeightStore; control: FakeWeightStoreControl; } {
--- a/packages/fakes/src/createGenerations.ts
+++ b/packages/fakes/src/createGenerations.ts
@@ -13,10 +13,10 @@
     find(attempt: string): Generation | undefined;
     all(): Generation[];
     finish(generation: Generation, reason: EngineFinish["reason"]): void;
-    /** Emits what has been made so far, under the fingerprint that holds now. */
+    /** Emits the tokens generated so far, with the current fingerprint. */
     flush(): void;
     setPaused(paused: boolean): void;
-    /** True if a resumed attempt needs no prefill. */
+    /** Marks an attempt so that it needs no prefill when it is resumed. */
     importCache(attempt: string): void;
     clearCache(): void;
     load(): { running: number; waiting: number; cachedTokens: number; };
@@ -39,7 +39,7 @@
     return 32 + mixHash(hashText(request.prompt), request.seed) % 480;
 }
 
-/** The waiting queue and the batch of a fake engine: highest priority first, earlier first within one. */
+/** Creates the queue and the batch of a fake engine; requests run by priority, then in order of arrival. */
 export function createGenerations(deps: GenerationsDeps): Generations {
     const { options } = deps;
     const { maxBatch = 16, tokensPerSecond = 100, prefillTokensPerSecond = 5_000 } = options;
--- a/packages/fakes/src/createGroupChecker.ts
+++ b/packages/fakes/src/createGroupChecker.ts
@@ -8,24 +8,24 @@
     groupSize: number;
     maxStalenessVersions: number;
     report: TrainerReport;
-    /** The version published last. */
+    /** The latest published version. */
     publishedVersion: () => number;
-    /** Milliseconds since the version was replaced by a newer one; 0 if it was not. */
+    /** Milliseconds since a newer version superseded this one; 0 if none has. */
     replacedForMs: (version: number) => number;
-    /** Whether a sample's text is what its prompt leads to. */
+    /** Whether a sample's text is the one expected for its prompt. */
     isExpectedText: (prompt: string, text: string) => boolean;
 }
 
 interface GroupChecker {
     checkGroups(spec: StepSpec, page: GroupsPage): void;
-    /** Counts what never came of a finished step. */
+    /** Counts the samples of a finished step that were never delivered. */
     recordMissing(spec: StepSpec): void;
     isStale(group: SampleGroup): boolean;
 }
 
 const oldestVersion = (sample: Sample): number => Math.min(...sample.spans.map(span => span.version));
 
-/** A trainer's check of each group it receives, as strict as the promises to it. */
+/** Creates a trainer's check of every group it receives, which covers all guarantees given to trainers. */
 export function createGroupChecker(deps: GroupCheckerDeps): GroupChecker {
     const { report } = deps;
     const seenSamples = new Set<string>();
--- a/packages/fakes/src/createLaggingLoad.ts
+++ b/packages/fakes/src/createLaggingLoad.ts
@@ -8,7 +8,7 @@
     read(): EngineLoad;
 }
 
-/** Keeps just enough of the past loads to show the one of `lagMs` ago. */
+/** Records loads and reports the one of `lagMs` ago; older records are dropped. */
 export function createLaggingLoad(clock: Clock, lagMs: number): LaggingLoad {
     let past: { atMs: number; load: Load; }[] = [
         { atMs: Number.NEGATIVE_INFINITY, load: { running: 0, waiting: 0, cachedTokens: 0 } },
--- a/packages/fakes/src/createPausableProcess.ts
+++ b/packages/fakes/src/createPausableProcess.ts
@@ -3,15 +3,15 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 
 interface PausableProcess {
-    /** Fires no timer while paused; its time goes on, as a machine's does. */
+    /** Fires no timer while paused; its time continues, as on a paused VM. */
     clock: Clock;
-    /** Answers reach the process only once it runs again. */
+    /** Answers are delivered only once the process is resumed. */
     store: ObjectStore;
     pause(): void;
     resume(): void;
 }
 
-/** The clock and store of a process that can be paused, as a VM is by its host. */
+/** Creates the clock and store of a process that can be paused, as a VM can be by its host. */
 export function createPausableProcess(clock: Clock, store: ObjectStore): PausableProcess {
     let paused = false;
     let waiting: (() => void)[] = [];
--- a/packages/fakes/src/createPrefixCache.ts
+++ b/packages/fakes/src/createPrefixCache.ts
@@ -1,7 +1,7 @@
 import { hashText } from "./hashText.js";
 
 interface PrefixCache {
-    /** Prompt tokens already cached, leading blocks only; the whole prompt is cached afterwards. */
+    /** Returns the number of leading prompt tokens already cached, in whole blocks, then caches the prompt's blocks. */
     take(policy: string, prompt: string): number;
     tokens(): number;
     clear(): void;
@@ -11,10 +11,10 @@
 const tokensPerBlock = 16;
 const charsPerBlock = charsPerToken * tokensPerBlock;
 
-/** A prefix cache of blocks of 16 tokens, the least recently used evicted beyond `capacityTokens`. */
+/** Creates a prefix cache of 16-token blocks, which evicts the least recently used ones beyond `capacityTokens`. */
 export function createPrefixCache(capacityTokens: number): PrefixCache {
     const capacityBlocks = Math.floor(capacityTokens / tokensPerBlock);
-    /** Insertion order is the order of use. */
+    /** Insertion order is the order of last use. */
     const blocks = new Map<string, true>();
 
     function touch(key: string): boolean {
--- a/packages/fakes/src/createRetry.ts
+++ b/packages/fakes/src/createRetry.ts
@@ -2,10 +2,10 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { TrainerReport } from "./TrainerReport.js";
 
-/** Calls until it is answered; undefined once `signal` is aborted. */
+/** Repeats a call until it succeeds; resolves with undefined once `signal` is aborted. */
 type RetryCall = <T>(call: () => Promise<T>, signal: AbortSignal) => Promise<T | undefined>;
 
-/** A retry loop for calls that may all be repeated: an error says nothing on their effect. */
+/** Creates a retry loop for idempotent calls, which may have taken effect although they rejected. */
 export function createRetry(clock: Clock, retryMs: number, report: TrainerReport): RetryCall {
     return async (call, signal) => {
         while (!signal.aborted) {
--- a/packages/fakes/src/createStepReader.ts
+++ b/packages/fakes/src/createStepReader.ts
@@ -15,13 +15,13 @@
 }
 
 interface StepReader {
-    /** Reads a step until it is whole; resolves with the last cursor. */
+    /** Reads a step until it is complete; resolves with the last cursor. */
     readWhole(spec: StepSpec, signal: AbortSignal): Promise<string | undefined>;
-    /** Sends the last cursor, so that the owner learns that its last page arrived. */
+    /** Sends the last cursor, which acknowledges the last page to the owner. */
     acknowledge(spec: StepSpec, cursor: string | undefined, signal: AbortSignal): Promise<void>;
 }
 
-/** The reading side of a fake trainer, with lost answers and repeated reads where its options ask for them. */
+/** Creates the reader of a fake trainer, which loses answers and repeats reads as set in the trainer's options. */
 export function createStepReader(deps: StepReaderDeps): StepReader {
     const { options, report, groupChecker, retry } = deps;
     const { clock, random, port, readWaitMs = 1_000, loseAnswerChance = 0, rereadChance = 0 } = options;
@@ -64,7 +64,7 @@
                 return await port.readGroups(spec.step, cursor, 0);
             }
             catch (error) {
-                // An owner that has closed the step has nothing left to learn.
+                // The owner has already closed the step, so there is nothing left to acknowledge.
                 if (codeOf(error).name === "unknownStep") {
                     return undefined;
                 }
--- a/packages/fakes/src/createTokenBucket.ts
+++ b/packages/fakes/src/createTokenBucket.ts
@@ -1,9 +1,9 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
-/** Takes one token if there is one; true if it was there. */
+/** Takes one token; returns false if none is available. */
 type TakeToken = () => boolean;
 
-/** A token bucket that fills at `perSecond` and holds one second's worth. Undefined never refuses. */
+/** Creates a token bucket with the capacity of one second, or at least one token. Without `perSecond` it is unlimited. */
 export function createTokenBucket(clock: Clock, perSecond: number | undefined): TakeToken {
     if (perSecond === undefined) {
         return () => true;
--- a/packages/fakes/src/createVersionHistory.ts
+++ b/packages/fakes/src/createVersionHistory.ts
@@ -4,7 +4,7 @@
 import type { WriteOutcome } from "@auburnarch/types/WriteOutcome";
 import type { VersionHistory } from "./VersionHistory.js";
 
-/** One change as stored; `json` is undefined where the object was removed. */
+/** A stored change; `json` is undefined if the object was removed. */
 interface Change {
     key: string;
     version: number;
@@ -21,7 +21,7 @@
 
 const toObject = (change: Change): StoredObject => toChange(change) as StoredObject;
 
-/** Objects with their past versions, and the last `historyChanges` changes in order. */
+/** Creates a history of objects with their past versions and at least the last `historyChanges` changes in order. */
 export function createVersionHistory(historyChanges: number): VersionHistory {
     const versionsOf = new Map<string, Change[]>();
     let history: Change[] = [];
--- a/packages/fakes/src/fakeText.ts
+++ b/packages/fakes/src/fakeText.ts
@@ -4,8 +4,8 @@
 const vocabularySize = 4_096;
 
 /**
- * Text of the tokens from index `from` up to but without `to` that a fake engine makes of a prompt and seed.
- * It depends on nothing else, so that a resumed sample equals an unbroken one.
+ * Text that a fake engine generates for a prompt and a seed, for the tokens from index `from` up to but excluding `to`.
+ * It depends on nothing else, so that a resumed sample equals an uninterrupted one.
  */
 export function fakeText(prompt: string, seed: number, from: number, to: number): string {
     const base = mixHash(hashText(prompt), seed);
--- a/packages/fakes/src/listenHttp.ts
+++ b/packages/fakes/src/listenHttp.ts
@@ -4,7 +4,7 @@
 
 const loopback = "127.0.0.1";
 
-/** Listens on a port of the loopback address; 0 lets the system choose one. */
+/** Listens on a port of the loopback address; with port 0 the system picks a free one. */
 export async function listenHttp(listener: RequestListener, port: number): Promise<HttpServerHandle> {
     const server = createServer({ keepAlive: true, noDelay: true }, listener);
     await new Promise<void>((resolve, reject) => {
--- a/packages/fakes/src/readBody.ts
+++ b/packages/fakes/src/readBody.ts
@@ -4,7 +4,7 @@
 
 const maxBodyBytes = 4_000_000;
 
-/** Reads a request's body whole; rejects with `bodyTooLarge` beyond four megabytes. */
+/** Reads the complete body of a request; rejects with `bodyTooLarge` beyond four megabytes. */
 export async function readBody(request: IncomingMessage): Promise<Buffer> {
     const parts: Buffer[] = [];
     let bytes = 0;
--- a/packages/fakes/src/sendError.ts
+++ b/packages/fakes/src/sendError.ts
@@ -3,7 +3,7 @@
 import type { ServerResponse } from "node:http";
 import { sendJson } from "./sendJson.js";
 
-/** Answers with the result code of an error, or breaks the connection where the answer has begun. */
+/** Answers with the result code of an error, or closes the connection if the answer has already begun. */
 export function sendError(response: ServerResponse, error: unknown): void {
     if (response.headersSent) {
         response.destroy();
--- a/packages/fakes/src/sendJson.ts
+++ b/packages/fakes/src/sendJson.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from "node:http";
 
-/** Answers with a JSON body. */
+/** Sends an answer with a JSON body. */
 export function sendJson(response: ServerResponse, status: number, value: unknown): void {
     const body = Buffer.from(JSON.stringify(value ?? {}));
     response.writeHead(status, { "content-type": "application/json", "content-length": body.length });
--- a/packages/fakes/src/serveEngine.ts
+++ b/packages/fakes/src/serveEngine.ts
@@ -14,7 +14,7 @@
 import { sendError } from "./sendError.js";
 import { sendJson } from "./sendJson.js";
 
-/** Body of a completion call: the OpenAI fields, and ours for attempts, priority and resuming. */
+/** Body of a completion call: the OpenAI fields, and extensions for attempts, priority and resuming. */
 interface CompletionBody {
     model: PolicyId;
     prompt: string;
@@ -62,7 +62,7 @@
 ): Promise<void> {
     const abort = new AbortController();
     response.on("close", () => abort.abort());
-    // Headers go at once, so that the client knows that the request was taken.
+    // Sends the headers at once, so that the client knows that the request was accepted.
     response.writeHead(200, { "content-type": "text/event-stream" });
     response.flushHeaders();
     const onChunk = (chunk: EngineChunk): void => writeEvent(response, chunkEvent(chunk));
@@ -114,7 +114,7 @@
     }
 }
 
-/** Serves an engine: `POST /v1/completions` as an event stream, the orders and reads beside it as JSON. */
+/** Serves an engine over HTTP: `POST /v1/completions` as an event stream, all other calls as JSON. */
 export function serveEngine(engine: EnginePort, port = 0): Promise<HttpServerHandle> {
     return listenHttp((request, response) => void answer(engine, request, response), port);
 }
--- a/packages/fakes/src/serveJson.ts
+++ b/packages/fakes/src/serveJson.ts
@@ -6,7 +6,7 @@
 import { sendError } from "./sendError.js";
 import { sendJson } from "./sendJson.js";
 
-/** Resolves with the answer's status and value; rejecting with a `ResultError` answers with its code. */
+/** Resolves with the answer's status and value; if it rejects with a `ResultError`, the answer has its code. */
 type JsonRoute = (call: JsonCall) => Promise<{ status: number; value: unknown; }>;
 
 async function parseCall(request: IncomingMessage): Promise<JsonCall> {
--- a/packages/fakes/src/serveObjectStore.ts
+++ b/packages/fakes/src/serveObjectStore.ts
@@ -31,7 +31,7 @@
 
 /**
  * Serves an object store: `GET|PUT|DELETE /objects/<key>`, `GET /objects?prefix=`,
- * `GET /watch?prefix=&revision=&waitMs=`. A failed condition answers 409 with the outcome.
+ * `GET /watch?prefix=&revision=&waitMs=`. A version conflict is answered with status 409 and the outcome.
  */
 export function serveObjectStore(store: ObjectStore, port = 0): Promise<HttpServerHandle> {
     return serveJson(async call => {
--- a/packages/fakes/src/servePlainService.ts
+++ b/packages/fakes/src/servePlainService.ts
@@ -50,7 +50,7 @@
         }
         response.writeHead(outcome.answer.status, outcome.answer.headers);
         for await (const part of outcome.answer.body) {
-            // Awaited, so that what came before a broken body reaches the caller.
+            // Awaits each write, so that the part before a break in the body reaches the caller.
             await new Promise(resolve => response.write(part, resolve));
         }
         response.end();
@@ -60,7 +60,7 @@
     }
 }
 
-/** Serves a plain service on any path. An unknown outcome breaks the connection. */
+/** Serves a plain service on every path. An unknown outcome closes the connection without an answer. */
 export function servePlainService(backend: PlainBackend, port = 0): Promise<HttpServerHandle> {
     return listenHttp((request, response) => void answer(backend, request, response), port);
 }
--- a/packages/fakes/src/smallFakes.test.ts
+++ b/packages/fakes/src/smallFakes.test.ts
@@ -20,7 +20,7 @@
     state: "live",
 });
 
-test("the VM list shows the truth of its lag ago", async () => {
+test("the VM list shows changes only after its lag", async () => {
     const clock = createFakeClock();
     const { vmList, control } = createFakeVmList({
         clock,
@@ -45,7 +45,7 @@
     `);
 });
 
-test("the weight store refuses downloads beyond its slots and its rate", async () => {
+test("the weight store refuses downloads beyond its slots and its rate limit", async () => {
     const clock = createFakeClock();
     const { weightStore, control } = createFakeWeightStore({
         clock,
