--- a/packages/soak/src/FaultInterval.ts
+++ b/packages/soak/src/FaultInterval.ts
@@ -1,9 +1,9 @@
 import type { SoakFault } from "./SoakFault.js";
 
-/** When a fault struck. */
+/** Interval in which a fault was active. */
 export interface FaultInterval {
     kind: SoakFault["kind"];
     fromMs: number;
-    /** Infinite while it lasts. */
+    /** Infinity while the fault is active. */
     untilMs: number;
 }
--- a/packages/soak/src/LinkProxy.ts
+++ b/packages/soak/src/LinkProxy.ts
@@ -1,6 +1,6 @@
 import type { LinkMode } from "./LinkMode.js";
 
-/** A loopback proxy on the way from one process to another. */
+/** A loopback proxy between two processes. */
 export interface LinkProxy {
     port: number;
     mode(): LinkMode;
--- a/packages/soak/src/PlainCall.ts
+++ b/packages/soak/src/PlainCall.ts
@@ -1,7 +1,7 @@
-/** One plain request as its client saw it. */
+/** One plain request, as seen by its client. */
 export interface PlainCall {
     requestId: string;
     isRepeatable: boolean;
-    /** Status of its answer; 0 if it broke off. */
+    /** Status of the answer; 0 if the call broke off. */
     status: number;
 }
--- a/packages/soak/src/Program.ts
+++ b/packages/soak/src/Program.ts
@@ -1,20 +1,20 @@
-/** One process of the system under test, over its starts and ends. */
+/** One program of the system under test, across all starts of its process. */
 export interface Program {
     name: string;
     role: "gateway" | "runner";
     clientPort: number;
     readyPort: number;
-    /** Rises with each start. */
+    /** Number of starts so far. */
     incarnation(): number;
     isUp(): boolean;
-    /** Standard output of all starts, newest lines last. */
+    /** Standard output and standard error of all starts, oldest line first. */
     lines(): string[];
-    /** Exits that nobody asked for. */
+    /** Descriptions of exits that were not requested by `end`. */
     unexpectedExits(): string[];
     start(): void;
     signal(name: "SIGSTOP" | "SIGCONT" | "SIGHUP"): void;
-    /** Ends it and resolves once it is gone; `SIGTERM` gives it its grace period. */
+    /** Ends the process and resolves once it has exited; `SIGTERM` allows it its grace period. */
     end(name: "SIGKILL" | "SIGTERM"): Promise<void>;
-    /** What stands in its data folder is lost, or its newest file cut short. */
+    /** Deletes the content of the data folder (`wiped`), or cuts off the end of each file in it (`torn`). */
     damageDisk(damage: "torn" | "wiped"): Promise<void>;
 }
--- a/packages/soak/src/PromiseChecker.ts
+++ b/packages/soak/src/PromiseChecker.ts
@@ -1,6 +1,6 @@
-/** Collects what breaks a promise. */
+/** Checks promises and records breaches. */
 export interface PromiseChecker {
-    /** Notes a breach unless `holds`. */
+    /** Records a breach unless `isKept`. */
     check(isKept: boolean, promise: string, detail: unknown): void;
     breaches(): { atMs: number; promise: string; detail: string; }[];
 }
--- a/packages/soak/src/SoakFault.ts
+++ b/packages/soak/src/SoakFault.ts
@@ -1,6 +1,6 @@
 import type { LinkMode } from "./LinkMode.js";
 
-/** One fault; processes and samplers are named by their place in the run. */
+/** One fault; processes and samplers are given by their index in the run. */
 export type SoakFault =
     | { kind: "storeMode"; mode: "busy" | "reset" | "loseAnswers"; forMs: number; }
     | { kind: "storeHistory"; }
--- a/packages/soak/src/SoakReport.ts
+++ b/packages/soak/src/SoakReport.ts
@@ -1,6 +1,6 @@
 import type { TimedFault } from "./TimedFault.js";
 
-/** What one run of the soak found. */
+/** Result of one soak run. */
 export interface SoakReport {
     seed: number;
     faults: TimedFault[];
@@ -9,6 +9,6 @@
     wholeSteps: number;
     plainCalls: number;
     servedPlainCalls: number;
-    /** Output of each process, by name. */
+    /** Output lines of each process, by its name. */
     logs: Map<string, string[]>;
 }
--- a/packages/soak/src/SoakTestBed.ts
+++ b/packages/soak/src/SoakTestBed.ts
@@ -4,35 +4,35 @@
 import type { LinkProxy } from "./LinkProxy.js";
 import type { Program } from "./Program.js";
 
-/** A sampler's place: the sampler that stands there now, behind its link. */
+/** A slot for a sampler: the current sampler, behind a link that stays when the sampler is replaced. */
 interface SamplerSlot {
     service: string;
     link: LinkProxy;
     current(): FakeSampler;
-    /** Puts a new sampler there; the old one goes on for a while, as a draining one does. */
+    /** Replaces the sampler. If announced, the old one is marked as draining and serves for a while first. */
     replace(isAnnounced: boolean): Promise<void>;
-    /** The sampler leaves for good, without a word first if not announced, and goes on serving whoever still sends. */
+    /** Removes the sampler permanently, after a drain if announced. It still serves requests that reach it. */
     leave(isAnnounced: boolean): Promise<void>;
 }
 
-/** The processes and stand-ins of one run. */
+/** The processes and fakes of one run. */
 export interface SoakTestBed {
     models: string[];
-    /** Events of each item's text. */
+    /** Number of events in each item's text. */
     eventsPerItem: number;
     store: FakePlatformStore;
     usageReports: FakeUsageReports;
     gateways: Program[];
-    /** Gateways and runners. */
+    /** All gateways and runners. */
     programs: Program[];
-    /** Way of each program to the store, by its name. */
+    /** Link from each program to the store, by the program's name. */
     storeLinks: Map<string, LinkProxy>;
     slots: SamplerSlot[];
-    /** Every sampler that ever stood anywhere. */
+    /** Every sampler of the run, including replaced and removed ones. */
     samplers: FakeSampler[];
-    /** When each sampler was first said to leave, by its id. */
+    /** Time at which each sampler began to leave, by its id. */
     leftAtMs: Map<string, number>;
-    /** Newest version that a trainer named, by model. */
+    /** Newest version named by a trainer, by model. */
     versions: Map<string, number>;
     nameVersion(model: string, version: number): void;
     configVersion(): number;
--- a/packages/soak/src/StepRecord.ts
+++ b/packages/soak/src/StepRecord.ts
@@ -1,16 +1,16 @@
-/** One batch job as its trainer saw it. */
+/** One batch job, as seen by its trainer. */
 export interface StepRecord {
     lot: string;
     model: string;
     minVersion: number;
     items: string[];
-    /** Status of each submission that was answered; 0 for one that broke off. */
+    /** Status of each submission; 0 for one that broke off. */
     submissions: number[];
     isAccepted: boolean;
-    /** Results by position, as JSON, with the time at which each was first read. */
+    /** Results as JSON, by position, with the time at which each was first read. */
     positions: Map<number, { result: string; readAtMs: number; }>;
-    /** When the end was acknowledged. */
+    /** Time at which the end was acknowledged. */
     endedAtMs: number | undefined;
-    /** The trainer has asked for the end. */
+    /** True once the trainer has requested the end. */
     isEndRequested: boolean;
 }
--- a/packages/soak/src/TimedFault.ts
+++ b/packages/soak/src/TimedFault.ts
@@ -1,6 +1,6 @@
 import type { SoakFault } from "./SoakFault.js";
 
-/** A fault and when it strikes, in milliseconds from the start of traffic. */
+/** A fault and its time, in milliseconds from the start of the traffic. */
 export interface TimedFault {
     atMs: number;
     fault: SoakFault;
--- a/packages/soak/src/checkDepartedSamplers.ts
+++ b/packages/soak/src/checkDepartedSamplers.ts
@@ -2,11 +2,11 @@
 import type { PromiseChecker } from "./PromiseChecker.js";
 import type { SoakTestBed } from "./SoakTestBed.js";
 
-/** A sampler that is said to leave gets nothing new after this time from processes that are in touch. */
+/** After this time, processes connected to the store send nothing new to a sampler that leaves. */
 const drainDeadlineMs = 2_000;
-/** Processes are in touch this long after the end of any trouble that may hide the change from them. */
+/** Processes are connected again this long after the end of a fault that may hide the change from them. */
 const reconnectLimitMs = 3_000;
-/** These keep no process from the store. */
+/** Faults that cut no process off from the store. */
 const harmlessKinds = new Set<FaultInterval["kind"]>([
     "samplerLink",
     "replaceSampler",
@@ -16,7 +16,7 @@
     "reload",
 ]);
 
-/** Checks that samplers that left got nothing new while every process was in touch. */
+/** Checks that samplers that left got nothing new while every process was connected to the store. */
 export function checkDepartedSamplers(
     bed: Pick<SoakTestBed, "samplers" | "leftAtMs">,
     checker: PromiseChecker,
--- a/packages/soak/src/checkFinalState.ts
+++ b/packages/soak/src/checkFinalState.ts
@@ -3,14 +3,14 @@
 import type { SoakTestBed } from "./SoakTestBed.js";
 import type { StepRecord } from "./StepRecord.js";
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that guarantee that a request has not run and never will. */
 const notRunStatuses = new Set([429, 503, 408, 421]);
-/** Three seconds for an end to be known everywhere, and the longest fault that may hide it from a runner. */
+/** Three seconds for an end to become known everywhere, plus the longest fault that may hide it from a runner. */
 const cancelLimitMs = 8_000;
-/** Orders of two holders to one sampler are at least this far apart. */
+/** Minimum time between the orders of two different holders to the same sampler. */
 const orderHandOverMs = 3_000;
 
-/** Checks, from what the samplers and the processes' logs say, what shows only once all is over. */
+/** Checks, by the samplers' records and the processes' logs, the promises that can only be checked after the run. */
 export function checkFinalState(
     bed: SoakTestBed,
     checker: PromiseChecker,
--- a/packages/soak/src/checkPage.ts
+++ b/packages/soak/src/checkPage.ts
@@ -10,7 +10,7 @@
     score: string;
 }
 
-/** A position that was read this long ago must be there at every gateway. */
+/** Every gateway must return a position that was first read longer ago than this. */
 const settleMs = 1_000;
 
 const expectedText = (item: string, events: number): string =>
@@ -19,7 +19,7 @@
 const runsOf = (bed: SoakTestBed, item: string) =>
     bed.samplers.flatMap(sampler => sampler.runs().filter(run => run.id === item));
 
-/** Checks one page of results against all that was read of the job, and against what the samplers did. */
+/** Checks one page of results against everything read of the job so far, and against the samplers' records. */
 export function checkPage(
     bed: SoakTestBed,
     checker: PromiseChecker,
--- a/packages/soak/src/checkTeams.ts
+++ b/packages/soak/src/checkTeams.ts
@@ -2,7 +2,10 @@
 import { soakTeam } from "./soakTeam.js";
 import type { SoakTestBed } from "./SoakTestBed.js";
 
-/** Checks what samplers heard of the clients' team, what was reported of it, and that its key stayed with the clients. */
+/**
+ * Checks that samplers receive the clients' team but not its key, that no log line shows the key, and that a usage
+ * window is always reported with the same counts.
+ */
 export function checkTeams(bed: SoakTestBed, checker: PromiseChecker, itemIds: Set<string>): void {
     for (const sampler of bed.samplers) {
         for (const { id, team, credential } of sampler.runs()) {
--- a/packages/soak/src/checks.test.ts
+++ b/packages/soak/src/checks.test.ts
@@ -43,7 +43,7 @@
     ...over,
 });
 
-/** Promises broken by the pages of a job, read one after the other from the given positions. */
+/** Returns the promises broken by the pages of a job, read in sequence from the given positions. */
 function breachesOf(
     pages: { after: number; results: unknown[]; atMs?: number; }[],
     runs = [run("a"), run("b")],
@@ -57,7 +57,7 @@
     return checker.breaches().map(breach => breach.promise);
 }
 
-test("a page that keeps every promise passes, and each broken one is named", () => {
+test("checkPage accepts a correct page and names each broken promise", () => {
     const whole = [result("a"), result("b")];
     expect({
         good: breachesOf([{ after: 0, results: whole }, { after: 0, results: whole, atMs: 5_000 }]),
@@ -92,7 +92,7 @@
     return checker.breaches().map(breach => breach.promise);
 }
 
-test("what shows only in the end is named too", () => {
+test("checkFinalState names each broken promise", () => {
     const orders = [order("r1", 0), order("r2", 1_000)];
     const sampler = { id: "s-1", runs: () => [], orders: () => orders } as unknown as Sampler;
     const program = { lines: () => ["event=promiseBroken"], unexpectedExits: () => ["front-1: 1"] };
@@ -121,7 +121,7 @@
     });
 });
 
-test("a request that reaches a sampler after it left is named unless its sender may have lost the store", () => {
+test("a late request to a sampler that left is a breach unless its sender may have been cut off from the store", () => {
     const breaches = (atMs: number, faultIntervals: FaultInterval[]): number => {
         const checker = createPromiseChecker(createFakeClock());
         checkDepartedSamplers(
@@ -142,7 +142,7 @@
     }).toEqual({ due: 0, late: 1, cutOff: 0, justBack: 0, inTouch: 1, harmless: 1 });
 });
 
-test("a seed draws the same faults each time, of every kind over some seeds", () => {
+test("a seed always draws the same faults, and a range of seeds draws every kind", () => {
     const options = { processes: 5, samplers: 7, lengthMs: 12_000, faults: 10 };
     const draw = (seed: number) => drawFaults(createRandom(seed), options);
     expect(draw(7)).toEqual(draw(7));
@@ -165,7 +165,7 @@
     ]);
 });
 
-test("a team that is not named, a key that goes on, and a window reported with other counts are noticed", () => {
+test("checkTeams reports a missing team, a forwarded or logged key, and a window with different counts", () => {
     const breachesOf = (
         received: { team?: string; credential?: string; },
         counts: Record<string, number>[],
--- a/packages/soak/src/createLinkProxy.ts
+++ b/packages/soak/src/createLinkProxy.ts
@@ -11,7 +11,7 @@
 
 const slowDelayMs = 120;
 
-/** Listens on loopback and carries connections to `targetPort`, as the mode of the moment has it. */
+/** Creates a proxy that listens on loopback and forwards connections to `targetPort` according to its current mode. */
 export async function createLinkProxy(clock: Clock, targetPort: () => number): Promise<LinkProxy> {
     const pairs = new Set<SocketPair>();
     let mode: LinkMode = "well";
@@ -20,7 +20,7 @@
         return !pair.isSilenced && mode !== "silent" && !(mode === "deaf" && isAnswer);
     }
 
-    /** What is not carried is lost for good: the receiver sees silence, as behind a partition that outlasts it. */
+    /** Data that is not forwarded is lost: from then on its connection is silent, as in a partition that outlasts it. */
     function forward(pair: SocketPair, from: Socket, to: Socket, isAnswer: boolean): void {
         let lastWrite = Promise.resolve();
         from.on("data", chunk => {
--- a/packages/soak/src/createProgram.ts
+++ b/packages/soak/src/createProgram.ts
@@ -17,18 +17,18 @@
     internalPort: number;
 }
 
-/** Always the built program: run from its sources, a test resolves packages to theirs. */
+/** Path of the built program. In tests run from the sources, packages resolve to their sources. */
 const binary = createRequire(import.meta.url).resolve("@auburnarch/daemon/roleMain")
     .replace(/src([^/\\]*[/\\][^/\\]*)\.ts$/u, "dist$1.js");
 const gracePeriodMs = 4_000;
 const orderHandOverMs = 3_000;
 const lotRetentionMs = 120_000;
-/** A process that is still there after this is ended, whatever became of its run. */
+/** A process that still runs after this time is killed, whatever happened to its run. */
 const maxLifetimeMs = 180_000;
 const maxLines = 40_000;
 const truncatedBytes = 40;
 
-/** Writes a process's settings and makes its handle; it is not started yet. */
+/** Writes the settings of a program and creates its handle, without starting it. */
 export async function createProgram(clock: Clock, options: ProgramOptions): Promise<Program> {
     const { name, role, folder, clientPort, readyPort, internalPort } = options;
     const dataFolder = join(folder, `${name}-data`);
@@ -84,7 +84,7 @@
                 cancelLifetime();
                 if (!isEndRequested) {
                     const uptimeMs = Math.round(clock.monotonicMs() - startedAtMs);
-                    // One that has logged nothing had not run a statement of ours yet.
+                    // A process that has logged nothing had not run any code of the program yet.
                     const loggedLines = lines.length - linesBefore;
                     unexpectedExits.push(
                         `${name}: ${
@@ -121,7 +121,7 @@
         signal: signal => void child?.kill(signal),
         end: async signal => {
             isEndRequested = true;
-            // A stopped process takes no signal but this one.
+            // A stopped process handles SIGTERM only once it is continued.
             child?.kill("SIGCONT");
             child?.kill(signal);
             await ended;
--- a/packages/soak/src/createPromiseChecker.ts
+++ b/packages/soak/src/createPromiseChecker.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { PromiseChecker } from "./PromiseChecker.js";
 
-/** Makes the witness of one run; times count from now. */
+/** Creates the promise checker of one run; times count from this call. */
 export function createPromiseChecker(clock: Clock): PromiseChecker {
     const startedAtMs = clock.monotonicMs();
     const breaches: ReturnType<PromiseChecker["breaches"]> = [];
--- a/packages/soak/src/createSoakCaller.ts
+++ b/packages/soak/src/createSoakCaller.ts
@@ -16,9 +16,9 @@
 }
 
 interface Caller {
-    /** Sends requests until the signal is aborted. */
+    /** Sends requests until `signal` is aborted. */
     run(signal: AbortSignal): Promise<void>;
-    /** Whether a gateway serves the newest route of the configuration. */
+    /** Whether a gateway serves the newest route in the configuration. */
     servesNewestRoute(gateway: Program): Promise<boolean>;
     calls(): PlainCall[];
     close(): void;
@@ -27,15 +27,15 @@
 const ok = 200;
 const notFound = 404;
 const pauseMs = 60;
-/** One call in this many asks for a route of a certain version of the configuration. */
+/** One call in this many requests a route that a particular version of the configuration added. */
 const versionCallOneIn = 5;
 const limitMs = 2_500;
 
-/** Makes one client of plain requests, which keeps its connections until they end. */
+/** Creates a client that sends plain requests and reuses its connections until they are closed. */
 export function createSoakCaller({ bed, clock, random, checker: witness, name }: CallerDeps): Caller {
     const client = createFakeClient(soakTeam.key);
     const calls: PlainCall[] = [];
-    /** Newest version whose route each start of a gateway has served. */
+    /** Newest version whose route was served, by start of a gateway. */
     const newestServed = new Map<string, number>();
 
     async function callPlain(gateway: Program): Promise<void> {
--- a/packages/soak/src/createSoakTestBed.ts
+++ b/packages/soak/src/createSoakTestBed.ts
@@ -27,10 +27,10 @@
 const eventsPerItem = 25;
 const eventIntervalMs = 20;
 const tenants = [{ "name": soakTeam.name, "api-keys": [soakTeam.key] }];
-/** A draining sampler serves on for this long. */
+/** Time for which a draining sampler continues to serve. */
 const drainMs = 2_500;
 
-/** Starts the stand-ins and the programs of one run, with a link between each program and each of them. */
+/** Starts the fakes and the programs of one run, with links from each program to the store and to each sampler. */
 export async function createSoakTestBed(clock: Clock, options: SoakTestBedOptions): Promise<SoakTestBed> {
     const { models } = options;
     const folder = await mkdtemp(join(tmpdir(), "auburnarch-soak-"));
@@ -82,7 +82,7 @@
     async function createSlot(slotIndex: number, service: string): Promise<SoakTestBed["slots"][number]> {
         let nextNumber = 0;
         let hasLeft = false;
-        // Known only once the sampler behind the link listens.
+        // Set once the sampler behind the link listens.
         const slot: { sampler?: FakeSampler; } = {};
         const link = await createLinkProxy(clock, () => slot.sampler!.port);
         const startNext = (): Promise<FakeSampler> =>
--- a/packages/soak/src/createSoakTrainer.ts
+++ b/packages/soak/src/createSoakTrainer.ts
@@ -19,10 +19,10 @@
 }
 
 interface Trainer {
-    /** Runs one step and names the next version if it came whole; resolves with what was seen. */
+    /** Runs one step and names the next version if the step was read completely; resolves with the step's record. */
     runStep(limitMs: number): Promise<StepRecord>;
     steps(): StepRecord[];
-    /** Reads a job from the start at one gateway; false if it was not answered. */
+    /** Reads a batch job from the start at one gateway; false if it got no successful answer. */
     readAgain(step: StepRecord, gateway: Program): Promise<boolean>;
     close(): void;
 }
@@ -36,10 +36,10 @@
 const accepted = 202;
 const ok = 200;
 const notFound = 404;
-/** A job must be known everywhere this long after it was accepted. */
+/** A batch job must be known at every gateway this long after it was accepted. */
 const settleMs = 1_000;
 
-/** Makes one trainer: it submits a step, reads it at any gateway from any position, ends it, and names a version. */
+/** Creates a trainer that submits a step, reads it at any gateway from any position, ends it and names a version. */
 export function createSoakTrainer({ bed, clock, random, checker: witness, model }: TrainerDeps): Trainer {
     const client = createFakeClient(soakTeam.key);
     const steps: StepRecord[] = [];
--- a/packages/soak/src/drawFaults.ts
+++ b/packages/soak/src/drawFaults.ts
@@ -6,7 +6,7 @@
 interface FaultDrawOptions {
     processes: number;
     samplers: number;
-    /** Faults strike within this time. */
+    /** Period in which faults begin. */
     lengthMs: number;
     faults: number;
 }
@@ -14,14 +14,14 @@
 const linkModes: LinkMode[] = ["slow", "reset", "deaf", "silent", "oldSilent"];
 const storeModes = ["busy", "reset", "loseAnswers"] as const;
 const disks = ["kept", "kept", "torn", "wiped"] as const;
-/** Outages long enough for leases and lists of peers to lapse, and short ones. */
+/** Range of outages, from short ones to ones long enough for leases and peer lists to expire. */
 const minDurationMs = 200;
 const maxDurationMs = 3_500;
-/** One fault in this many comes again soon after, so that faults of a kind follow on each other. */
+/** One fault in this many is repeated soon afterwards, so that faults of the same kind follow each other. */
 const repeatOneIn = 4;
 const repeatAfterMs = 900;
 
-/** Draws the faults of one run; they overlap as they fall. */
+/** Draws the faults of one run; they may overlap. */
 export function drawFaults(random: Random, options: FaultDrawOptions): TimedFault[] {
     const pick = <T>(values: readonly T[]): T => values[random.nextInt(values.length)]!;
     const drawDurationMs = (): number => minDurationMs + random.nextInt(maxDurationMs - minDurationMs);
--- a/packages/soak/src/endedAtStart.test.ts
+++ b/packages/soak/src/endedAtStart.test.ts
@@ -12,8 +12,8 @@
 const startLimitMs = 60_000;
 const ok = 200;
 
-// Guards against: a caller loses more than a connection while a gateway is ended at its start, again and again.
-test("a gateway that a signal ends at its start takes no request and holds up no other gateway's", async () => {
+// Guards against a caller that loses more than a connection while a signal repeatedly ends a gateway at its start.
+test("a gateway ended by a signal at its start accepts no request and delays none at another gateway", async () => {
     const bed = await createSoakTestBed(clock, {
         gateways: 2,
         runners: 2,
--- a/packages/soak/src/injectFault.ts
+++ b/packages/soak/src/injectFault.ts
@@ -6,7 +6,7 @@
 import type { SoakFault } from "./SoakFault.js";
 import type { SoakTestBed } from "./SoakTestBed.js";
 
-/** Strikes one fault; resolves once it is over. */
+/** Injects one fault; resolves once it is over. */
 export async function injectFault(bed: SoakTestBed, clock: Clock, fault: SoakFault): Promise<void> {
     const { programs, slots: places, store } = bed;
 
@@ -22,7 +22,7 @@
         }
         await program.end(signal);
         await clock.sleep(downMs);
-        // An overlapping fault may have started it already.
+        // An overlapping fault may already have started the program.
         if (!program.isUp()) {
             program.start();
         }
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -20,14 +20,14 @@
 
 interface SoakOptions {
     seed: number;
-    /** Time in which faults strike. */
+    /** Period in which faults begin. */
     lengthMs: number;
     faults: number;
     gateways: number;
     runners: number;
-    /** Traffic goes on for so long after the faults; none by default. */
+    /** Time for which traffic continues after the faults; none by default. */
     calmMs?: number;
-    /** Whether a sampler of each service leaves for good while faults strike; by default not. */
+    /** Whether a sampler of each service leaves permanently during the faults; false by default. */
     hasDepartures?: boolean;
 }
 
@@ -36,11 +36,11 @@
 const plainSamplers = 3;
 const ok = 200;
 const stepLimitMs = 9_000;
-/** After the last fault: processes start, leases lapse, jobs are taken over. */
+/** Time after the last fault for processes to start, leases to expire and jobs to be taken over. */
 const recoveryLimitMs = 20_000;
 const pollMs = 200;
 
-/** Waits until `holds`; false once the time is up. */
+/** Waits until `condition` is true; resolves with false once `limitMs` has passed. */
 async function waitUntil(clock: Clock, limitMs: number, condition: () => Promise<boolean>): Promise<boolean> {
     const untilMs = clock.monotonicMs() + limitMs;
     while (!await condition()) {
@@ -64,7 +64,7 @@
     }
 }
 
-/** Runs the programs under the faults of one seed, with trainers and callers that check what they are promised. */
+/** Runs the programs under the faults of one seed, with trainers and a caller that check the promises to clients. */
 export async function runSoak(clock: Clock, options: SoakOptions): Promise<SoakReport> {
     const random = createRandom(options.seed);
     const { gateways, runners, lengthMs, calmMs = 0 } = options;
--- a/packages/soak/src/soak.test.ts
+++ b/packages/soak/src/soak.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from "vitest";
 import { runSoak } from "./runSoak.js";
 
-test("the programs keep their promises under the faults of a short run", async () => {
+test("the programs keep all promises under the faults of a short run", async () => {
     const report = await runSoak(createSystemClock(), {
         seed: 1,
         lengthMs: 5_000,
@@ -14,7 +14,7 @@
     expect(report.steps).toBeGreaterThan(0);
 });
 
-test("samplers that leave while the store is lost to some get nothing new once it is back", async () => {
+test("samplers that leave during faults get nothing new once the processes are connected again", async () => {
     const report = await runSoak(createSystemClock(), {
         seed: 2,
         lengthMs: 5_000,
--- a/packages/soak/src/soakTeam.ts
+++ b/packages/soak/src/soakTeam.ts
@@ -1,2 +1,2 @@
-/** The team of all clients of a run, with its key as they send it. */
+/** Team of all clients of a run, with the key that they send. */
 export const soakTeam = { name: "hule", key: "soak-s3cret-of-hule" } as const;
--- a/packages/soak/src/startSignal.test.ts
+++ b/packages/soak/src/startSignal.test.ts
@@ -3,9 +3,9 @@
 import { fileURLToPath } from "node:url";
 import { expect, test } from "vitest";
 
-// Guards against: a gateway was gone until the platform started it again.
+// Guards against a gateway that a SIGHUP ends and that stays down until the platform starts it again.
 const program = fileURLToPath(new URL("../../daemon/dist/roleMain.js", import.meta.url));
-/** It ends with this code once it has found no settings: it was not ended by the signal. */
+/** Exit code of a program that finds no settings, which shows that the signal did not end it. */
 const noSettingsExitCode = 2;
 const sighupBit = 1n;
 
@@ -17,24 +17,24 @@
     return { child, ended };
 }
 
-/** Whether the kernel would hand the process the signal. */
+/** Whether the process has a handler for SIGHUP, by the kernel's mask of caught signals. */
 async function catchesSighup(pid: number): Promise<boolean> {
     const status = await readFile(`/proc/${pid}/status`, "utf8").catch(() => "");
     const mask = /^SigCgt:\s*([0-9a-f]+)/mu.exec(status)?.[1];
     return mask !== undefined && (BigInt(`0x${mask}`) & sighupBit) !== 0n;
 }
 
-test("the program takes the signal before it loads anything", async () => {
-    // Loading took 0.3 s on the machines of the platform; a static import comes before the first statement.
+test("the program installs its handler for SIGHUP before it loads any module", async () => {
+    // Loading takes 0.3 s on the platform's machines, and a static import would run before the first statement.
     const code = await readFile(program, "utf8");
     const firstStatement = code.split("\n").find(line => /^[a-z]/u.test(line));
     expect(firstStatement).toMatch(/^process\.on\("SIGHUP"/u);
 });
 
-test("a change of the settings signalled while the program loads its code does not end it", async () => {
+test("a change of the settings signalled while the program loads its code does not end the program", async () => {
     const { child, ended } = start();
     while (child.exitCode !== noSettingsExitCode && !await catchesSighup(child.pid!)) {
-        // Looks again at once: the moment of interest is short.
+        // Polls without a pause, because the interval between the handler and the exit is short.
     }
     child.kill("SIGHUP");
     expect(await ended).toBe(noSettingsExitCode);
