--- a/packages/bench/src/decide/DecideResult.ts
+++ b/packages/bench/src/decide/DecideResult.ts
@@ -1,13 +1,13 @@
-/** Cost of a placement decision at one size. */
+/** Cost of a placement decision at one fleet size. */
 export interface DecideResult {
-    /** Samplers that are looked at. */
+    /** Number of samplers considered. */
     candidates: number;
-    /** Attempts of the dispatcher in flight. */
+    /** Number of the dispatcher's attempts in flight. */
     inFlight: number;
-    /** Choosing for one waiting sample, candidates given. */
+    /** Time to choose a sampler for one waiting sample from given candidates. */
     decisionUs: number;
     decisionBytes: number;
-    /** Turning the views into candidates; once for all samples that wait at that moment. */
+    /** Time to list the candidates, which is done once for all samples waiting at that moment. */
     candidatesUs: number;
     candidatesBytes: number;
 }
--- a/packages/bench/src/decide/createDecisionSetup.test.ts
+++ b/packages/bench/src/decide/createDecisionSetup.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { createDecisionSetup } from "./createDecisionSetup.js";
 
-test("the measured decision is a real one: full samplers take two ahead, the others ten, and one is picked", () => {
+test("the setup makes real decisions: full samplers have room for two more, the others for ten, and one is picked", () => {
     const { placement, nextWork } = createDecisionSetup(8, 16);
     const candidates = placement.listCandidates(0);
     expect(candidates.map(candidate => candidate.room)).toEqual([2, 10, 2, 10, 2, 10, 2, 10]);
--- a/packages/bench/src/decide/createDecisionSetup.ts
+++ b/packages/bench/src/decide/createDecisionSetup.ts
@@ -17,7 +17,7 @@
 /** A dispatcher's placement with `candidates` samplers and `inFlight` attempts spread over them. */
 interface DecisionSetup {
     placement: ReturnType<typeof createPlacement>;
-    /** A fresh sample to place. */
+    /** Returns a new sample to place. */
     nextWork(): SampleWork;
 }
 
@@ -96,7 +96,7 @@
     endCause: undefined,
 });
 
-/** Builds the setup. Half of the samplers are full, so that both kinds of estimate are made. */
+/** Creates the setup. Half of the samplers are full, so that both kinds of estimate are computed. */
 export function createDecisionSetup(candidates: number, inFlight: number): DecisionSetup {
     const views = Array.from(
         { length: candidates },
@@ -112,7 +112,7 @@
         metrics: { count: () => {}, set: () => {}, observeMs: () => {}, render: async () => "" },
         listSamplers: () => views,
         sidecar: () => {
-            throw new Error("nothing is sent");
+            throw new Error("the decision benchmark sends no requests");
         },
         mayAct: () => true,
         onSampleGenerated: () => {},
--- a/packages/bench/src/decide/decideCommand.ts
+++ b/packages/bench/src/decide/decideCommand.ts
@@ -21,7 +21,7 @@
     .map((title, index) => title.padStart([10, 10, 14, 14, 16, 16][index]!))
     .join("");
 
-/** `bench decide`: cost of the placement decision against the number of candidates and of attempts in flight. */
+/** `bench decide`: cost of a placement decision by number of candidates and of attempts in flight. */
 export const decideCommand = defineCommand({
     meta: { name: "decide", description: "Cost of one placement decision" },
     args: { json: { type: "string", description: "File for the figures" } },
--- a/packages/bench/src/decide/measureDecision.ts
+++ b/packages/bench/src/decide/measureDecision.ts
@@ -11,7 +11,10 @@
     return sorted[sorted.length >> 1] ?? 0;
 }
 
-/** Time and allocation of one call: medians over batches, those that the garbage collector ran in left out of the bytes. */
+/**
+ * Measures time and allocated bytes per call as medians over batches; batches in which the heap shrank are left out of
+ * the bytes.
+ */
 function measureCall(run: () => void): { us: number; bytes: number; } {
     for (let round = 0; round < warmUpRounds; round++) {
         run();
@@ -35,7 +38,7 @@
     return { us: median(times), bytes: median(bytes) };
 }
 
-/** Measures the real decision code at one size. */
+/** Measures the real decision code at one fleet size. */
 export function measureDecision(candidates: number, inFlight: number): DecideResult {
     const { placement, nextWork } = createDecisionSetup(candidates, inFlight);
     const listed = placement.listCandidates(0);
--- a/packages/bench/src/faults/CallerRecord.ts
+++ b/packages/bench/src/faults/CallerRecord.ts
@@ -1,7 +1,7 @@
-/** One request of a caller, over all its sends. */
+/** One request of a caller with all its attempts. */
 export interface CallerRecord {
     key: string;
     idempotent: boolean;
-    /** How each send ended, in order. */
+    /** Outcome of each attempt, in order. */
     outcomes: ("ran" | "notRun" | "unknown")[];
 }
--- a/packages/bench/src/faults/EntryNode.ts
+++ b/packages/bench/src/faults/EntryNode.ts
@@ -5,13 +5,13 @@
 /** A VM with an entry process. */
 export interface EntryNode {
     name: string;
-    /** The present process; undefined while there is none. */
+    /** The current process; undefined while none runs. */
     running(): { entry: Entry; process: TestProcess; } | undefined;
-    /** A call of another process, answered within this one. */
+    /** Handles a call from another process inside this one. */
     receive(method: string, params: unknown): Promise<unknown>;
-    /** Runs a call of a trainer or caller within the process. */
+    /** Runs a call of a trainer or caller inside the process. */
     enter<T>(call: (entry: Entry) => Promise<T>): Promise<T>;
-    /** Number under which this process works as the owner of the job; undefined if it does not. */
+    /** Fencing number under which this process owns the job; undefined if it is not the owner. */
     ownedFencing(): FencingNumber | undefined;
     kill(): void;
     start(): void;
--- a/packages/bench/src/faults/FaultGuards.ts
+++ b/packages/bench/src/faults/FaultGuards.ts
@@ -6,7 +6,7 @@
 import type { SidecarGuards } from "@auburnarch/sidecar/SidecarGuards";
 import type { SendGuards } from "@auburnarch/transport/SendGuards";
 
-/** The guards of all parts that a randomised run is made of. */
+/** The guards of all components in a randomised run. */
 export interface FaultGuards {
     owner: OwnerGuards;
     gate: SidecarGuards;
--- a/packages/bench/src/faults/FaultRun.ts
+++ b/packages/bench/src/faults/FaultRun.ts
@@ -1,9 +1,9 @@
 import type { FaultKind } from "./FaultKind.js";
 
-/** What one randomised run found. */
+/** Result of one randomised run. */
 export interface FaultRun {
     seed: number;
-    /** How often each kind of fault truly struck. */
+    /** Number of faults of each kind that took effect. */
     strikes: Record<FaultKind, number>;
     violations: { promise: string; detail: string; atMs: number; }[];
     /** Simulated time. */
--- a/packages/bench/src/faults/FaultSummary.ts
+++ b/packages/bench/src/faults/FaultSummary.ts
@@ -1,14 +1,14 @@
 import type { FaultKind } from "./FaultKind.js";
 
-/** What a series of randomised runs found. */
+/** Result of a series of randomised runs. */
 export interface FaultSummary {
     seed: number;
     runs: number;
-    /** Guard that let everything through; undefined if none. */
+    /** Guards that were disabled; undefined if none. */
     without: string | undefined;
-    /** How often each kind of fault truly struck. */
+    /** Number of faults of each kind that took effect. */
     strikes: Record<FaultKind, number>;
-    /** Breaches of promises, at most 100 of them with their details. */
+    /** Invariant violations; details are given for the first 100 only. */
     violations: { seed: number; promise: string; detail: string; atMs: number; }[];
     violationCount: number;
     simulatedMs: number;
--- a/packages/bench/src/faults/NetworkFault.ts
+++ b/packages/bench/src/faults/NetworkFault.ts
@@ -1,5 +1,5 @@
 /**
- * What becomes of one exchange: no connection; the request is lost; it arrives after the sender has given up; it
- * arrives twice; it is carried out but the answer is lost.
+ * Fault of one exchange: no connection is established; the request is lost; the request arrives after the sender timed
+ * out; the request arrives twice; the request is carried out but its answer is lost.
  */
 export type NetworkFault = "noConnection" | "requestLost" | "requestLate" | "requestTwice" | "answerLost";
--- a/packages/bench/src/faults/RunParts.ts
+++ b/packages/bench/src/faults/RunParts.ts
@@ -6,7 +6,7 @@
 import type { SimulatedTrainer } from "./SimulatedTrainer.js";
 import type { Simulation } from "./Simulation.js";
 
-/** What faults strike in one run. */
+/** The components of one run into which faults are injected. */
 export interface RunParts {
     simulation: Simulation;
     entries: EntryNode[];
@@ -14,16 +14,16 @@
     plains: { node: SamplerNode; setLatencyMs(latencyMs: number): void; }[];
     caller: ReturnType<typeof createCaller>;
     trainer: SimulatedTrainer;
-    /** Digests of the contents that truly kill engines. */
+    /** Content digests of the requests that do crash engines. */
     crashRequestDigests: Set<string>;
-    /** Prompt of the next content that kills engines; they take turns. */
+    /** Prompt of the next crash-inducing request; the prompts are used in rotation. */
     nextCrashPrompt(): string;
-    /** Counts a fault that truly struck. */
+    /** Counts a fault that took effect. */
     countFault(kind: FaultKind): void;
-    /** A process sleeps so long from now; the run goes on until it has woken. */
+    /** Records that a process is paused for `durationMs` from now; the run continues until it has resumed. */
     recordFrozen(durationMs: number): void;
-    /** Faults that last are not ended before then. */
+    /** Keeps lasting faults from being healed for at least `durationMs`. */
     delayHealing(durationMs: number): void;
-    /** A process sleeps so; a second one at the same time would leave nobody. */
+    /** Whether a process is paused. Pausing a second one at the same time would leave no entry running. */
     isFrozen(): boolean;
 }
--- a/packages/bench/src/faults/SamplerNode.ts
+++ b/packages/bench/src/faults/SamplerNode.ts
@@ -2,23 +2,23 @@
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { SidecarProcess } from "./SidecarProcess.js";
 
-/** A VM with a backend server and the sidecar before it. */
+/** A VM with a backend server and its sidecar. */
 export interface SamplerNode {
     name: string;
     kind: "model" | "plain";
-    /** The sidecar as the network reaches it; calls are noted for the judge. */
+    /** The sidecar as reached over the network; calls are recorded by the observer. */
     port(): SidecarPort;
-    /** The present sidecar process; undefined while there is none. */
+    /** The current sidecar process; undefined while none runs. */
     sidecarProcess(): SidecarProcess | undefined;
     sidecar(): Sidecar | undefined;
-    /** The VM of the moment. */
+    /** The current VM. */
     vm(): string;
-    /** Calls `listener` right before the next order arrives. */
+    /** Calls `listener` immediately before the next order arrives. */
     beforeNextOrder(listener: () => void): void;
     killSidecar(): void;
     startSidecar(): void;
-    /** The platform marks the VM as leaving; after `goneInMs` it is gone and a fresh one takes its place. */
+    /** Marks the VM as leaving on the platform; after `removedAfterMs` a new VM replaces it. */
     leave(removedAfterMs: number): void;
-    /** Graceful shutdown of the sidecar, then a fresh start. */
+    /** Shuts the sidecar down gracefully and starts a new one. */
     shutDown(deadlineMs: number): Promise<void>;
 }
--- a/packages/bench/src/faults/SeriesOptions.ts
+++ b/packages/bench/src/faults/SeriesOptions.ts
@@ -2,15 +2,15 @@
 import type { FaultKind } from "./FaultKind.js";
 import type { FaultRun } from "./FaultRun.js";
 
-/** What a series of randomised runs plays. */
+/** Options of a series of randomised runs. */
 export interface SeriesOptions {
     seed: number;
     runs: number;
-    /** Seed of the one run to play instead of a series. */
+    /** Seed of the single run to execute instead of a series. */
     onlyRun?: number;
-    /** Kinds of fault to draw from; all by default. */
+    /** Kinds of fault to inject; all by default. */
     kinds?: readonly FaultKind[];
-    /** How many different contents kill engines; one by default. */
+    /** Number of distinct crash-inducing requests; one by default. */
     killers?: number;
     guards: FaultGuards;
     without: string | undefined;
--- a/packages/bench/src/faults/SidecarProcess.ts
+++ b/packages/bench/src/faults/SidecarProcess.ts
@@ -1,14 +1,14 @@
 import type { TestProcess } from "@auburnarch/ownership/testing/TestProcess";
 import type { Sidecar } from "@auburnarch/sidecar/Sidecar";
 
-/** One run of a sidecar. */
+/** One process of a sidecar, from its start to its end. */
 export interface SidecarProcess {
     sidecar: Sidecar;
     process: TestProcess;
-    /** The job lease's number in the object API when this run began. */
+    /** Fencing number of the job lease in the object API when the process started. */
     startedAtFencing: number;
     startedAtMs: number;
-    /** When its shutdown began; undefined before. */
+    /** Time at which its shutdown began; undefined before that. */
     shutdownAtMs: number | undefined;
     kill(): void;
     stopReporting(): void;
--- a/packages/bench/src/faults/SimulatedTrainer.ts
+++ b/packages/bench/src/faults/SimulatedTrainer.ts
@@ -1,14 +1,14 @@
 import type { createTestTrainer } from "@auburnarch/ownership/testing/createTestTrainer";
 
-/** The trainer of a run with its way to the entries. */
+/** The trainer of a run with its simulated connection to the entries. */
 export interface SimulatedTrainer {
     trainer: ReturnType<typeof createTestTrainer>;
-    /** The next `count` answers to the trainer are lost. */
+    /** Drops the next `count` answers to the trainer. */
     loseAnswers(count: number, onLost: () => void): void;
-    /** After its next page the trainer publishes so many versions at once. */
+    /** Makes the trainer publish `count` more versions at once after its next page. */
     publishMore(count: number, onBurst: () => void): void;
-    /** Calls `listener` right before the next version is published. */
+    /** Calls `listener` immediately before the next version is published. */
     beforeNextPublish(listener: () => void): void;
-    /** The next read goes out with a cursor that was tampered with, and must be refused. */
+    /** Sends the next read with a forged cursor as well, which must be rejected. */
     forgeNextCursor(onForged: () => void): void;
 }
--- a/packages/bench/src/faults/Simulation.ts
+++ b/packages/bench/src/faults/Simulation.ts
@@ -12,7 +12,7 @@
 import type { Violations } from "./judges/Violations.js";
 import type { Network } from "./Network.js";
 
-/** What all parts of one run share. */
+/** State shared by all components of one run. */
 export interface Simulation {
     clock: FakeClock;
     random: Random;
@@ -30,26 +30,26 @@
     };
     violations: Violations;
     observer: RunObserver;
-    /** The job lease's number as it truly stands. */
+    /** The current fencing number of the job lease in the object API. */
     trueFencing(): number;
-    /** A content that kills engines began to run. */
+    /** Records that an engine began to run a crash-inducing request. */
     recordCrashRequestRun(prompt: string): void;
-    /** It is about to kill the engine of a VM on which nothing else runs, so nothing else can be to blame. */
+    /** Records that the request crashed the engine of a VM on which nothing else ran, so that it must be the cause. */
     recordSoleCrash(prompt: string, vm: string): void;
-    /** Such a content kills the engine of a VM now. */
+    /** Records that a crash-inducing request crashes the engine of a VM now. */
     recordInducedCrash(vm: string, bootId: string): void;
-    /** An engine start that ran something. */
+    /** Records an engine start under which something ran. */
     recordBoot(bootId: string): void;
-    /** Whether a death of that VM at that wall time was such a content's doing. */
+    /** Whether a crash-inducing request caused this crash. */
     isInducedCrash(crash: QuarantineRecord["deaths"][number]): boolean;
-    /** Whether some entry runs and is not paused. */
+    /** Whether at least one entry runs and is not paused. */
     isAnyEntryActive(): boolean;
     setEntryActivityCheck(isActive: () => boolean): void;
-    /** VMs that each such content killed alone, and how often it ran. */
+    /** By prompt of each crash-inducing request: VMs that it alone crashed, and how often it ran. */
     crashRequests(): Map<string, { vms: Set<string>; runs: number; }>;
-    /** The next complete answer of a sidecar comes without its spans. */
+    /** Removes the spans from the next complete answer of a sidecar. */
     corruptNextAnswer(onCorrupted: () => void): void;
     takeAnswerCorruption(): boolean;
-    /** For how long nothing has kept the named process from the object API. */
+    /** How long the named process has had unimpaired access to the object API. */
     storeReachableForMs(name: string): number;
 }
--- a/packages/bench/src/faults/crashRequestSeeds.test.ts
+++ b/packages/bench/src/faults/crashRequestSeeds.test.ts
@@ -5,13 +5,13 @@
 
 const kinds: FaultKind[] = ["engineCrash", "poisonRequest", "sidecarKill", "engineOtherWeights"];
 
-// Guards against: a sample names other weights than made it.
-test("deaths of seed 14000058 with three killing contents break no promise", async () => {
+// Guards against a sample that names other weights than those that generated it.
+test("the crashes of seed 14000058 with three crash-inducing requests violate no invariant", async () => {
     const run = await runWithFaults(14000058, defaultFaultGuards, { only: kinds, killers: 3 });
     expect(run.violations).toEqual([]);
 });
 
-test("the faults of seed 15000146 with two killing contents break no promise", async () => {
+test("the faults of seed 15000146 with two crash-inducing requests violate no invariant", async () => {
     const run = await runWithFaults(15000146, defaultFaultGuards, { killers: 2 });
     expect(run.violations).toEqual([]);
 });
--- a/packages/bench/src/faults/createBackends.ts
+++ b/packages/bench/src/faults/createBackends.ts
@@ -21,12 +21,12 @@
     control: FakePlainServiceControl;
 }
 
-/** Prompts that hold this text crash every engine that runs them. */
+/** Prompts that contain this text crash every engine that runs them. */
 const crashText = "poison";
 const crashAfterMs = 30;
 const reportedWithinMs = 2_000;
 
-/** Makes the backend servers of a run. */
+/** Creates the backend servers of a run. */
 export const createBackends = (simulation: Simulation): {
     model(
         node: string,
@@ -72,7 +72,7 @@
                     const isAlone = countRunning() === 1 && control.isUp();
                     simulation.recordInducedCrash(vm, bootId);
                     clock.startTimer(reportedWithinMs, () => {
-                        // A sidecar that dies before it could report the death takes the knowledge with it.
+                        // The crash is not known if the sidecar ended before it could report it.
                         if (
                             isAlone && present !== undefined && sidecar() === present
                             && simulation.isAnyEntryActive()
--- a/packages/bench/src/faults/createCaller.ts
+++ b/packages/bench/src/faults/createCaller.ts
@@ -15,20 +15,20 @@
     team: TeamId;
     service: ServiceId;
     entries: EntryNode[];
-    /** True once the caller sends nothing new. */
+    /** True once the caller may stop sending new requests. */
     mayEnd: () => boolean;
 }
 
-/** A caller of the plain service that judges each answer by its own request. */
+/** A caller of the plain service that checks each answer against its request. */
 interface Caller {
     run(): Promise<void>;
-    /** Sends one more request at once. */
+    /** Sends one more request immediately. */
     sendOne(idempotent: boolean, minSends?: number, resendAfterMs?: number): Promise<void>;
-    /** Sends at once what was to be sent again much later. */
+    /** Resends immediately the requests that wait for a long resend delay. */
     resendNow(): void;
     isFinished(): boolean;
     checkAtEnd(): void;
-    /** Requests so far. */
+    /** Number of requests so far. */
     count(): number;
 }
 
@@ -38,7 +38,7 @@
 const maxSends = 4;
 const defaultResendMs = 300;
 
-/** Makes a caller. After an unknown outcome it sends the same key again, through whichever entry it meets. */
+/** Creates a caller. After an unknown outcome it resends the same idempotency key through a randomly picked entry. */
 export function createCaller(simulation: Simulation, deps: CallerDeps): Caller {
     const { clock, network, violations, observer: witness } = simulation;
     const random = simulation.random.fork();
@@ -73,7 +73,7 @@
             }
         }
         catch {
-            // Cut short, and told so.
+            // The answer was truncated, and the caller was notified.
             return "unknown";
         }
         const bodyHash = hashText(Buffer.from(request.body).toString("latin1"));
@@ -137,7 +137,7 @@
         open--;
     }
 
-    /** A request of which every send was answered "not run" must never have run. */
+    /** A request whose attempts all ended with "not run" must never have run. */
     function checkAtEnd(): void {
         for (const { key, outcomes } of records) {
             const neverRan = outcomes.length > 0 && outcomes.every(outcome => outcome === "notRun");
--- a/packages/bench/src/faults/createCrashRequest.ts
+++ b/packages/bench/src/faults/createCrashRequest.ts
@@ -2,7 +2,7 @@
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { TeamId } from "@auburnarch/types/TeamId";
 
-/** A completion whose prompt kills every engine that runs it. */
+/** Creates a completion request whose prompt crashes every engine that runs it. */
 export function createCrashRequest(prompt: string): CallerRequest {
     return {
         team: "humoboira" as TeamId,
--- a/packages/bench/src/faults/createEntryNode.ts
+++ b/packages/bench/src/faults/createEntryNode.ts
@@ -51,7 +51,7 @@
     vmListIntervalMs: 1_000,
 };
 
-/** Makes a VM with the real entry in a process of its own, started at once. */
+/** Creates a VM with the real entry in a process of its own and starts it. */
 export function createEntryNode(simulation: Simulation, deps: EntryNodeDeps): EntryNode {
     const { guards, network, violations, logger } = simulation;
     const { name } = deps;
--- a/packages/bench/src/faults/createEntryPorts.ts
+++ b/packages/bench/src/faults/createEntryPorts.ts
@@ -20,14 +20,14 @@
     samplers: () => SamplerNode[];
 }
 
-/** An entry's ways to other processes. */
+/** An entry's connections to other processes. */
 interface EntryPorts {
     callPeer: PeerCall;
     forwardPlain: ForwardPlain;
     connectSidecar: (report: SamplerReport) => SidecarPort;
 }
 
-/** Makes an entry's ports over the run's network. */
+/** Creates an entry's ports over the simulated network. */
 export function createEntryPorts(simulation: Simulation, deps: EntryPortsDeps): EntryPorts {
     const { network, guards } = simulation;
     const { name, process } = deps;
--- a/packages/bench/src/faults/createManifest.ts
+++ b/packages/bench/src/faults/createManifest.ts
@@ -3,7 +3,7 @@
 
 const tokenDigest = createHash("sha256").update("bench-token").digest("hex");
 
-/** The manifest of a run; `variant` makes versions that differ. */
+/** Creates the manifest of a run; manifests with different `variant` differ. */
 export function createManifest(variant: number): Record<string, unknown> {
     return {
         name: "bench",
--- a/packages/bench/src/faults/createNetwork.ts
+++ b/packages/bench/src/faults/createNetwork.ts
@@ -16,7 +16,7 @@
 const breakAfterMs = 400;
 const lateByMs = 900;
 
-/** Small calls beside the work share its way, but are struck only with it. */
+/** Control calls are subject to the same partitions as data calls, but not to faults of single exchanges. */
 const controlSuffix = "#control";
 
 const withoutControlSuffix = (name: string): string =>
@@ -25,7 +25,7 @@
 const pairOf = (a: string, b: string): string =>
     [withoutControlSuffix(a), withoutControlSuffix(b)].sort().join(" ");
 
-/** Makes a network without faults. */
+/** Creates a network without faults. */
 export function createNetwork(clock: Clock, random: Random): Network {
     const processes = new Map<string, { isUp(): boolean; whenDown(): Promise<void>; }>();
     const cuts = new Set<string>();
@@ -35,7 +35,7 @@
     const isUp = (name: string): boolean => processes.get(name)?.isUp() ?? true;
     const travel = (): Promise<void> => clock.sleep(latencyMs + random.nextUnit() * reorderDelayMs);
 
-    /** The round trip is counted once, unless messages overtake each other. */
+    /** The latency of a round trip is applied once, to the request, unless messages are reordered. */
     const travelBack = (): Promise<void> => reorderDelayMs > 0 ? travel() : Promise.resolve();
 
     function takeFault(from: string, to: string): NetworkFault | undefined {
@@ -50,14 +50,14 @@
         return pending?.fault;
     }
 
-    /** Carries the request out, unless the receiver dies first. */
+    /** Delivers the request; the exchange breaks if the receiver ends first. */
     async function deliverUnlessDown<T>(to: string, deliver: () => Promise<T>): Promise<Exchange<T>> {
         const down = processes.get(to)?.whenDown().then((): Exchange<T> => ({ kind: "broken" }));
         const answered = deliver().then((answer): Exchange<T> => ({ kind: "answered", answer }));
         return down === undefined ? await answered : await Promise.race([answered, down]);
     }
 
-    /** A late request travels on its connection, so it reaches the process it was sent to or none. */
+    /** A late request is bound to its connection, so it reaches only the process that it was sent to. */
     function deliverLate(to: string, deliver: () => Promise<unknown>): void {
         let isSame = true;
         void processes.get(to)?.whenDown().then(() => {
--- a/packages/bench/src/faults/createNoopLogger.ts
+++ b/packages/bench/src/faults/createNoopLogger.ts
@@ -1,6 +1,6 @@
 import type { Logger } from "@auburnarch/types/Logger";
 
-/** A logger that writes nothing. */
+/** Creates a logger that discards everything. */
 export function createNoopLogger(): Logger {
     const logger: Logger = {
         info: () => undefined,
--- a/packages/bench/src/faults/createNoopMetrics.ts
+++ b/packages/bench/src/faults/createNoopMetrics.ts
@@ -1,6 +1,6 @@
 import type { Metrics } from "@auburnarch/metrics/Metrics";
 
-/** Metrics that nobody reads. */
+/** Creates metrics that discard everything. */
 export function createNoopMetrics(): Metrics {
     return {
         count: () => undefined,
--- a/packages/bench/src/faults/createObservedEngine.ts
+++ b/packages/bench/src/faults/createObservedEngine.ts
@@ -13,18 +13,18 @@
     clock: Clock;
     observer: RunObserver;
     sidecar: () => SidecarProcess | undefined;
-    /** Whether the sidecar is shown the fingerprints; the witness always sees them. */
+    /** Whether the sidecar receives the fingerprints; the observer always does. */
     statesFingerprint: boolean;
-    /** Called as a generation starts; `countRunning` tells how many run at any later time. */
+    /** Called when a generation starts; `countRunning` returns how many are running when it is called. */
     onStart: (request: EngineRequest, countRunning: () => number) => void;
 }
 
-/** A description takes time, in which the sidecar is in doubt. */
+/** A description takes time, during which the sidecar does not know the served version. */
 const describeMs = 40;
 
 const versionIn = (fingerprint: string | undefined): number => Number(fingerprint?.split("@")[1] ?? -1);
 
-/** An engine whose every effect the witness sees. */
+/** Creates an engine that reports all its effects to the observer. */
 export function createObservedEngine(deps: ObservedEngineDeps): EnginePort {
     const { engine, control, clock, observer: witness, node } = deps;
     let running = 0;
--- a/packages/bench/src/faults/createRunParts.ts
+++ b/packages/bench/src/faults/createRunParts.ts
@@ -14,7 +14,7 @@
 import type { RunParts } from "./RunParts.js";
 import type { Simulation } from "./Simulation.js";
 
-/** One engine that states versions and fences, one that does neither, one that states only. */
+/** One engine that reports versions and honours fencing, one that does neither, one that only reports versions. */
 const modelKinds = [
     { name: "model-1", statesFingerprint: true, honoursFencing: true },
     { name: "model-2", statesFingerprint: false, honoursFencing: false },
@@ -28,7 +28,7 @@
 const scoringLatencyMs = 5;
 const weightTransferMs = 60;
 
-/** Builds the system of a run: two entries, three model samplers, two plain ones, a trainer and a caller. */
+/** Creates the components of a run: two entries, three model samplers, two plain ones, a trainer and a caller. */
 export function createRunParts(
     simulation: Simulation,
     mayEnd: () => boolean,
--- a/packages/bench/src/faults/createSamplerNode.ts
+++ b/packages/bench/src/faults/createSamplerNode.ts
@@ -19,7 +19,7 @@
 interface SamplerNodeDeps {
     name: string;
     service: ServiceId;
-    /** A fresh backend server, for the VM's start and each replacement of the VM. */
+    /** Creates a backend server, for the VM's start and for each replacement of the VM. */
     createBackend: (sidecar: () => SidecarProcess | undefined, vm: string) => Backend;
     weightStore: WeightStore;
     entries: () => EntryNode[];
@@ -29,11 +29,11 @@
 interface Backend {
     engine: EnginePort | undefined;
     plain: PlainBackend | undefined;
-    /** Kills it, as the VM's end does. */
+    /** Crashes the backend server, as the removal of its VM does. */
     crash(): void;
 }
 
-/** Makes a VM with a backend server and a sidecar, started at once. */
+/** Creates a VM with a backend server and a sidecar and starts both. */
 export function createSamplerNode(simulation: Simulation, deps: SamplerNodeDeps): SamplerNode {
     const { clock, network, observer: witness, vms } = simulation;
     const { name } = deps;
--- a/packages/bench/src/faults/createSidecarLink.ts
+++ b/packages/bench/src/faults/createSidecarLink.ts
@@ -13,7 +13,7 @@
 
 interface SidecarLinkDeps {
     network: Network;
-    /** Process that calls, and its name in the network. */
+    /** The calling process; `from` is its name in the network. */
     process: TestProcess;
     from: string;
     node: SamplerNode;
@@ -27,8 +27,8 @@
 };
 
 /**
- * Makes the port to a sidecar over the run's network, with the rules of the port over HTTP: what was not written
- * did not run, and after a break the incarnation that the attempt was sent to is asked.
+ * Creates the port to a sidecar over the simulated network. It follows the rules of the HTTP port: an attempt that was
+ * not written did not run, and after a broken connection the incarnation that the attempt was sent to is queried.
  */
 export function createSidecarLink(deps: SidecarLinkDeps): SidecarPort {
     const { network, process, from, node, guards } = deps;
@@ -36,7 +36,7 @@
     const callWork = <T>(call: () => Promise<T>): Promise<Exchange<T>> =>
         network.exchange(from, node.name, call);
 
-    /** Small calls beside the work. */
+    /** Sends a control call, which is exempt from faults of single exchanges. */
     const callControl = <T>(call: () => Promise<T>): Promise<Exchange<T>> =>
         network.exchange(`${from}#control`, node.name, call);
 
--- a/packages/bench/src/faults/createSidecarProcess.ts
+++ b/packages/bench/src/faults/createSidecarProcess.ts
@@ -45,7 +45,7 @@
     vmListIntervalMs: 1_000,
 };
 
-/** Starts a sidecar: the real gate, reporter and document set in a process of their own. */
+/** Starts a sidecar: the real sidecar, reporter and document follower in a process of their own. */
 export function createSidecarProcess(simulation: Simulation, deps: SidecarDeps): SidecarProcess {
     const { guards, network, violations, logger } = simulation;
     const process = createTestProcess(simulation.clock);
@@ -84,7 +84,7 @@
 
     const latestDocuments = new Map<string, SharedDocument>();
 
-    /** Hands a document on, and the one before it once more, as a late answer of another entry would. */
+    /** Delivers a document, and later its predecessor again, as a late answer of another entry would. */
     function deliverDocument(document: SharedDocument): void {
         const before = latestDocuments.get(document.name);
         latestDocuments.set(document.name, document);
@@ -120,7 +120,7 @@
             () => entry!.receive("report", message),
         );
         if (ended.kind !== "answered") {
-            throw new Error(`no answer of ${address}`);
+            throw new Error(`no answer from ${address}`);
         }
         return ended.answer;
     }
--- a/packages/bench/src/faults/createSimulatedTrainer.ts
+++ b/packages/bench/src/faults/createSimulatedTrainer.ts
@@ -25,14 +25,14 @@
 const maxTokens = 24;
 const bitmapBytesFromEnd = 33;
 
-/** The cursor with one bit of its bitmap changed, so that it says something else about one group. */
+/** Flips one bit of the cursor's bitmap, so that the state of one group changes. */
 function forge(cursor: string): string {
     const bytes = Buffer.from(cursor, "base64url");
     bytes[bytes.length - bitmapBytesFromEnd]! ^= 1;
     return bytes.toString("base64url");
 }
 
-/** Makes the trainer of a run; each call goes to an entry at random. */
+/** Creates the trainer of a run; each call goes to a randomly picked entry. */
 export function createSimulatedTrainer(simulation: Simulation, deps: SimulatedTrainerDeps): SimulatedTrainer {
     const { network, clock, violations } = simulation;
     const random = simulation.random.fork();
@@ -61,7 +61,7 @@
         return ended.answer;
     }
 
-    /** A hostile read beside the true one. */
+    /** Sends a read with a forged cursor before the genuine one. */
     async function sendForged(call: Extract<TrainerCall, { kind: "readGroups"; }>): Promise<void> {
         const onInjected = onForged;
         if (onInjected === undefined || call.cursor === undefined) {
--- a/packages/bench/src/faults/createSimulation.ts
+++ b/packages/bench/src/faults/createSimulation.ts
@@ -13,14 +13,14 @@
 import { createViolations } from "./judges/createViolations.js";
 import type { Simulation } from "./Simulation.js";
 
-/** In every other run calls take time, so that faults also strike between effect and answer. */
+/** Calls take time in every other run, so that faults also occur between effect and answer. */
 const storeLatencyMs = 3;
-/** A death is known to the entries at most this long after it. */
+/** The entries know of a crash at most this long after it. */
 const reportedWithinMs = 3_000;
 const vmListLagMs = 1_000;
 const leaseKey = "leases/job/plume";
 
-/** Makes the outside world of one run: clock, network, platform and judges. All draws follow from the seed. */
+/** Creates the environment of one run: clock, network, platform and checks. All random draws follow from the seed. */
 export function createSimulation(
     seed: number,
     guards: FaultGuards,
@@ -44,10 +44,13 @@
     const engineBoots = new Set<string>();
     let isActive = (): boolean => false;
     let onCorrupted: (() => void) | undefined;
-    /** Last time at which something kept a process, or all, from the store. */
+    /** Last time at which access to the store was impaired, by process; the empty name stands for all processes. */
     const lastImpairedAtMs = new Map<string, number>();
 
-    /** Contents with a death that has been listed for long enough to be known everywhere, with the latest death's time. */
+    /**
+     * Digests with a crash that was stored long enough ago to be known everywhere, each with the time of its latest
+     * crash.
+     */
     function listSuspects(): Map<string, number> {
         const stored = control.peek("quarantine") as { records: QuarantineRecord[]; } | undefined;
         const knownBeforeMs = clock.wallMs() - reportedWithinMs;
@@ -71,7 +74,7 @@
         return isDown || slowMs > 0 || network.isCut(name, "store");
     }
 
-    /** Looked at often enough that no hindrance of interest falls between two looks. */
+    /** Called often enough that no relevant impairment falls between two calls. */
     function storeReachableForMs(name: string): number {
         const nowMs = clock.monotonicMs();
         if (isStoreImpaired(name)) {
@@ -125,7 +128,8 @@
         recordBoot: bootId => void engineBoots.add(bootId),
         isInducedCrash: ({ vm, bootId, atMs }) =>
             inducedCrashes.some(death =>
-                // A death that entries tell of names a sidecar's start, which only its time joins to an engine's.
+                // A crash reported by entries names a sidecar's start, which only its time relates to an engine's
+                // crash.
                 engineBoots.has(bootId)
                     ? death.bootId === bootId
                     : death.vm === vm && Math.abs(death.atWallMs - atMs) < reportedWithinMs
--- a/packages/bench/src/faults/createStoreLink.ts
+++ b/packages/bench/src/faults/createStoreLink.ts
@@ -5,7 +5,7 @@
 
 const cutTimeoutMs = 300;
 
-/** The object API as one process reaches it: a cut way answers nothing, neither before nor after the effect. */
+/** The object API as seen by one process: during a partition calls fail, whether or not they took effect. */
 export function createStoreLink(simulation: Simulation, from: string): ObjectStore {
     const { store, network, clock } = simulation;
 
--- a/packages/bench/src/faults/createTrackedOwnerParts.ts
+++ b/packages/bench/src/faults/createTrackedOwnerParts.ts
@@ -2,7 +2,7 @@
 import type { OwnerParts } from "@auburnarch/ownership/OwnerParts";
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 
-/** The usual parts of an owner; `noteFencing` hears under which number it works, and undefined when it ends. */
+/** Creates the default parts of an owner; `onFencing` receives its fencing number, and undefined when it stops. */
 export function createTrackedOwnerParts(onFencing: (fencing: FencingNumber | undefined) => void): OwnerParts {
     return {
         ...defaultOwnerParts,
--- a/packages/bench/src/faults/createUuidV7.ts
+++ b/packages/bench/src/faults/createUuidV7.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Random } from "@auburnarch/types/Random";
 
-/** A UUIDv7 minted now. */
+/** Creates a UUIDv7 with the current time. */
 export function createUuidV7(clock: Clock, random: Random): string {
     const time = Math.floor(clock.wallMs()).toString(16).padStart(12, "0");
     const tail = random.nextId();
--- a/packages/bench/src/faults/defaultFaultGuards.ts
+++ b/packages/bench/src/faults/defaultFaultGuards.ts
@@ -8,7 +8,7 @@
 import { defaultSendGuards } from "@auburnarch/transport/defaultSendGuards";
 import type { FaultGuards } from "./FaultGuards.js";
 
-/** The guards as they run in production. */
+/** The guards used in production. */
 export const defaultFaultGuards: FaultGuards = {
     owner: defaultOwnerGuards,
     gate: defaultSidecarGuards,
--- a/packages/bench/src/faults/faultKinds.ts
+++ b/packages/bench/src/faults/faultKinds.ts
@@ -1,4 +1,4 @@
-/** Every kind of fault of the randomised runs. */
+/** All kinds of fault of the randomised runs. */
 export const faultKinds = [
     "ownerKill",
     "ownerPause",
--- a/packages/bench/src/faults/faults.test.ts
+++ b/packages/bench/src/faults/faults.test.ts
@@ -14,7 +14,7 @@
 const series = (seed: number, runs: number): ReturnType<typeof runFaultSeries> =>
     runFaultSeries({ seed, runs, guards: defaultFaultGuards, without: undefined, stopAtFirst: false });
 
-test("randomised runs with all guards break no promise", async () => {
+test("randomised runs with all guards violate no invariant", async () => {
     const summary = await series(101, 12);
     expect(summary.violations).toEqual([]);
     expect(faultKinds.filter(kind => summary.strikes[kind] > 0).length).toBeGreaterThan(
@@ -23,7 +23,7 @@
     expect(summary.groupsTaken).toBeGreaterThan(0);
 });
 
-test("the same seed gives the same bytes", async () => {
+test("the same seed gives the same summary, byte for byte", async () => {
     const first = renderFaultSummary(await series(5, 2));
     const second = renderFaultSummary(await series(5, 2));
     const other = renderFaultSummary(await series(6, 2));
@@ -31,7 +31,9 @@
     expect(other).not.toBe(first);
 });
 
-/** A run that breaks a promise without the guard and none with it; undefined if there is none among the runs. */
+/**
+ * Finds a run that violates an invariant without the guard and none with it; 0 is a scripted run, undefined is none.
+ */
 async function findSeedWithViolation(name: string): Promise<number | undefined> {
     const scripted = await runScripts(removeGuard(name)!);
     if (scripted.length > 0 && (await runScripts(defaultFaultGuards)).length === 0) {
@@ -51,12 +53,12 @@
     return undefined;
 }
 
-// Guards against: a check that protects a promise could be lost without anybody noticing.
-test.each(listGuardNames())("the loss of %s is noticed", async name => {
+// Guards against a guard that can be removed without any run detecting it.
+test.each(listGuardNames())("removing %s is detected", async name => {
     expect(await findSeedWithViolation(name)).toBeDefined();
 });
 
-test("an unknown guard is none", () => {
+test("removing an unknown guard returns undefined", () => {
     expect(removeGuard("owner.nothing")).toBeUndefined();
     expect(removeGuard("nothing")).toBeUndefined();
 });
--- a/packages/bench/src/faults/faultsCommand.ts
+++ b/packages/bench/src/faults/faultsCommand.ts
@@ -13,7 +13,7 @@
     process.exitCode = exitCodes.usage;
 }
 
-/** `faults`: randomised runs with all kinds of faults. Exit codes: 0 clean, 1 violations, 2 usage. */
+/** `faults`: randomised runs with all kinds of faults. Exit codes: 0 no violations, 1 violations, 2 usage error. */
 export const faultsCommand = defineCommand({
     meta: { name: "faults", description: "Randomised runs of the whole system with all kinds of faults" },
     args: {
--- a/packages/bench/src/faults/focusKinds.ts
+++ b/packages/bench/src/faults/focusKinds.ts
@@ -7,7 +7,7 @@
     "engineOtherWeights",
 ];
 
-/** Kinds of fault in which each guard matters; every other run without a guard draws from these alone. */
+/** Kinds of fault relevant to each guard; with a guard disabled, every other run injects only these. */
 export const focusKinds: Record<string, readonly FaultKind[]> = {
     "owner.mayRun": ["ownerPause"],
     "owner.isOwnNumberCurrent": ["ownerPause"],
--- a/packages/bench/src/faults/injectFault.ts
+++ b/packages/bench/src/faults/injectFault.ts
@@ -21,24 +21,27 @@
 import type { SamplerNode } from "./SamplerNode.js";
 
 const policy = "plume" as PolicyId;
-/** A sidecar forgets its older half of attempts as a newer one ends, each half after this time: two turns forget all. */
+/**
+ * Sidecars keep finished attempts in two halves and drop the older half when an attempt finishes after this time, so
+ * that two such periods drop all of them.
+ */
 const attemptForgetMs = attemptRetentionMs + 2_000;
 const freezeMs = 2 * attemptForgetMs + 2_000;
-/** More than a plain sampler runs and queues at once. */
+/** More than a plain sampler can run and queue. */
 const burstRequests = 90;
-/** As many as a plain sampler runs at once; the others wait beyond their deadline. */
+/** Number of requests that a plain sampler runs at once; the others wait past their deadline. */
 const burstRunning = 64;
 const burstCheckMs = 10;
-/** Long enough for a takeover of key ranges and twice the largest clock skew after it. */
+/** Long enough for a takeover of key ranges followed by twice the largest clock skew. */
 const longCutMs = 17_000;
 const ownerCheckMs = 250;
-/** Longer than the entries remember a key. */
+/** Longer than entries remember an idempotency key. */
 const pauseAllMs = 605_000;
-/** After the call was carried out, before its sender asks what became of it. */
+/** After the call was carried out, but before its sender queries the outcome. */
 const afterLostAnswerMs = 250;
-/** After an entry's death its key ranges have another owner by then. */
+/** Another entry owns an entry's key ranges this long after the entry was killed. */
 const takeoverMs = 10_500;
-/** The requests are answered before everything falls asleep. */
+/** Leaves time to answer the requests before all processes are paused. */
 const beforePauseAllMs = 400;
 const storeCutMs = 3_000;
 const manifestKey = "config/manifest";
@@ -47,7 +50,7 @@
     return from.length === 0 ? undefined : from[parts.simulation.random.nextInt(from.length)];
 }
 
-/** Milliseconds between two bounds. */
+/** Draws a duration between two bounds. */
 function drawMs(parts: RunParts, minMs: number, maxMs: number): number {
     return minMs + parts.simulation.random.nextUnit() * (maxMs - minMs);
 }
@@ -57,7 +60,7 @@
 const findOwner = (parts: RunParts): EntryNode | undefined =>
     parts.entries.find(entry => entry.ownedFencing() !== undefined);
 
-/** Strikes the next exchange from an entry to some sidecar, model or plain. */
+/** Injects a fault into the next exchange from a random entry to a random sidecar, model or plain. */
 function failSidecarCall(parts: RunParts, kind: FaultKind, fault: NetworkFault): void {
     const targets = [...parts.models.map(model => model.node), ...plainNodes(parts), ...plainNodes(parts)];
     const target = pickOne(parts, targets)!;
@@ -88,7 +91,10 @@
     }
 }
 
-/** A sampler restarts with old weights, so that both owners of the moment order it to swap, and cannot read who is right. */
+/**
+ * Restarts a sampler with old weights and without access to the object API: both current owners order it to swap, and
+ * its sidecar cannot read which of them holds the lease.
+ */
 function restartSampler(parts: RunParts): void {
     const model = pickOne(parts, parts.models)!;
     model.node.killSidecar();
@@ -102,14 +108,17 @@
     parts.simulation.clock.startTimer(drawMs(parts, 20, 400), model.node.startSidecar);
 }
 
-/** Requests with keys minted now, each sent several times, through either entry. */
+/** Sends requests with new keys, each several times and through randomly picked entries. */
 function sendRepeatedly(parts: RunParts, count: number): void {
     for (let sent = 0; sent < count; sent++) {
         void parts.caller.sendOne(false, 3);
     }
 }
 
-/** The owner's way to the object API is cut, so that another takes over while it lives and is reachable. */
+/**
+ * Partitions the owner from the object API, so that another entry takes over while the owner still runs and is
+ * reachable.
+ */
 function makeTwoOwners(parts: RunParts): void {
     const { network, clock, random } = parts.simulation;
     const owner = findOwner(parts);
@@ -123,7 +132,7 @@
     parts.delayHealing(durationMs);
     clock.startTimer(durationMs, () => network.heal(owner.name, "store"));
     if (isLong) {
-        // By then keys are minted that only the newer owner of their range may run.
+        // By then new keys may be run only by the newer owner of their range.
         clock.startTimer(durationMs - 1_500, () => sendRepeatedly(parts, 6));
     }
     function check(): void {
@@ -154,7 +163,7 @@
     }
 }
 
-/** The engine comes back with weights nobody ordered, or they change under it without a restart. */
+/** Changes the engine's weights without an order, either in place or by a restart. */
 function changeWeights(parts: RunParts): void {
     const model = pickOne(parts, parts.models)!;
     const control = model.control();
@@ -184,7 +193,7 @@
     model.control().failNextLoad(served);
 }
 
-/** Half of the time right after it has carried out a call whose answer is lost, so that nobody can vouch for it. */
+/** Kills a sidecar, half of the time after a call whose answer was lost, so that its outcome can't be queried. */
 function killSidecar(parts: RunParts): void {
     const { network, clock, random } = parts.simulation;
     const node = pickOne(parts, [...parts.models.map(model => model.node), ...plainNodes(parts)])!;
@@ -207,7 +216,7 @@
         }));
 }
 
-/** A VM leaves, and for a while the reports of its sidecar do not get through. */
+/** Makes a VM leave, and for a while keeps its sidecar's reports from reaching one of the entries. */
 function leaveVm(parts: RunParts): void {
     const { network, clock } = parts.simulation;
     const node = pickOne(parts, [...parts.models.map(model => model.node), ...plainNodes(parts)])!;
@@ -231,7 +240,7 @@
     void entry.shutDown(3_000).then(() => restartLater(parts, entry));
 }
 
-/** Half of the time right before an order that is on its way arrives. */
+/** Shuts a sidecar down, half of the time immediately before an order arrives. */
 function shutDownSidecar(parts: RunParts): void {
     const node = pickOne(parts, [...parts.models.map(model => model.node), ...plainNodes(parts)])!;
     function shutDown(): void {
@@ -247,7 +256,7 @@
     node.beforeNextOrder(shutDown);
 }
 
-/** A content that kills every engine that runs it, sent again and again under new ids. */
+/** Sends a crash-inducing request several times under new ids. */
 async function sendCrashRequests(parts: RunParts): Promise<void> {
     const { clock } = parts.simulation;
     const request = createCrashRequest(parts.nextCrashPrompt());
@@ -265,7 +274,10 @@
     }
 }
 
-/** Two operators publish against the same version; one wins, the other is told. A third one's manifest has faults. */
+/**
+ * Two operators publish against the same version; only one may succeed. In some runs a third one publishes an invalid
+ * manifest.
+ */
 async function raceOperators(parts: RunParts): Promise<void> {
     const { store, random, violations } = parts.simulation;
     parts.countFault("operatorsRace");
@@ -296,8 +308,8 @@
 }
 
 /**
- * A non-idempotent request is sent several times. Either the answer of the sidecar is lost, or that of the entry,
- * which then dies, and the request comes again once its key range has another owner.
+ * Sends a non-idempotent request several times. Either the sidecar's answer is lost, or the entry's answer is lost, the
+ * entry is killed, and the request is resent once another entry owns its key range.
  */
 function resendNonIdempotent(parts: RunParts): void {
     const { network, random, clock } = parts.simulation;
@@ -323,7 +335,10 @@
     }
 }
 
-/** An entry sleeps past the sidecars' memory right after the answer to one of its requests was lost. */
+/**
+ * Pauses an entry for longer than sidecars remember attempts, immediately after an answer to one of its requests was
+ * lost.
+ */
 function freezeSender(parts: RunParts): void {
     const { network, clock, random } = parts.simulation;
     if (random.nextUnit() < 0.3) {
@@ -348,7 +363,7 @@
     sendRepeatedly(parts, 2);
 }
 
-/** Every process sleeps for longer than the entries remember keys; requests from before come again after it. */
+/** Pauses all processes for longer than entries remember keys; requests from before the pause are resent after it. */
 function pauseAll(parts: RunParts): void {
     const { clock } = parts.simulation;
     const listProcesses = (): (TestProcess | undefined)[] => {
@@ -378,7 +393,7 @@
     });
 }
 
-/** A request of one of the many other entries that a fleet has. */
+/** Sends a request on behalf of another entry of the fleet that is not simulated. */
 function sendDirectly(parts: RunParts, node: SamplerNode, budgetMs: number): void {
     const { simulation } = parts;
     const request: PlainRequest = {
@@ -398,7 +413,7 @@
     void simulation.network.exchange("other-entry", node.name, call).catch(() => undefined);
 }
 
-/** Many entries send to one sampler at once; its queue stays bounded and says so. */
+/** Sends many requests to one sampler at once; its reported queue must stay within the limit. */
 function burst(parts: RunParts): void {
     const { simulation } = parts;
     const plain = pickOne(parts, parts.plains)!;
@@ -414,14 +429,14 @@
     simulation.clock.startTimer(burstCheckMs, () => {
         const report = plain.node.sidecar()?.report();
         const waiting = report?.waiting ?? 0;
-        // Before it has a manifest a sidecar knows no bound of the manifest's.
+        // A sidecar without a manifest does not know the manifest's limit.
         if (report?.configVersion !== 0 && waiting > maxQueuedPerTeam) {
             simulation.violations.add("queueUnbounded", `${plain.node.name}: ${waiting} waiting`);
         }
     });
 }
 
-/** Several versions in quick order, while an order for the first is late on its way. */
+/** Publishes several versions in quick succession, half of the time with a late order for the first. */
 function publishBurst(parts: RunParts): void {
     const { network, random } = parts.simulation;
     const count = 2 + random.nextInt(2);
@@ -433,7 +448,7 @@
     });
 }
 
-/** Strikes one fault of the kind, if it finds something to strike. */
+/** Injects one fault of the kind if there is a target for it. */
 export function injectFault(parts: RunParts, kind: FaultKind): void {
     const injectors: Record<FaultKind, () => void> = {
         ownerKill: () => killOwner(parts),
--- a/packages/bench/src/faults/injectStoreFault.ts
+++ b/packages/bench/src/faults/injectStoreFault.ts
@@ -1,9 +1,9 @@
 import type { RunParts } from "./RunParts.js";
 
-/** Faults of the object API as a whole. */
+/** Faults that affect the whole object API. */
 type StoreFault = "storeOutage" | "storeSlow" | "storeAnswerLost" | "storeStaleRead";
 
-/** Milliseconds between two bounds. */
+/** Draws a duration between two bounds. */
 function drawMs(parts: RunParts, minMs: number, maxMs: number): number {
     return minMs + parts.simulation.random.nextUnit() * (maxMs - minMs);
 }
@@ -34,7 +34,7 @@
     clock.startTimer(drawMs(parts, 500, 4_000), () => storeControl.setStaleReads(0));
 }
 
-/** Strikes the object API. */
+/** Injects a fault into the object API. */
 export function injectStoreFault(parts: RunParts, fault: StoreFault): void {
     const injectors: Record<StoreFault, (parts: RunParts) => void> = {
         storeOutage: failStore,
--- a/packages/bench/src/faults/judges/RunObserver.ts
+++ b/packages/bench/src/faults/judges/RunObserver.ts
@@ -8,36 +8,38 @@
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
 import type { SidecarProcess } from "../SidecarProcess.js";
 
-/** Sees what truly happens at the backend servers, and judges by it. */
+/** Records what actually happens at the backend servers and checks invariants against it. */
 export interface RunObserver {
-    /** Work reached a sidecar. */
+    /** Records that work reached a sidecar. */
     recordArrival(
         node: string,
         work: { attempt: AttemptId; budgetMs: number; digest: ContentDigest; },
         process: SidecarProcess,
     ): void;
     recordSample(attempt: SampleAttempt): void;
-    /** A sender was told how its attempt ended. */
+    /** Records the outcome of an attempt as its sender received it. */
     recordOutcome(attempt: string, outcome: AttemptOutcome<unknown>): void;
-    /** Prompts of samples of which an attempt ended without an answer: what a death may be blamed on. */
+    /**
+     * Prompts of samples of which an attempt ended with an unknown outcome: a crash may have been attributed to them.
+     */
     listInterruptedPrompts(): string[];
-    /** An engine began to run an attempt. */
+    /** Records that an engine began to run an attempt. */
     recordEngineStart(node: string, request: EngineRequest): void;
     recordEngineEnd(node: string, attempt: string, isClean: boolean): void;
-    /** An order reached a sidecar. */
+    /** Records that an order reached a sidecar. */
     recordOrderArrival(order: EngineOrder, process: SidecarProcess): void;
-    /** An engine made tokens of an attempt with `version`. */
+    /** Records that an engine generated tokens of an attempt with `version`. */
     recordTokens(attempt: string, version: number, tokens: number): void;
     recordEngineOrder(node: string, order: EngineOrder, served: number, process: SidecarProcess): void;
-    /** An engine that states no versions was told to swap while `running` samples ran. */
+    /** Records that an engine that reports no versions was ordered to swap while `running` samples ran. */
     recordMixedSwap(node: string, running: number): void;
     recordPlainStart(node: string, request: PlainRequest): void;
-    /** The platform marked the node's VM as leaving; undefined once a fresh VM is there. */
+    /** Records since when the platform marks the node's VM as leaving; undefined once a new VM replaced it. */
     setLeaving(node: string, sinceMs: number | undefined): void;
-    /** A trainer took a page in. */
+    /** Checks a page of groups that a trainer received. */
     checkPage(page: GroupsPage): void;
-    /** Judgements that need the whole run. */
+    /** Performs the checks that need the whole run. */
     checkAtEnd(): void;
-    /** How often requests with this key truly ran. */
+    /** How often requests with this key actually ran. */
     countPlainRuns(key: string): number;
 }
--- a/packages/bench/src/faults/judges/checkPromptsServed.ts
+++ b/packages/bench/src/faults/judges/checkPromptsServed.ts
@@ -1,12 +1,12 @@
 import type { RunParts } from "../RunParts.js";
 
-/** Time within which a step is to be whole; a content that kills nothing is served within it. */
+/** Time within which a step must be complete; innocent requests must be served within it. */
 const servedWithinMs = 6 * 60_000;
 
 /**
- * Asks once more for every prompt of which an attempt ended without an answer, as a trainer does that meets a prompt
- * again. None of them kills engines, so all must be made, whatever deaths they were in flight at. What the product
- * itself takes for guilty plays no part here. True if they were.
+ * Requests again every prompt of which an attempt ended with an unknown outcome, as a trainer does that draws a prompt
+ * again. None of them crashes engines, so all must be served, whatever crashes they were in flight at and whatever the
+ * quarantine contains. Returns whether they were.
  */
 export async function checkPromptsServed({ simulation, trainer }: RunParts): Promise<boolean> {
     const prompts = simulation.observer.listInterruptedPrompts();
--- a/packages/bench/src/faults/judges/checkReport.ts
+++ b/packages/bench/src/faults/judges/checkReport.ts
@@ -2,7 +2,7 @@
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { Violations } from "./Violations.js";
 
-/** What the sidecar itself reports must not speak against running the sample. */
+/** Checks that the sidecar's own report allows the sample to run: its version is known and recent enough. */
 export function checkReport(
     violations: Violations,
     node: string,
--- a/packages/bench/src/faults/judges/checkRun.ts
+++ b/packages/bench/src/faults/judges/checkRun.ts
@@ -12,12 +12,12 @@
 
 const manifestKey = "config/manifest";
 const requestTimeoutMs = 1_000;
-/** Without word from an entry a sidecar takes work after this time. */
+/** A sidecar that reaches no entry accepts work after this time. */
 const sidecarStartMs = initialConfigWaitMs + 150;
-/** A process that has just started hears of the manifest and the quarantine within this time. */
+/** A newly started process receives the manifest and the quarantine within this time. */
 const propagationMs = 2_000;
 
-/** The judgements that need a settled system: liveness, usage, configuration. */
+/** Performs the checks that need a settled system: liveness, usage, configuration, quarantine. */
 export async function checkRun(parts: RunParts, isOver: boolean): Promise<void> {
     const { simulation, trainer, entries } = parts;
     const { violations, storeControl } = simulation;
@@ -37,8 +37,8 @@
     await probeCrashRequests();
 
     /**
-     * Nothing may be refused for what a killing content did. A content that was in flight at two crashes of other
-     * causes is not judged here but by `judgeServed`.
+     * No content may be quarantined for crashes that crash-inducing requests caused. Contents that were in flight at
+     * crashes with other causes are checked by `checkPromptsServed`.
      */
     function checkQuarantine(): void {
         const stored = storeControl.peek("quarantine") as { records: QuarantineRecord[]; } | undefined;
@@ -54,13 +54,13 @@
         }
     }
 
-    /** Whether the node's sidecar has run for long enough to have heard of what is known everywhere. */
+    /** Whether the node's sidecar has run for long enough to have received what is known everywhere. */
     function hasReceivedState(node: SamplerNode): boolean {
         const sidecar = node.sidecarProcess();
         return sidecar !== undefined && sidecar.startedAtMs < simulation.clock.monotonicMs() - propagationMs;
     }
 
-    /** Sends the content through every entry that is awake, and straight to the sidecars if `direct`; true if it ran. */
+    /** Sends the request through every running entry, and directly to the sidecars if `direct`; true if it ran. */
     async function sendCrashRequest(prompt: string, direct: boolean): Promise<boolean> {
         const before = simulation.crashRequests().get(prompt)!.runs;
         const request = createCrashRequest(prompt);
@@ -84,7 +84,7 @@
         return hasRun();
     }
 
-    /** Sidecars that were started again and cannot reach an entry know no list, and take work all the same. */
+    /** Restarts the sidecars without a connection to the entries: they know no quarantine list but accept work. */
     async function restartIsolatedSidecars(): Promise<void> {
         for (const { node } of parts.models) {
             entries.forEach(entry => simulation.network.cut(`${node.name}#reports`, entry.name));
@@ -94,7 +94,10 @@
         await simulation.clock.runUntil(() => false, sidecarStartMs);
     }
 
-    /** What has killed engines on two VMs is refused by sidecars whatever entry sends it, and by every entry. */
+    /**
+     * A request that crashed engines on two VMs must be refused by sidecars, whichever entry sends it, and by all
+     * entries.
+     */
     async function probeCrashRequests(): Promise<void> {
         const prompts = [...simulation.crashRequests()].filter(([, { vms }]) => vms.size > 1).map((
             [prompt],
@@ -105,7 +108,7 @@
                 return;
             }
         }
-        // The sidecars know no list from here on, so this comes after all the probes that ask them.
+        // From here on the sidecars know no quarantine list, so this follows all probes of the sidecars.
         await restartIsolatedSidecars();
         for (const prompt of prompts) {
             if (await sendCrashRequest(prompt, false)) {
--- a/packages/bench/src/faults/judges/createCheckedSidecar.ts
+++ b/packages/bench/src/faults/judges/createCheckedSidecar.ts
@@ -3,14 +3,14 @@
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 import type { Simulation } from "../Simulation.js";
 
-/** A process that could reach the object API for so long must have learnt who holds the lease. */
+/** A process with access to the object API for this long must know the lease holder. */
 const leaseVisibleWithinMs = 3_300;
 
-/** A sidecar port whose senders are judged: what they send, and what they are told. */
+/** Wraps a sidecar port and checks what its callers send and which outcomes they receive. */
 export function createCheckedSidecar(simulation: Simulation, from: string, port: SidecarPort): SidecarPort {
     const { violations, observer: witness } = simulation;
 
-    /** True owners only, unless the object API was out of reach lately. */
+    /** Only the lease holder may send, unless its access to the object API was impaired recently. */
     function checkOwner(fencing: number, what: string): void {
         const mustKnowOwner = simulation.storeReachableForMs(from) > leaseVisibleWithinMs;
         if (mustKnowOwner && fencing < simulation.trueFencing()) {
@@ -21,7 +21,7 @@
         }
     }
 
-    /** A sidecar of a broken build: the answer is complete but leaves out what made its tokens. */
+    /** Simulates a defective sidecar: its answer is complete but lacks the spans that name the weights. */
     function corrupt(outcome: AttemptOutcome<SampleAnswer>): AttemptOutcome<SampleAnswer> {
         if (outcome.kind !== "ran" || !outcome.answer.complete || !simulation.takeAnswerCorruption()) {
             return outcome;
--- a/packages/bench/src/faults/judges/createCheckedStore.ts
+++ b/packages/bench/src/faults/judges/createCheckedStore.ts
@@ -10,11 +10,11 @@
 
 interface CheckedStore {
     store: ObjectStore;
-    /** The job lease's number as it truly stands; a write whose answer was lost shows at the next renewal. */
+    /** The job lease's current fencing number; a write whose answer was lost becomes visible with the next renewal. */
     trueFencing(): number;
 }
 
-/** The object API with a judge: fencing numbers and published versions in it only ever rise. */
+/** Wraps the object API and checks that fencing numbers and published versions in it never decrease. */
 export function createCheckedStore(
     store: ObjectStore,
     violations: Violations,
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Answers may come in another order than the writes took effect in; the versions tell that order. */
+    /** Answers may arrive in another order than the writes took effect; the object versions give that order. */
     function check(key: string, value: FencedValue, version: number): void {
         const known = latest.get(key);
         if (known !== undefined && known.version > version) {
--- a/packages/bench/src/faults/judges/createRunObserver.ts
+++ b/packages/bench/src/faults/judges/createRunObserver.ts
@@ -7,7 +7,7 @@
 import type { RunObserver } from "./RunObserver.js";
 import type { Violations } from "./Violations.js";
 
-/** A leaving VM gets no new work after this. */
+/** A leaving VM must get no new work after this time. */
 const leavingGraceMs = 3_000;
 const deadlineSlackMs = 50;
 
@@ -21,7 +21,7 @@
 
 const keyHeader = "idempotency-key";
 
-/** Makes a witness. */
+/** Creates an observer. */
 export function createRunObserver(
     clock: Clock,
     violations: Violations,
--- a/packages/bench/src/faults/judges/createSuspectIsolationCheck.ts
+++ b/packages/bench/src/faults/judges/createSuspectIsolationCheck.ts
@@ -1,7 +1,7 @@
 import type { SidecarProcess } from "../SidecarProcess.js";
 import type { Violations } from "./Violations.js";
 
-/** Judges in whose company contents run. */
+/** Checks which requests run beside each other at an engine. */
 interface SuspectIsolationCheck {
     start(
         node: string,
@@ -12,8 +12,9 @@
 }
 
 /**
- * Makes the judge: two contents that are known as suspects everywhere, or to the sidecar itself, must not run beside each
- * other. One that has run to its end since its latest death is none any more, also while the list does not say so yet.
+ * Creates the check: two requests whose contents are known as suspects everywhere, or to the sidecar itself, must not
+ * run beside each other. A content that has run to completion since its latest crash is no longer a suspect, even while
+ * the stored list still contains it.
  */
 export function createSuspectIsolationCheck(
     violations: Violations,
--- a/packages/bench/src/faults/judges/createTokenRecord.ts
+++ b/packages/bench/src/faults/judges/createTokenRecord.ts
@@ -1,19 +1,19 @@
 import type { Sample } from "@auburnarch/types/Sample";
 import type { SampleAttempt } from "@auburnarch/types/SampleAttempt";
 
-/** Which weights truly made each token of each attempt. */
+/** Records which weights actually generated each token of each attempt. */
 interface TokenRecord {
     recordAttempt(attempt: SampleAttempt): void;
-    /** An attempt starts behind `resumeTokens` tokens of earlier ones. */
+    /** Starts an attempt that resumes after `resumeTokens` tokens of earlier attempts. */
     begin(attempt: string, resumeTokens: number): void;
     add(attempt: string, version: number, tokens: number): void;
-    /** Says which token of the sample names weights that no attempt of it made that token with. */
+    /** Describes the first token of the sample that names weights with which no attempt generated it. */
     findWrong(sample: Sample): string | undefined;
 }
 
 const ofEarlierAttempt = -1;
 
-/** Makes an empty record. */
+/** Creates an empty record. */
 export function createTokenRecord(): TokenRecord {
     const versionsOf = new Map<string, number[]>();
     const attemptsOf = new Map<string, string[]>();
--- a/packages/bench/src/faults/judges/createViolations.ts
+++ b/packages/bench/src/faults/judges/createViolations.ts
@@ -1,10 +1,10 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Violations } from "./Violations.js";
 
-/** Kept with their details; more are only counted. */
+/** Violations beyond this number are only counted. */
 const maxDetailed = 20;
 
-/** Makes an empty list. */
+/** Creates an empty list of violations. */
 export function createViolations(clock: Clock): Violations {
     const detailed: ReturnType<Violations["list"]> = [];
     let count = 0;
--- a/packages/bench/src/faults/maxQueuedPerTeam.ts
+++ b/packages/bench/src/faults/maxQueuedPerTeam.ts
@@ -1,2 +1,2 @@
-/** Bound of a team's queue in the manifest of the runs. */
+/** Queue limit per team in the manifest of the runs. */
 export const maxQueuedPerTeam = 12;
--- a/packages/bench/src/faults/parseFaultOptions.test.ts
+++ b/packages/bench/src/faults/parseFaultOptions.test.ts
@@ -8,7 +8,7 @@
     return typeof options === "string" ? options.slice(0, 70) : { ...options, guards: undefined };
 };
 
-test("options of the command are read, and what is wrong is said", () => {
+test("the options of the command are parsed, and invalid ones are described", () => {
     expect([
         describeOptions({}),
         describeOptions({ run: "14000058", kinds: "engineCrash,sidecarKill", killers: "3" }),
--- a/packages/bench/src/faults/parseFaultOptions.ts
+++ b/packages/bench/src/faults/parseFaultOptions.ts
@@ -4,7 +4,7 @@
 import { removeGuard } from "./removeGuard.js";
 import type { SeriesOptions } from "./SeriesOptions.js";
 
-/** The options of the command `faults` as they were given. */
+/** The options of the command `faults` as given on the command line. */
 interface FaultArgs {
     seed: string;
     runs: string;
@@ -14,7 +14,7 @@
     without?: string;
 }
 
-/** A whole number in bounds, or undefined. */
+/** Parses an integer of at least `min`; undefined if the text is none. */
 function parseCount(text: string, min: number): number | undefined {
     const value = Number(text);
     return Number.isSafeInteger(value) && value >= min ? value : undefined;
@@ -22,7 +22,7 @@
 
 const isKind = (text: string): text is FaultKind => (faultKinds as readonly string[]).includes(text);
 
-/** What to play, or what is wrong with the options and what to do about it. */
+/** Parses the options of a series; returns a message for the user if they are invalid. */
 export function parseFaultOptions(args: FaultArgs): SeriesOptions | string {
     const { run, without } = args;
     const onlyRun = run === undefined ? undefined : parseCount(run, 0);
--- a/packages/bench/src/faults/removeGuard.ts
+++ b/packages/bench/src/faults/removeGuard.ts
@@ -4,7 +4,7 @@
 
 type AnyGuards = Record<string, (...args: never[]) => unknown>;
 
-/** What the guards answer that do not say yes or no, or whose yes is the careful side. */
+/** Results of disabled guards that do not return a boolean, or for which `true` is the restrictive result. */
 const permissive: Record<string, () => unknown> = {
     "owner.findSampleProblem": () => undefined,
     "owner.repeatsPage": () => false,
@@ -28,8 +28,8 @@
 }
 
 /**
- * All guards but those named, separated by commas: a guard `part.guard` lets everything through, a mechanism is taken
- * away. Undefined for an unknown name.
+ * Returns the guards with those in the comma-separated list `names` disabled: a guard `part.guard` accepts everything,
+ * a mechanism is replaced by a simpler one. Undefined for an unknown name.
  */
 export function removeGuard(names: string): FaultGuards | undefined {
     return names.split(",").reduce<FaultGuards | undefined>(
--- a/packages/bench/src/faults/removedMechanisms.ts
+++ b/packages/bench/src/faults/removedMechanisms.ts
@@ -8,10 +8,10 @@
     return new Set(countedCrashes(record, nowMs).map(death => death.vm)).size >= vmsToConvict;
 }
 
-/** Mechanisms that no single guard stands for, by name, each with what runs in its place once it is taken away. */
+/** Mechanisms without a guard of their own, by name, each with its replacement when it is disabled. */
 export const removedMechanisms: Record<string, Partial<FaultGuards["quarantine"]>> = {
-    /** A refused content stays refused. */
+    /** A quarantined request stays refused. */
     "quarantine.trials": { isTrialDue: () => false },
-    /** Each death counts for all that were in flight at it. */
+    /** Each crash counts against all requests that were in flight when it happened. */
     "quarantine.explainedDeaths": { isConvicted: hasCrashesOnTwoVms },
 };
--- a/packages/bench/src/faults/renderFaultSummary.ts
+++ b/packages/bench/src/faults/renderFaultSummary.ts
@@ -3,7 +3,9 @@
 
 const shownViolations = 20;
 
-/** The summary as lines of key=value pairs: one a kind of fault, one a violation shown, one for the whole. */
+/**
+ * Renders the summary as lines of key=value pairs: one per kind of fault, one per listed violation, one for the totals.
+ */
 export function renderFaultSummary(summary: FaultSummary): string {
     const kinds = faultKinds.map(kind => `event=faultKind kind=${kind} struck=${summary.strikes[kind]}`);
     const violations = summary.violations.slice(0, shownViolations).map(({ seed, promise, detail, atMs }) =>
--- a/packages/bench/src/faults/runFaultSeries.ts
+++ b/packages/bench/src/faults/runFaultSeries.ts
@@ -7,7 +7,7 @@
 import type { SeriesOptions } from "./SeriesOptions.js";
 
 const maxDetailedViolations = 100;
-/** Seeds of the runs of a series lie apart from those of a neighbouring series. */
+/** Keeps the run seeds of one series apart from those of a series with the next seed. */
 const seedStride = 1_000_003;
 
 function addRun(summary: FaultSummary, run: FaultRun): void {
@@ -24,7 +24,7 @@
     summary.owners += run.owners;
 }
 
-/** Runs a series; the same options give the same summary. */
+/** Runs a series. The same options give the same summary. */
 export async function runFaultSeries(options: SeriesOptions): Promise<FaultSummary> {
     const summary: FaultSummary = {
         seed: options.seed,
@@ -39,7 +39,7 @@
         requests: 0,
         owners: 0,
     };
-    // Refusals are errors here by the thousand, and nobody reads their stacks.
+    // Refusals raise thousands of errors whose stack traces are not used.
     Error.stackTraceLimit = 0;
     const { onlyRun } = options;
     const scripted = onlyRun === undefined ? await runScripts(options.guards) : [];
--- a/packages/bench/src/faults/runWithFaults.ts
+++ b/packages/bench/src/faults/runWithFaults.ts
@@ -26,7 +26,10 @@
 const repeatWithinMs = 1_500;
 const settleMs = 3_000;
 
-/** Kinds that often find nothing to strike are drawn more often; a long sleep takes most of a run's time. */
+/**
+ * Relative frequencies, 1 by default. Kinds that often find no target are drawn more often. The long pause of
+ * `senderFreeze` takes most of a run's time.
+ */
 const weights: Partial<Record<FaultKind, number>> = {
     twoOwners: 3,
     ownerPause: 2,
@@ -34,7 +37,7 @@
     poisonRequest: 1.5,
 };
 
-/** Kinds that need some seconds to take their course. */
+/** Kinds that need several seconds to take effect. */
 const slowKinds: readonly FaultKind[] = ["twoOwners", "ownerPause", "senderFreeze"];
 
 function drawKind(kinds: readonly FaultKind[], random: Random): FaultKind {
@@ -43,7 +46,7 @@
     return kinds.find(kind => (left -= weightOf(kind)) < 0) ?? kinds[0]!;
 }
 
-/** Draws the run's faults, many of them twice in short order. */
+/** Draws the run's faults and schedules them, many of them twice in quick succession. */
 function schedule(parts: RunParts, only: readonly FaultKind[] | undefined): void {
     const { clock, random } = parts.simulation;
     const kinds = only ?? faultKinds;
@@ -59,7 +62,7 @@
     }
 }
 
-/** Ends every fault that lasts, so that what is left must settle. */
+/** Ends all lasting faults, after which the system must settle. */
 function heal(parts: RunParts): void {
     const { simulation, entries, models, plains } = parts;
     simulation.network.healAll();
@@ -75,17 +78,17 @@
 interface RunOptions {
     /** Ends the run at the first violation. */
     stopAtFirst?: boolean;
-    /** How many different contents kill engines; one by default. */
+    /** Number of distinct crash-inducing requests; one by default. */
     killers?: number;
-    /** Kinds of fault to draw from; all by default. */
+    /** Kinds of fault to inject; all by default. */
     only?: readonly FaultKind[];
-    /** Where the log of all processes goes; nowhere by default. */
+    /** Creates the logger of all processes; logs are discarded by default. */
     createLogger?: (clock: Clock) => Logger;
-    /** Hears of each fault that truly struck. */
+    /** Called for each fault that took effect. */
     onFault?: (kind: FaultKind, atMs: number) => void;
 }
 
-/** One randomised run of the real entries, sidecars and owners; the same seed gives the same run. */
+/** Executes one randomised run of the real entries, sidecars and owners. The same seed gives the same run. */
 export async function runWithFaults(
     seed: number,
     guards: FaultGuards,
@@ -136,7 +139,7 @@
         await checkRun(parts, isOver());
     }
     if (!stopsNow() && frozenUntilMs > clock.monotonicMs()) {
-        // What is left of a long sleep concerns the sleeper and the plain samplers only.
+        // The rest of a long pause concerns only the paused process and the plain samplers.
         const awake = parts.entries.filter(entry => entry.running()?.process.isPaused() === false);
         awake.forEach(entry => entry.kill());
         parts.models.forEach(model => model.node.killSidecar());
--- a/packages/bench/src/faults/scripts/ScriptedViolation.ts
+++ b/packages/bench/src/faults/scripts/ScriptedViolation.ts
@@ -1,4 +1,4 @@
-/** A breach of a promise that a scripted run found. */
+/** An invariant violation found by a scripted run. */
 export interface ScriptedViolation {
     promise: string;
     detail: string;
--- a/packages/bench/src/faults/scripts/runBystanderScript.ts
+++ b/packages/bench/src/faults/scripts/runBystanderScript.ts
@@ -11,8 +11,8 @@
 const bystander = "bystander" as ContentDigest;
 
 /**
- * A scripted run for what the random ones bring about too rarely: a content is in flight at one death of a killing
- * content and at one of another. Each death has another explanation, so nothing speaks against it.
+ * A scripted run for a case that random runs rarely produce: a content is in flight at one crash caused by each of two
+ * crash-inducing contents. Both crashes are explained by those, so the bystander must not be refused.
  */
 export function runBystanderScript(guards: FaultGuards): ScriptedViolation | undefined {
     const clock = createFakeClock();
--- a/packages/bench/src/faults/scripts/runScripts.ts
+++ b/packages/bench/src/faults/scripts/runScripts.ts
@@ -6,7 +6,7 @@
 import { runUninformedScript } from "./runUninformedScript.js";
 import type { ScriptedViolation } from "./ScriptedViolation.js";
 
-/** Runs all scripted runs, which come before the random ones of a series, and gives what they found. */
+/** Executes all scripted runs, which precede the random runs of a series, and returns the violations found. */
 export async function runScripts(guards: FaultGuards): Promise<ScriptedViolation[]> {
     const found = [
         await runSuspectsScript(guards),
--- a/packages/bench/src/faults/scripts/runShutdownScript.ts
+++ b/packages/bench/src/faults/scripts/runShutdownScript.ts
@@ -8,8 +8,8 @@
 const shutdownDeadlineMs = 10_000;
 
 /**
- * A scripted run for what few random ones bring about: an order to load weights arrives while the sidecar finishes
- * what is in flight at its shutdown. Taken then, it leaves the engine in the middle of a load that nobody watches.
+ * A scripted run for a case that random runs rarely produce: an order to load weights arrives while the sidecar drains
+ * its attempts at shutdown. If it were accepted, the engine would be left in the middle of an unsupervised load.
  */
 export async function runShutdownScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
     const { sidecar, clock, attempt, load } = createSidecarFixture({
@@ -23,7 +23,7 @@
     const recordResult = (result: SamplerOrderResult): void => {
         ended = result;
     };
-    // Ended by `kill` below, an order that was taken rejects.
+    // An accepted order rejects when `kill` below ends it.
     void sidecar.order(load(2, 5)).then(recordResult, () => undefined);
     await clock.advance(orderMs);
     const refused = (ended as SamplerOrderResult | undefined)?.kind === "refused";
--- a/packages/bench/src/faults/scripts/runSuspectsScript.ts
+++ b/packages/bench/src/faults/scripts/runSuspectsScript.ts
@@ -10,8 +10,9 @@
 const crashedVm = "vm-elsewhere" as VmId;
 
 /**
- * A scripted run for what the random ones bring about too rarely: two contents that one death counts against arrive
- * at one sampler within a moment. If both start there, that sampler's death would convict the bystander among them.
+ * A scripted run for a case that random runs rarely produce: two contents that are suspects of the same crash arrive at
+ * one sampler at almost the same time. If both started there, a crash of that sampler would convict the innocent one
+ * too.
  */
 export async function runSuspectsScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
     const { sidecar, clock, control, attempt } = createSidecarFixture({ guards: guards.gate });
--- a/packages/bench/src/faults/scripts/runTrialScript.ts
+++ b/packages/bench/src/faults/scripts/runTrialScript.ts
@@ -6,8 +6,8 @@
 const startedMs = 200;
 
 /**
- * A scripted run for what the random ones bring about too rarely: a refused content has its one run at a sampler where
- * other work runs. If both ran at once and the sampler died, its death would tell as little as those before it.
+ * A scripted run for a case that random runs rarely produce: a quarantined content gets its trial at a sampler where
+ * other work runs. If both ran at once and the engine crashed, the cause would remain as unclear as before.
  */
 export async function runTrialScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
     const { sidecar, clock, control, attempt } = createSidecarFixture({ guards: guards.gate });
--- a/packages/bench/src/faults/scripts/runUninformedScript.ts
+++ b/packages/bench/src/faults/scripts/runUninformedScript.ts
@@ -6,8 +6,8 @@
 const initialConfigWaitMs = 10_000;
 
 /**
- * A scripted run for what the random ones bring about too rarely: work arrives at a sidecar that has just started, from
- * a sender that does not know that its content is refused, and before the sidecar has heard of it.
+ * A scripted run for a case that random runs rarely produce: work arrives at a newly started sidecar from a sender that
+ * does not know that its content is quarantined, and before the sidecar has received the quarantine list.
  */
 export async function runUninformedScript(guards: FaultGuards): Promise<ScriptedViolation | undefined> {
     const { sidecar, clock, control, attempt } = createSidecarFixture({
--- a/packages/bench/src/faults/watchRun.ts
+++ b/packages/bench/src/faults/watchRun.ts
@@ -3,11 +3,11 @@
 const checkIntervalMs = 400;
 interface RunWatch {
     stop(): void;
-    /** Owners that the job has had. */
+    /** Number of owners that the job has had so far. */
     owners(): number;
 }
 
-/** Looks at every process a few times a second: configuration only goes forward. */
+/** Checks all processes at a fixed interval: their configuration versions must never decrease. */
 export function watchRun(parts: RunParts): RunWatch {
     const { clock, violations } = parts.simulation;
     const nodes = [...parts.models.map(model => model.node), ...parts.plains.map(plain => plain.node)];
@@ -15,7 +15,7 @@
     const fencingNumbers = new Set<number>();
     let isStopped = false;
 
-    /** `run` names one run of a process: after a restart it learns anew. */
+    /** `run` identifies one incarnation of a process; after a restart its version starts again. */
     function checkConfig(run: string, version: number): void {
         if (version < (versions.get(run) ?? 0)) {
             violations.add("configReverted", `${run}: ${versions.get(run)} to ${version}`);
--- a/packages/bench/src/path/Failures.ts
+++ b/packages/bench/src/path/Failures.ts
@@ -1,2 +1,2 @@
-/** How many requests failed, by what they said. */
+/** Number of failed requests by error message. */
 export type Failures = Record<string, number>;
--- a/packages/bench/src/path/PathProcesses.ts
+++ b/packages/bench/src/path/PathProcesses.ts
@@ -1,6 +1,6 @@
 import type { RoleProcess } from "./RoleProcess.js";
 
-/** The processes of one run of the path bench. */
+/** The processes of one run of the path benchmark. */
 export interface PathProcesses {
     plainService: RoleProcess;
     engines: RoleProcess[];
--- a/packages/bench/src/path/PathReport.ts
+++ b/packages/bench/src/path/PathReport.ts
@@ -1,6 +1,6 @@
 import type { Failures } from "./Failures.js";
 
-/** Latency of one way at a fixed rate, in milliseconds. */
+/** Latency of one route at a fixed rate, in milliseconds. */
 interface RouteLatency {
     requests: number;
     failures: Failures;
@@ -8,14 +8,14 @@
     p99Ms: number;
 }
 
-/** What one process of the path used during a phase. */
+/** Resource usage of one process during a phase. */
 interface ProcessUse {
-    /** Processor time as a part of one core. */
+    /** Processor time as a fraction of one core. */
     coreShare: number;
     residentMegabytes: number;
 }
 
-/** Figures of one run of `bench path`. Direct is the same stand-in without entry and sidecar. */
+/** Results of one run of `bench path`. `direct` calls the same fake backend server without entry and sidecar. */
 export interface PathReport {
     plainAtRate: {
         requestsPerSecond: number;
@@ -38,6 +38,6 @@
         tokenRatio: number;
         failures: Failures;
     };
-    /** By role and phase; `idle` is a phase without requests. */
+    /** Usage by role and phase; `idle` is a phase without requests. */
     processes: Record<string, Record<"idle" | "atRate" | "flatOut" | "streamed", ProcessUse>>;
 }
--- a/packages/bench/src/path/RoleMessage.ts
+++ b/packages/bench/src/path/RoleMessage.ts
@@ -1,4 +1,4 @@
-/** What a role's process tells the bench. */
+/** A message from a child process to the benchmark. */
 export type RoleMessage =
     | { kind: "listening"; address: string; }
     | { kind: "use"; cpuMs: number; atMs: number; residentBytes: number; };
--- a/packages/bench/src/path/RoleProcess.ts
+++ b/packages/bench/src/path/RoleProcess.ts
@@ -1,8 +1,8 @@
-/** A child process of the path bench. */
+/** A child process of the path benchmark. */
 export interface RoleProcess {
     name: string;
     address: string;
-    /** Processor time and memory up to now. */
+    /** Reads the processor time used so far and the current memory. */
     readUse(): Promise<{ cpuMs: number; atMs: number; residentBytes: number; }>;
     stop(): Promise<void>;
 }
--- a/packages/bench/src/path/addFailures.ts
+++ b/packages/bench/src/path/addFailures.ts
@@ -1,6 +1,6 @@
 import type { Failures } from "./Failures.js";
 
-/** Sums counts of several measurements. */
+/** Adds up the failures of several measurements. */
 export function addFailures(...all: Failures[]): Failures {
     const sum: Failures = {};
     for (const [reason, count] of all.flatMap(failures => Object.entries(failures))) {
--- a/packages/bench/src/path/callOnce.ts
+++ b/packages/bench/src/path/callOnce.ts
@@ -4,7 +4,7 @@
     agent: Agent;
     url: URL;
     method: string;
-    /** Bearer token; the stand-ins ask for none and ignore it. */
+    /** Bearer token; the fake backend servers ignore it. */
     token: string;
     body?: string;
     onChunk?: (chunk: Buffer) => void;
@@ -12,7 +12,9 @@
 
 const maxErrorBodyChars = 60;
 
-/** One HTTP request of the load generator; resolves once the answer is whole, rejects if it is not one of status 200. */
+/**
+ * Sends one HTTP request of the load generator; resolves when the answer is complete, rejects unless its status is 200.
+ */
 export function callOnce(call: Call): Promise<void> {
     return new Promise((resolve, reject) => {
         const { agent, method, url } = call;
--- a/packages/bench/src/path/formatPath.test.ts
+++ b/packages/bench/src/path/formatPath.test.ts
@@ -6,7 +6,7 @@
 import { formatPath } from "./formatPath.js";
 import { measureStreams } from "./measureStreams.js";
 
-test("a report names every figure, and failures by what they said", () => {
+test("the formatted report contains every figure and the failures by message", () => {
     const latency = { requests: 10, failures: {}, p50Ms: 0.5, p99Ms: 1 };
     const use = { coreShare: 0.25, residentMegabytes: 90.4 };
     const lines = formatPath({
@@ -41,7 +41,7 @@
     `);
 });
 
-test("tokens are counted whole, also where a count is split over two chunks", async () => {
+test("tokens are counted correctly when a count is split over two chunks", async () => {
     const event = `data: {"usage":{"completion_tokens":125}}\n\n`;
     const server = createServer((_, response) => {
         response.write(event.slice(0, event.indexOf("125") + 2));
@@ -60,6 +60,6 @@
         tokensPerStream: 250,
     });
     server.close();
-    // The clock moves a second each time it is asked: once at the first byte, once at the end.
+    // The clock advances one second per reading: one reading is at the first byte, one at the end.
     expect(measured).toEqual({ perSecond: 250, failures: {} });
 });
--- a/packages/bench/src/path/formatPath.ts
+++ b/packages/bench/src/path/formatPath.ts
@@ -10,7 +10,7 @@
     return count === 0 ? "failed 0" : `failed ${count}: ${JSON.stringify(failures)}`;
 };
 
-/** The report as lines for a terminal. */
+/** Formats the report as lines for a terminal. */
 export function formatPath(report: PathReport): string[] {
     const { plainAtRate: rate, plainFlatOut: flat, streamed } = report;
     const lines = [
--- a/packages/bench/src/path/measureAtRate.ts
+++ b/packages/bench/src/path/measureAtRate.ts
@@ -25,8 +25,8 @@
 const microsecondsPerMs = 1_000;
 
 /**
- * Measures both ways at a fixed rate in the same period, one request of the one way between two of the other, so
- * that a busy moment of the machine hits both. Requests start on schedule whatever the earlier ones do.
+ * Measures both routes at a fixed rate in the same period with alternating requests, so that load spikes of the machine
+ * affect both. Requests start on schedule regardless of earlier ones.
  */
 export async function measureAtRate(options: RateOptions): Promise<PathReport["plainAtRate"]> {
     const { clock, requestsPerSecond } = options;
--- a/packages/bench/src/path/measureStreams.ts
+++ b/packages/bench/src/path/measureStreams.ts
@@ -7,17 +7,19 @@
 interface StreamOptions {
     clock: Clock;
     token: string;
-    /** Where streams go, in turn. */
+    /** Targets of the streams, used in rotation. */
     urls: URL[];
     streams: number;
     tokensPerStream: number;
 }
 
 const tokensPattern = /"completion_tokens":(\d+)/g;
-/** A count may be split over two chunks; this much of the last one is looked at again. */
+/** A count may be split over two chunks, so this much of the previous one is scanned again. */
 const overlapChars = 40;
 
-/** Tokens a second that arrive over concurrent streams, from the first byte of any to the last of all. */
+/**
+ * Measures the tokens per second of concurrent streams, from the first byte of any stream to the end of the last one.
+ */
 export async function measureStreams(
     options: StreamOptions,
 ): Promise<{ perSecond: number; failures: Failures; }> {
@@ -41,7 +43,7 @@
             const text = rest + chunk.toString("latin1");
             let endAt = 0;
             for (const match of text.matchAll(tokensPattern)) {
-                // A number at the very end may go on in the next chunk.
+                // A number at the end of the chunk may continue in the next one.
                 if (match.index + match[0].length < text.length) {
                     tokens += Number(match[1]);
                     endAt = match.index + match[0].length;
--- a/packages/bench/src/path/measureThroughput.ts
+++ b/packages/bench/src/path/measureThroughput.ts
@@ -12,7 +12,9 @@
     durationMs: number;
 }
 
-/** Requests a second that `connections` callers get done who send the next request as soon as the last is answered. */
+/**
+ * Measures the throughput of `connections` callers, each of which sends its next request as soon as the last has ended.
+ */
 export async function measureThroughput(
     options: ThroughputOptions,
 ): Promise<{ perSecond: number; failures: Failures; }> {
--- a/packages/bench/src/path/pathCommand.ts
+++ b/packages/bench/src/path/pathCommand.ts
@@ -6,7 +6,7 @@
 
 const jsonIndent = 4;
 
-/** `bench path`: what entry and sidecar add to a direct call of the same stand-in. */
+/** `bench path`: measures what entry and sidecar add to a direct call of the same fake backend server. */
 export const pathCommand = defineCommand({
     meta: {
         name: "path",
--- a/packages/bench/src/path/roleMain.ts
+++ b/packages/bench/src/path/roleMain.ts
@@ -1,4 +1,5 @@
-// Entry point of the child processes of the path bench: one role each, so that processor time and memory are its own.
+// Entry point of the child processes of the path benchmark. Each runs one role, so that its processor time and memory
+// can be measured separately.
 import { createRandom } from "@auburnarch/clock/createRandom";
 import { createSystemClock } from "@auburnarch/clock/createSystemClock";
 import type { RoleMessage } from "./RoleMessage.js";
--- a/packages/bench/src/path/runPath.ts
+++ b/packages/bench/src/path/runPath.ts
@@ -26,10 +26,10 @@
 const bytesPerMegabyte = 1_048_576;
 const readyLimitMs = 30_000;
 const readyPollMs = 100;
-/** Reports of the samplers that were not asked arrive within this time. */
+/** Reports of the samplers that received no readiness request arrive within this time. */
 const settleMs = 3_000;
 
-/** Runs the path bench: every role in a process of its own on the loopback address, both ways in one run. */
+/** Runs the path benchmark: each role in a process of its own on the loopback address, both routes in one run. */
 export async function runPath(options: PathOptions): Promise<PathReport> {
     const path = await startPath();
     try {
@@ -40,7 +40,7 @@
     }
 }
 
-/** Resolves once the entry has the manifest and reports of the samplers. */
+/** Resolves when the entry has the manifest and the reports of the samplers. */
 async function waitReady(clock: Clock, token: string, urls: URL[]): Promise<void> {
     const agent = new Agent();
     const body = JSON.stringify({ model: "bench", prompt: "ready", max_tokens: 1 });
@@ -53,7 +53,7 @@
     for (const url of urls) {
         while (!await isReady(url)) {
             if (clock.monotonicMs() > endMs) {
-                throw new Error(`no answer from ${url.pathname} in ${readyLimitMs} ms`);
+                throw new Error(`${url.pathname} was not ready within ${readyLimitMs} ms`);
             }
             await clock.sleep(readyPollMs);
         }
--- a/packages/bench/src/path/startDaemon.ts
+++ b/packages/bench/src/path/startDaemon.ts
@@ -5,7 +5,9 @@
 import type { Random } from "@auburnarch/types/Random";
 import { openSync, writeSync } from "node:fs";
 
-/** Starts a process of the system as `auburnarchd run` does, its log written to the null device. Gives its port. */
+/**
+ * Starts a process of the system as `auburnarchd run` does, with its log written to the null device. Returns its port.
+ */
 export async function startDaemon(settings: Settings, clock: Clock, random: Random): Promise<number> {
     const sink = openSync("/dev/null", "w");
     const context = { clock, random, writeLine: (line: string) => void writeSync(sink, `${line}\n`) };
--- a/packages/bench/src/path/startFakeEngine.ts
+++ b/packages/bench/src/path/startFakeEngine.ts
@@ -5,7 +5,7 @@
 import type { Random } from "@auburnarch/types/Random";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** Serves the stand-in engine: one token a chunk and 50 tokens a second for each stream. Gives its port. */
+/** Serves a fake engine that sends 50 tokens per second on each stream, one per chunk. Returns its port. */
 export async function startFakeEngine(clock: Clock, random: Random): Promise<number> {
     const { engine } = createFakeEngine({
         clock,
--- a/packages/bench/src/path/startFakePlainService.ts
+++ b/packages/bench/src/path/startFakePlainService.ts
@@ -4,7 +4,7 @@
 
 const answer = Buffer.from(JSON.stringify({ tile: "x".repeat(200) }));
 
-/** Serves the stand-in plain service; gives its port. */
+/** Serves a fake plain service. Returns its port. */
 export async function startFakePlainService(clock: Clock): Promise<number> {
     const { backend } = createFakePlainService({ clock, answer: () => answer });
     return (await servePlainService(backend)).port;
--- a/packages/bench/src/path/startFakePlatformService.ts
+++ b/packages/bench/src/path/startFakePlatformService.ts
@@ -13,7 +13,7 @@
 const transferMs = 100;
 const latencyMs = 2;
 
-/** Serves one of the platform's parts as a stand-in; gives its port. */
+/** Serves a fake of one of the platform's services. Returns its port. */
 export async function startFakePlatformService(
     part: "objectApi" | "vmList" | "weightStore" | "scoring",
     clock: Clock,
--- a/packages/bench/src/path/startPath.ts
+++ b/packages/bench/src/path/startPath.ts
@@ -32,7 +32,7 @@
             { sampler: "tiles-1", service: "tiles", failureDomain },
             ...models.map(sampler => ({ sampler, service: "model", failureDomain })),
         ],
-        // The streams are all of one team, far more than a team of this size would get by default.
+        // All streams belong to one team; the default limit would not admit that many.
         limits: { maxQueuedPerTeam: 4_096 },
     };
 }
@@ -45,7 +45,9 @@
     return { role: "daemon", settings: checked.settings };
 }
 
-/** Starts the stand-ins, an entry, a sidecar before the plain service and four before engines, a process each. */
+/**
+ * Starts the fake services, an entry, one sidecar for the plain service and four for engines, each in its own process.
+ */
 export async function startPath(): Promise<PathProcesses> {
     const started: RoleProcess[] = [];
     const folder = await mkdtemp(join(tmpdir(), "auburnarch-path-"));
--- a/packages/bench/src/path/startRole.ts
+++ b/packages/bench/src/path/startRole.ts
@@ -7,7 +7,7 @@
 
 const roleMain = fileURLToPath(new URL("./roleMain.js", import.meta.url));
 
-/** Starts a role in a process of its own and waits until it listens. It ends when this process does. */
+/** Starts a role in a process of its own and waits until it listens. The process ends with this one. */
 export async function startRole(name: string, spec: RoleSpec): Promise<RoleProcess> {
     const child = fork(roleMain, [JSON.stringify(spec)], { execArgv: [] });
     const next = async <Kind extends RoleMessage["kind"]>(
@@ -15,7 +15,7 @@
     ): Promise<Extract<RoleMessage, { kind: Kind; }>> => {
         const [message] = await once(child, "message") as [RoleMessage];
         if (message.kind !== kind) {
-            throw new Error(`${name} said ${message.kind} instead of ${kind}`);
+            throw new Error(`${name} sent a message of kind ${message.kind} instead of ${kind}`);
         }
         return message as Extract<RoleMessage, { kind: Kind; }>;
     };
--- a/packages/bench/src/policy/BenchPolicy.ts
+++ b/packages/bench/src/policy/BenchPolicy.ts
@@ -1,7 +1,7 @@
 import type { DispatchPolicy } from "@auburnarch/dispatch/DispatchPolicy";
 import type { SwapPlanner } from "@auburnarch/weights/SwapPlanner";
 
-/** Everything that one policy of the bench decides with. */
+/** All decision rules of one policy in the benchmark. */
 export interface BenchPolicy {
     name: string;
     dispatch: DispatchPolicy;
--- a/packages/bench/src/policy/EngineMeter.ts
+++ b/packages/bench/src/policy/EngineMeter.ts
@@ -1,18 +1,18 @@
 import type { EnginePort } from "@auburnarch/types/EnginePort";
 
-/** Truth about engine use, measured at the engines themselves and not by the counters under test. */
+/** Measures engine usage at the engines themselves, independently of the counters under test. */
 export interface EngineMeter {
-    /** An engine whose generations are counted. */
+    /** Wraps an engine so that its generations are counted. */
     wrap(engine: EnginePort): EnginePort;
-    /** Brings the integrals up to now and returns them. */
+    /** Returns the usage up to now. */
     read(): EngineUse;
 }
 
 interface EngineUse {
-    /** Engine time by policy: an engine's time is divided among what runs on it. */
+    /** Engine time by policy: an engine's time is divided among the generations running on it. */
     engineMsOf: ReadonlyMap<string, number>;
-    /** Tokens generated for samples, kept or not. */
+    /** Tokens generated for samples, including discarded ones. */
     sampleTokens: number;
-    /** Tokens of earlier attempts read again to resume behind them. */
+    /** Tokens of earlier attempts that were read again to resume after them. */
     replayedTokens: number;
 }
--- a/packages/bench/src/policy/JobMeasures.ts
+++ b/packages/bench/src/policy/JobMeasures.ts
@@ -1,17 +1,19 @@
-/** What one job's trainer saw in one run. */
+/** Measures of one job's trainer in one run. */
 export interface JobMeasures {
     job: string;
     team: string;
-    /** Time the trainer waited for samples, from its second step on, and the time this was measured over. */
+    /**
+     * Time the trainer waited for samples, from its second step on; `spanMs` is the time over which it was measured.
+     */
     idleMs: number;
     /** Waiting time before each step. */
     waitedMs: number[];
     spanMs: number;
-    /** From opening a step to its last group made, by step. */
+    /** Time from opening a step to the generation of its last sample, by step. */
     stepMs: number[];
-    /** By delivered sample: versions behind the newest at delivery, oldest span. */
+    /** By delivered sample: versions between its oldest span and the newest version at delivery. */
     stalenessVersions: number[];
-    /** By delivered sample: time since the oldest span's version was superseded, 0 if it still is the newest. */
+    /** By delivered sample: time since the version of its oldest span was superseded; 0 if it is still the newest. */
     stalenessMs: number[];
     overBound: number;
     delivered: number;
--- a/packages/bench/src/policy/PolicyMedians.ts
+++ b/packages/bench/src/policy/PolicyMedians.ts
@@ -1,6 +1,6 @@
 import type { RunResult } from "./RunResult.js";
 
-/** Medians over the seeds of one policy on one scenario. */
+/** Medians of one policy on one scenario over all seeds. */
 export type PolicyMedians =
     & {
         [Key in keyof RunResult as RunResult[Key] extends number ? Key : never]: number;
--- a/packages/bench/src/policy/RunResult.ts
+++ b/packages/bench/src/policy/RunResult.ts
@@ -1,10 +1,10 @@
-/** The measures of one policy on one scenario and seed. Times in milliseconds of the fake clock. */
+/** Measures of one policy on one scenario and seed. Times are in milliseconds of the fake clock, except `runMs`. */
 export interface RunResult {
     scenario: string;
     policy: string;
     seed: number;
     isFinished: boolean;
-    /** Mean over the jobs of waiting time ÷ run time of the trainer. */
+    /** Mean over the jobs of the trainer's waiting time divided by its run time. */
     idleRatio: number;
     stalenessVersionsMean: number;
     stalenessVersionsP99: number;
@@ -12,21 +12,24 @@
     stalenessMsMean: number;
     stalenessMsP99: number;
     stalenessMsMax: number;
-    /** Delivered samples older than the bound. */
+    /** Delivered samples that exceed the staleness bound. */
     overBound: number;
     stepMsP50: number;
     stepMsP99: number;
     interactiveMsP99: number;
-    /** The same without rollouts beside the interactive requests. */
+    /** The same without concurrent rollouts. */
     interactiveAloneMsP99: number;
     interactiveFailed: number;
-    /** Engine time of all samples ÷ delivered samples. */
+    /** Engine time of all samples divided by the number of delivered samples. */
     engineMsPerSample: number;
-    /** Part of the engine's work on samples that was thrown away or done again. */
+    /** Fraction of the engine work on samples that was discarded or repeated. */
     overheadRatio: number;
-    /** Largest shortfall of a team against its share while it had demand. */
+    /** Largest shortfall of a team below its guaranteed share while it had demand. */
     shareError: number;
-    /** Two-sample Kolmogorov-Smirnov statistic of generated against delivered lengths, and whether it rejects at 1%. */
+    /**
+     * Two-sample Kolmogorov-Smirnov statistic of generated and delivered lengths; `isLengthBiased` is whether the test
+     * rejects equality at 1%.
+     */
     lengthStatistic: number;
     isLengthBiased: boolean;
     boundIdleRatio: number;
--- a/packages/bench/src/policy/Workload.ts
+++ b/packages/bench/src/policy/Workload.ts
@@ -1,9 +1,11 @@
-/** What one seed draws of a scenario; the same for every policy, so that their runs are compared sample by sample. */
+/**
+ * The workload that one seed draws from a scenario. It is the same for all policies, so that their runs are comparable.
+ */
 export interface Workload {
     jobs: JobWorkload[];
-    /** Interactive requests in order of arrival. */
+    /** Interactive requests, in order of arrival. */
     interactive: { atMs: number; tokens: number; }[];
-    /** Length of the sample with this generation seed. */
+    /** Length of each sample by its generation seed. */
     tokensOf: Map<number, number>;
 }
 
--- a/packages/bench/src/policy/ablations.ts
+++ b/packages/bench/src/policy/ablations.ts
@@ -28,7 +28,7 @@
     planSwaps,
 });
 
-/** Our policy, and with each of its rules off in turn. */
+/** The default policy, and variants of it with one rule disabled each. */
 export const ablations: BenchPolicy[] = [
     { name: "ours", dispatch: defaultDispatchPolicy, planSwaps },
     without("order", { order: orderByArrival }),
--- a/packages/bench/src/policy/benchPolicies.ts
+++ b/packages/bench/src/policy/benchPolicies.ts
@@ -18,7 +18,7 @@
 import { planSwaps } from "@auburnarch/weights/planSwaps";
 import type { BenchPolicy } from "./BenchPolicy.js";
 
-/** Late binding within each sampler's limit, the oldest step's longest sample first. */
+/** Late binding within each sampler's limit; the longest sample of the oldest step goes first. */
 const first: DispatchPolicy = {
     name: "ours-1",
     order: orderByStepAndLength,
@@ -32,10 +32,10 @@
     createLengthModel: createPromptLengthModel,
 };
 
-/** The first with the order by latest start. */
+/** The first policy, but ordered by latest start time. */
 const second: DispatchPolicy = { ...first, name: "ours-2", order: orderByLatestStart };
 
-/** Waits for faster samplers, leaves room beside other jobs, moves stragglers; holds nothing for freshness. */
+/** Waits for faster samplers, leaves room for other jobs and moves stragglers; does not hold samples for freshness. */
 const third: DispatchPolicy = {
     ...defaultDispatchPolicy,
     name: "ours-3",
@@ -44,7 +44,7 @@
     priority: priorityByNeed,
 };
 
-/** The policies that are compared, baselines first. Earlier versions of ours stay here by name. */
+/** The policies to compare: the baselines, earlier versions of the default policy, and the default policy. */
 export const benchPolicies: BenchPolicy[] = [
     { name: "random", dispatch: createBaselinePolicy("random", pickRandom), planSwaps },
     { name: "roundRobin", dispatch: createBaselinePolicy("roundRobin", pickRoundRobin), planSwaps },
--- a/packages/bench/src/policy/compareDistributions.ts
+++ b/packages/bench/src/policy/compareDistributions.ts
@@ -1,15 +1,15 @@
 /** Outcome of a two-sample Kolmogorov-Smirnov test. */
 interface Comparison {
-    /** Largest distance of the two distribution functions, 0 to 1. */
+    /** Largest distance between the two distribution functions, from 0 to 1. */
     statistic: number;
-    /** True if equal distributions would show such a distance in less than 1% of cases. */
+    /** True if equal distributions would show such a distance in fewer than 1% of cases. */
     isDifferent: boolean;
 }
 
 /** Critical value of the test at 1%: √(−ln(0.01 ÷ 2) ÷ 2). */
 const criticalAtOnePercent = 1.628;
 
-/** Compares two samples without assuming a shape of their distribution. */
+/** Compares two samples without assumptions about their distribution. */
 export function compareDistributions(a: number[], b: number[]): Comparison {
     if (a.length === 0 || b.length === 0) {
         return { statistic: a.length === b.length ? 0 : 1, isDifferent: a.length !== b.length };
--- a/packages/bench/src/policy/computeBound.ts
+++ b/packages/bench/src/policy/computeBound.ts
@@ -1,7 +1,7 @@
 import type { Scenario } from "./Scenario.js";
 import type { Workload } from "./Workload.js";
 
-/** Idle and step times that perfect knowledge would reach. */
+/** Idle ratios and step times that a policy with perfect knowledge would reach. */
 interface Bound {
     /** By job, in the order of the scenario. */
     jobs: { idleRatio: number; stepMs: number[]; }[];
@@ -10,7 +10,7 @@
 interface FluidStep {
     openedAtMs: number;
     leftTokens: number;
-    /** No earlier than the longest sample alone on the fastest sampler. */
+    /** Time at which the longest sample would end if it ran alone on the fastest sampler. */
     earliestEndMs: number;
     endMs: number | undefined;
 }
@@ -18,9 +18,9 @@
 interface FluidJob {
     share: number;
     steps: FluidStep[];
-    /** Step the trainer waits for or trains on. */
+    /** Index of the step that the trainer waits for or trains on. */
     at: number;
-    /** End of the training under way; undefined while the trainer waits. */
+    /** End of the current training; undefined while the trainer waits. */
     trainingEndMs: number | undefined;
     waitingSinceMs: number;
     idleMs: number;
@@ -68,7 +68,9 @@
     }
 }
 
-/** Tokens a millisecond of each job: capacity by share among those with work, each job's oldest step first. */
+/**
+ * Tokens per millisecond of each job's oldest unfinished step: capacity is divided by share among the jobs with work.
+ */
 function computeRates(jobs: FluidJob[], capacity: number): Map<FluidStep, number> {
     const busy = jobs.flatMap(job => {
         const step = job.steps.find(open => open.leftTokens > tolerance);
@@ -84,7 +86,7 @@
     }
 }
 
-/** Moves the trainer on where it can; true if anything changed. */
+/** Advances the trainer if possible; returns whether anything changed. */
 function settleTrainer(job: FluidJob, trainerMs: number, nowMs: number): boolean {
     const step = job.steps[job.at];
     if (job.endMs !== undefined || step === undefined) {
@@ -146,10 +148,11 @@
 }
 
 /**
- * Runs the jobs as fluids: all samplers always at full batch speed, capacity shared by the teams' guarantees and
- * lent without loss, each step no faster than its longest sample alone on the fastest sampler, no time lost to
- * swaps, queues, network or prompts. For a single job no policy can do better; for several it is the fair ideal.
- * Staleness does not bind here: a step is opened at most `stepsAhead` early, which the shipped bounds allow.
+ * Computes the bound with a fluid model: all samplers run at full batch speed, capacity is divided by the teams'
+ * guaranteed shares and unused capacity is lent without loss, each step takes at least as long as its longest sample
+ * alone on the fastest sampler, and no time is lost to swaps, queues, network or prompts. For a single job no policy
+ * can do better; for several jobs this is the fair ideal. Staleness does not limit this model: a step is opened at most
+ * `stepsAhead` steps early, which the staleness bounds of the shipped scenarios allow.
  */
 export function computeBound(scenario: Scenario, workload: Workload): Bound {
     const jobs = scenario.jobs.map((job): FluidJob => ({
@@ -169,7 +172,7 @@
         const rateOf = computeRates(jobs, tokensPerMsAt(scenario, nowMs));
         const nextMs = nextEventMs(jobs, rateOf, scenario, nowMs);
         if (!Number.isFinite(nextMs)) {
-            throw new Error("the bound cannot be reached: no capacity is left");
+            throw new Error("the bound cannot be computed: no sampler capacity is left");
         }
         rateOf.forEach((rate, step) => {
             step.leftTokens = Math.max(0, step.leftTokens - rate * (nextMs - nowMs));
--- a/packages/bench/src/policy/createEngineMeter.ts
+++ b/packages/bench/src/policy/createEngineMeter.ts
@@ -4,7 +4,7 @@
 
 const interactivePriority = 100;
 
-/** Makes a meter for the engines of one run; interactive requests are counted under `interactive`. */
+/** Creates a meter for the engines of one run; interactive requests are counted under `interactive`. */
 export function createEngineMeter(clock: Clock): EngineMeter {
     const engineMsOf = new Map<string, number>();
     const settlers: (() => void)[] = [];
--- a/packages/bench/src/policy/createFleet.ts
+++ b/packages/bench/src/policy/createFleet.ts
@@ -41,7 +41,7 @@
     gate: Sidecar;
     control: FakeEngineControl;
     port: SidecarPort;
-    /** Nothing passes to or from the VM until then. */
+    /** No message passes to or from the VM until `ms`. */
     freezeUntil(ms: number): void;
 }
 
@@ -55,10 +55,10 @@
 
 const fencing = 1 as FencingNumber;
 const domains = ["north", "south"];
-/** Tokens of an interactive request stand at the head of its prompt. */
+/** The prompt of an interactive request starts with its number of tokens. */
 const interactiveTokens = /^tokens (\d+)/;
 
-/** Builds the engines, gates and report feeds of a scenario: the real gates before fake engines. */
+/** Creates the engines, sidecars and report feeds of a scenario: real sidecars with fake engines. */
 export function createFleet(deps: FleetDeps): Fleet {
     const { scenario, workload, clock, random, meter, logger, metrics } = deps;
     const invariants = createInvariants(logger, () => {});
--- a/packages/bench/src/policy/createInteractiveLoad.ts
+++ b/packages/bench/src/policy/createInteractiveLoad.ts
@@ -23,7 +23,7 @@
 }
 
 interface InteractiveLoad {
-    /** From arrival to the whole answer, by answered request. */
+    /** Time from arrival to the complete answer, by answered request. */
     latenciesMs: number[];
     failed(): number;
     stop(): void;
@@ -32,7 +32,7 @@
 const budgetMs = 30_000;
 const unknownNeedMs = 0;
 
-/** Starts the interactive requests of a scenario: streamless completions placed by the policy's own picker. */
+/** Starts the interactive requests of a scenario: completions without streaming, placed by the policy's own picker. */
 export function createInteractiveLoad(deps: InteractiveLoadDeps): InteractiveLoad {
     const { scenario, workload, policy, fleet, clock, random } = deps;
     const latenciesMs: number[] = [];
--- a/packages/bench/src/policy/createJobMeasures.ts
+++ b/packages/bench/src/policy/createJobMeasures.ts
@@ -1,6 +1,6 @@
 import type { JobMeasures } from "./JobMeasures.js";
 
-/** The measures of a job that has not begun. */
+/** Creates the measures of a job that has not started. */
 export function createJobMeasures(job: string, team: string): JobMeasures {
     return {
         job,
--- a/packages/bench/src/policy/createReportFeed.ts
+++ b/packages/bench/src/policy/createReportFeed.ts
@@ -5,17 +5,17 @@
 import type { SamplerView } from "@auburnarch/types/SamplerView";
 import type { Scenario } from "./Scenario.js";
 
-/** The reports of one sampler as they reach the entries: late and with gaps. */
+/** The reports of one sampler as they reach the entries: delayed, and with some of them lost. */
 interface ReportFeed {
     /** Undefined until the first report has arrived. */
     view(): SamplerView | undefined;
     stop(): void;
 }
 
-/** Reports missed in a row until a sampler is suspected down. */
+/** Consecutive missed reports after which a sampler is suspected. */
 const missedReportsUntilSuspected = 4;
 
-/** Starts the feed of a gate; `isSilent` holds while the VM sends nothing. */
+/** Starts the report feed of a sidecar; `isSilent` is true while the VM sends nothing. */
 export function createReportFeed(
     gate: Sidecar,
     clock: Clock,
--- a/packages/bench/src/policy/createShareMeter.ts
+++ b/packages/bench/src/policy/createShareMeter.ts
@@ -6,14 +6,14 @@
 
 /** Compares the engine time of each team with its guaranteed share while it has demand. */
 interface ShareMeter {
-    /** Largest shortfall of a team against its share, as a part of the share; 0 if none had demand. */
+    /** Largest shortfall of a team as a fraction of its share; 0 if no team had demand. */
     error(): number;
     stop(): void;
 }
 
 const windowMs = 1_000;
 
-/** Starts the meter. A team has demand in a window if its unmade samples could fill its share of all batches. */
+/** Starts the meter. A team has demand in a window if its pending samples could fill its share of all batch slots. */
 export function createShareMeter(
     scenario: Scenario,
     clock: Clock,
--- a/packages/bench/src/policy/createStepLedger.ts
+++ b/packages/bench/src/policy/createStepLedger.ts
@@ -8,7 +8,7 @@
     isDelivered: boolean;
 }
 
-/** Makes an empty ledger. */
+/** Creates an empty ledger. */
 export function createStepLedger(): StepLedger {
     const steps = new Map<number, Map<number, GroupState>>();
     let pending = 0;
@@ -29,7 +29,7 @@
         take: made => {
             const group = groupOf(made.task);
             if (group.made.has(made.task.sample)) {
-                throw new Error(`${made.task.sample} was made twice`);
+                throw new Error(`${made.task.sample} was generated twice`);
             }
             group.made.set(made.task.sample, made);
             pending--;
--- a/packages/bench/src/policy/createTrainerLoop.ts
+++ b/packages/bench/src/policy/createTrainerLoop.ts
@@ -30,7 +30,7 @@
     fleet: ReturnType<typeof createFleet>;
     clock: Clock;
     random: Random;
-    /** Time until every sampler has been heard of. */
+    /** Time until every sampler has sent a report. */
     warmUpMs: number;
     logger: Logger;
     metrics: Metrics;
@@ -38,14 +38,14 @@
 
 interface TrainerLoop {
     measures: JobMeasures;
-    /** Samples opened and not made yet. */
+    /** Number of samples that are opened but not generated yet. */
     countPending(): number;
     stop(): Promise<void>;
 }
 
 const fencing = 1 as FencingNumber;
 
-/** Starts one job: its dispatcher, its swap roller, and a trainer that reads, trains and publishes. */
+/** Starts one job: its dispatcher, its swap roller, and a trainer that reads groups, trains and publishes weights. */
 export function createTrainerLoop(deps: TrainerLoopDeps): TrainerLoop {
     const { scenario, manifest, workload, policy, fleet, clock, random, logger, metrics } = deps;
     const ledger = createStepLedger();
--- a/packages/bench/src/policy/drawWorkload.ts
+++ b/packages/bench/src/policy/drawWorkload.ts
@@ -101,7 +101,7 @@
     return requests;
 }
 
-/** Draws lengths, prompts and arrivals of a scenario for one seed. */
+/** Draws the lengths, prompts and arrivals of a scenario for one seed. */
 export function drawWorkload(scenario: Scenario, seed: number): Workload {
     const random = createRandom(seed);
     const tokensOf = new Map<number, number>();
--- a/packages/bench/src/policy/formatTable.ts
+++ b/packages/bench/src/policy/formatTable.ts
@@ -29,7 +29,7 @@
     { title: "finished", cell: row => `${row.finishedRuns}/${row.runs}` },
 ];
 
-/** One line a policy, and a last one with the bound. Columns are aligned for a terminal. */
+/** Formats one line per policy and a last one with the bound. Columns are aligned for a terminal. */
 export function formatTable(scenario: string, rows: PolicyMedians[]): string {
     const first = rows[0]!;
     const boundCells = columns.map(({ title }, index) => {
--- a/packages/bench/src/policy/loadScenario.ts
+++ b/packages/bench/src/policy/loadScenario.ts
@@ -6,8 +6,8 @@
 import { shippedFolder } from "./shippedFolder.js";
 
 /**
- * Reads a scenario by the name of a shipped one or by file.
- * @throws Error that names the shipped ones, or every fault of the file.
+ * Reads a scenario by the name of a shipped one or by its file.
+ * @throws Error that lists the shipped scenarios if there is no such file, or all faults of the file if it is invalid.
  */
 export function loadScenario(nameOrFile: string): Scenario {
     const shipped = `${shippedFolder}${nameOrFile}.json`;
--- a/packages/bench/src/policy/measureInteractiveAlone.ts
+++ b/packages/bench/src/policy/measureInteractiveAlone.ts
@@ -20,10 +20,10 @@
     metrics: Metrics;
 }
 
-/** Long enough for a p99 over several hundred requests. */
+/** Long enough to compute a p99 over several hundred requests. */
 const runMs = 200_000;
 
-/** The p99 latency of the scenario's interactive requests with no rollouts beside them; 0 if it has none. */
+/** Measures the p99 latency of the scenario's interactive requests without concurrent rollouts; 0 if it has none. */
 export async function measureInteractiveAlone(deps: AloneDeps): Promise<number> {
     const { scenario, workload, policy, logger, metrics } = deps;
     if (scenario.interactive === undefined) {
--- a/packages/bench/src/policy/measureRun.ts
+++ b/packages/bench/src/policy/measureRun.ts
@@ -23,7 +23,7 @@
     runMs: number;
 }
 
-/** Reading tokens again costs as much as generating this part of them. */
+/** Cost of reading a token again, as a fraction of the cost of generating it. */
 function replayCost(scenario: Scenario): number {
     const { tokensPerSecond, prefillTokensPerSecond } = scenario.samplers[0]!;
     return tokensPerSecond / prefillTokensPerSecond;
@@ -41,7 +41,7 @@
         .reduce((sum, [, engineMs]) => sum + engineMs, 0);
 }
 
-/** Turns what a run left behind into its measures. */
+/** Computes the measures of a run from its records. */
 export function measureRun(record: RunRecord): RunResult {
     const { scenario, workload, jobs } = record;
     const versions = jobs.flatMap(job => job.stalenessVersions);
--- a/packages/bench/src/policy/parseSeeds.ts
+++ b/packages/bench/src/policy/parseSeeds.ts
@@ -1,8 +1,8 @@
 const seedPattern = /^(\d+)(?:-(\d+))?$/;
 
 /**
- * Reads seeds such as `7`, `1-10` or `1,3,101-110`.
- * @throws Error naming the part that is none.
+ * Parses seeds such as `7`, `1-10` or `1,3,101-110`.
+ * @throws Error that names the part that is invalid.
  */
 export function parseSeeds(text: string): number[] {
     return text.split(",").flatMap(part => {
--- a/packages/bench/src/policy/plotPolicies.ts
+++ b/packages/bench/src/policy/plotPolicies.ts
@@ -67,7 +67,7 @@
     return [drawText(left + 4, 40, panel.title), ...bars, line].join("\n");
 }
 
-/** Bars of the three main measures by policy as SVG text; the bound is a red line. */
+/** Renders the three main measures as bars by policy in SVG; the bound is a red line. */
 export function plotPolicies(scenario: string, rows: PolicyMedians[]): string {
     const width = panels.length * panelWidth;
     const height = headHeight + rows.length * barHeight + 12;
--- a/packages/bench/src/policy/policyBench.test.ts
+++ b/packages/bench/src/policy/policyBench.test.ts
@@ -40,7 +40,7 @@
     });
 }
 
-test("every scenario that issue 5 lists is shipped and valid", () => {
+test("the shipped scenarios are complete and valid", () => {
     expect(listScenarios()).toMatchInlineSnapshot(`
       [
         "cymdeithas",
@@ -58,12 +58,13 @@
     listScenarios().forEach(name => expect(loadScenario(name).name).toBe(name));
 });
 
-test("a faulty scenario is refused with its faults named", () => {
+test("an invalid scenario is rejected with all its faults", () => {
     expect(() => toScenario({ reports: { intervalMs: -1, lag: 3 } }, {})).toThrow(/intervalMs[\s\S]*lag/);
 });
 
-test("12 March: late rollouts stall the step", async () => {
-    // Guards against: the trainer stands still and the morning's forecast is late.
+// Guards against a trainer that stands still, and results that are late, because a few long rollouts hold up the step.
+// The first two steps, in which the length model learns the prompts, are not compared.
+test("the trainer waits less than half as long for stragglers as with a baseline policy", async () => {
     const scenario = toScenario({}, {
         length: {
             medianTokens: 80,
@@ -81,7 +82,7 @@
     expect(learned(own)).toBeLessThan(learned(stalled) / 2);
 });
 
-test("every sample of every step is delivered, under crashes, loss, freeze and failed swaps, with none too old", async () => {
+test("all samples are delivered within the staleness bound despite crashes, VM loss, freezes and failed swaps", async () => {
     const faults = [
         { kind: "engineCrash", atMs: 14_000, sampler: 0, downMs: 4_000 },
         { kind: "freeze", atMs: 25_000, sampler: 1, forMs: 8_000 },
@@ -104,7 +105,7 @@
     }
 });
 
-test("the same seed gives the same measures", async () => {
+test("runs with the same seed give the same measures", async () => {
     const scenario = toScenario({ reports: { lossRatio: 0.2 } }, {});
     const [first, second] = [
         await runPolicy(scenario, policyNamed("ours"), 9),
@@ -122,7 +123,7 @@
     }
 });
 
-test("the bound is work by capacity, or the longest sample alone", () => {
+test("the bound of a step is its work divided by capacity, or its longest sample alone", () => {
     const even = toScenario({}, {
         stepsAhead: 0,
         length: { medianTokens: 100, promptSigma: 0, sampleSigma: 0 },
@@ -152,7 +153,7 @@
     ]);
 });
 
-test("the length statistic tells a biased selection from a fair one", () => {
+test("the length statistic distinguishes a biased selection from a fair one", () => {
     const generated = Array.from({ length: 1_000 }, (_, index) => index);
     expect(compareDistributions(generated, generated)).toEqual({ statistic: 0, isDifferent: false });
     const fair = generated.filter(value => value % 2 === 0);
@@ -172,12 +173,12 @@
     );
 });
 
-test("seeds are read as numbers and ranges", () => {
+test("seeds are parsed as numbers and ranges", () => {
     expect(parseSeeds("7,101-103")).toEqual([7, 101, 102, 103]);
     expect(() => parseSeeds("1,x")).toThrow('"x" is no seed');
 });
 
-test("table and plot of a small run", async () => {
+test("the table and the plot of a small run contain all policies and the bound", async () => {
     const scenario = toScenario({}, { steps: 3 });
     const rows = [];
     for (const name of ["twoChoices", "ours"]) {
@@ -196,7 +197,7 @@
     expect(svg.match(/<rect/g)).toHaveLength(1 + 3 * rows.length);
 });
 
-test("the length model's error falls as prompts come back", () => {
+test("the error of the length model decreases as prompts recur", () => {
     const scenario = loadScenario("stragglers");
     const workload = drawWorkload(scenario, 1);
     const model = createPromptLengthModel();
--- a/packages/bench/src/policy/policyCommand.ts
+++ b/packages/bench/src/policy/policyCommand.ts
@@ -45,7 +45,7 @@
     return { runs, rows };
 }
 
-/** `bench policy`: compares the policies on scenarios under a fake clock. */
+/** `bench policy`: compares policies on scenarios with a fake clock. */
 export const policyCommand = defineCommand({
     meta: { name: "policy", description: "Compare the rollout policies on scenarios" },
     args: {
--- a/packages/bench/src/policy/policyOf.ts
+++ b/packages/bench/src/policy/policyOf.ts
@@ -1,6 +1,6 @@
 import type { PolicyId } from "@auburnarch/types/PolicyId";
 
-/** The policy that a job of a scenario trains. */
+/** Id of the policy that a job of a scenario trains. */
 export function policyOf(job: string): PolicyId {
     return `policy-${job}` as PolicyId;
 }
--- a/packages/bench/src/policy/quantile.ts
+++ b/packages/bench/src/policy/quantile.ts
@@ -1,4 +1,4 @@
-/** The `part`-quantile by nearest rank; 0 of nothing. */
+/** The `part`-quantile by nearest rank; 0 if there are no values. */
 export function quantile(values: number[], part: number): number {
     if (values.length === 0) {
         return 0;
--- a/packages/bench/src/policy/recordDelivery.ts
+++ b/packages/bench/src/policy/recordDelivery.ts
@@ -3,10 +3,10 @@
 
 interface Delivery {
     published: number;
-    /** Publishing time by version. */
+    /** Publication time by version. */
     publishedAtMs: number[];
     nowMs: number;
-    /** Most versions behind that the job allows. */
+    /** Staleness bound of the job in versions. */
     bound: number;
 }
 
--- a/packages/bench/src/policy/runPolicy.ts
+++ b/packages/bench/src/policy/runPolicy.ts
@@ -24,13 +24,13 @@
     observeMs: () => {},
     render: async () => "",
 };
-/** Keeps the draws of the run apart from those of the workload, which is the same for every policy. */
 const warmUpIntervals = 6;
+/** Keeps the random draws of the run apart from those of the workload, which is the same for all policies. */
 const runSeedFactor = 7_919;
 
 /**
- * Runs one policy on one scenario and seed: real dispatchers, swap rollers and gates before fake engines, under
- * a fake clock. `toLogger` makes the logger that gets the decision lines.
+ * Runs one policy on one scenario and seed: real dispatchers, swap rollers and sidecars with fake engines and a fake
+ * clock. `createLogger` creates the logger that receives the decisions.
  */
 export async function runPolicy(
     scenario: Scenario,
--- a/packages/bench/src/policy/startFaults.ts
+++ b/packages/bench/src/policy/startFaults.ts
@@ -3,12 +3,14 @@
 import type { createFleet } from "./createFleet.js";
 import type { Scenario } from "./Scenario.js";
 
-/** Sets the timers of a scenario's faults. */
+/** Schedules the faults of a scenario. */
 export function startFaults(scenario: Scenario, clock: Clock, fleet: ReturnType<typeof createFleet>): void {
     for (const fault of scenario.faults) {
         const sampler = fleet.samplers[fault.sampler];
         if (sampler === undefined) {
-            throw new Error(`a fault names sampler ${fault.sampler}, there are ${fleet.samplers.length}`);
+            throw new Error(
+                `a fault refers to sampler ${fault.sampler}, but there are only ${fleet.samplers.length}`,
+            );
         }
         clock.startTimer(fault.atMs, () =>
             match(fault)
--- a/packages/bench/src/policy/takeMedians.ts
+++ b/packages/bench/src/policy/takeMedians.ts
@@ -8,7 +8,10 @@
     return (lower + upper) / 2;
 }
 
-/** Medians of every numeric measure over the runs of one policy. `overBound` and `violations` are sums: one is too many. */
+/**
+ * Computes the medians of all numeric measures over the runs of one policy. `overBound` and `violations` are added up
+ * instead, since a single case is an error.
+ */
 export function takeMedians(runs: RunResult[]): PolicyMedians {
     const first = runs[0]!;
     const numeric = Object.entries(first).filter(([, value]) => typeof value === "number").map(([key]) =>
--- a/packages/bench/src/policy/toManifest.ts
+++ b/packages/bench/src/policy/toManifest.ts
@@ -8,7 +8,7 @@
 
 const service = "rollout" as ServiceId;
 
-/** The manifest that a scenario stands for. */
+/** Creates the manifest of a scenario. */
 export function toManifest(scenario: Scenario): VersionedManifest {
     return {
         version: 1 as ConfigVersion,
--- a/packages/bench/src/policy/toTasks.ts
+++ b/packages/bench/src/policy/toTasks.ts
@@ -6,7 +6,7 @@
 
 type Groups = Workload["jobs"][number]["steps"][number]["groups"];
 
-/** The tasks of one step, one a generation seed. */
+/** Creates the tasks of one step, one per generation seed. */
 export function toTasks(
     job: string,
     step: number,
--- a/packages/bench/src/policy/withNetwork.ts
+++ b/packages/bench/src/policy/withNetwork.ts
@@ -2,7 +2,10 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
 
-/** A network between an entry and a sidecar: every call and answer takes `delayMs`, and none passes while frozen. */
+/**
+ * Wraps a sidecar port with a simulated network: calls and answers take `delayMs`, and none pass while the VM is
+ * frozen.
+ */
 export function withNetwork(
     port: SidecarPort,
     clock: Clock,
--- a/packages/bench/src/slopes/CapacityRow.ts
+++ b/packages/bench/src/slopes/CapacityRow.ts
@@ -1,10 +1,10 @@
-/** One line of the capacity table: a quantity at the target size beside its budget. */
+/** One row of the capacity table: a quantity at the target size and its budget. */
 export interface CapacityRow {
     role: string;
     quantity: string;
-    /** The largest size it was measured at. */
+    /** The largest size at which it was measured. */
     measured: string;
-    /** At the target size. */
+    /** Value at the target size. */
     projected: number;
     budget: number;
     unit: string;
--- a/packages/bench/src/slopes/ChangePoint.ts
+++ b/packages/bench/src/slopes/ChangePoint.ts
@@ -1,12 +1,12 @@
-/** Processor time of one process for one change of a manifest with so many samplers, and what the process holds. */
+/** Processor time and memory of one process for one change of a manifest with the given number of samplers. */
 export interface ChangePoint {
     samplers: number;
     manifestBytes: number;
-    /** Bytes of the change as it goes from process to process. */
+    /** Bytes of the change as transferred between processes. */
     transferBytes: number;
-    /** Taking a change: applying it, checking the manifest whole, keeping its text. */
+    /** Receiving a change: applying it, validating the whole manifest and storing its text. */
     takeCpuUs: number;
-    /** Making the change for a peer. */
+    /** Creating the change for a peer. */
     makeCpuUs: number;
     /** Live heap of one process's documents. */
     heapBytes: number;
--- a/packages/bench/src/slopes/DetectionPoint.ts
+++ b/packages/bench/src/slopes/DetectionPoint.ts
@@ -1,9 +1,9 @@
-/** Time for the death of one entry to be known. */
+/** Time until the other entries detect the failure of one entry. */
 export interface DetectionPoint {
     entries: number;
-    /** Until half and until all of the others trust it no more; undefined if not within the limit. */
+    /** Time until half (`halfMs`) and all of the others no longer trust it; undefined if not within the limit. */
     halfMs: number | undefined;
     allMs: number | undefined;
-    /** Entries that were suspected although they lived. */
+    /** Number of suspicions of entries that were running. */
     falseSuspicions: number;
 }
--- a/packages/bench/src/slopes/Fleet.ts
+++ b/packages/bench/src/slopes/Fleet.ts
@@ -2,24 +2,24 @@
 import type { FakeStoreControl } from "@auburnarch/fakes/FakeStoreControl";
 import type { RoleCounts } from "./RoleCounts.js";
 
-/** A fleet of real components on a simulated network. */
+/** A fleet of real control components on a simulated network. */
 export interface Fleet {
     clock: FakeClock;
     store: FakeStoreControl;
     counts: { entry: RoleCounts; sidecar: RoleCounts; };
     resetCounts(): void;
-    /** Publishes a manifest that differs from the last in one job; resolves with its version. */
+    /** Publishes a manifest that differs from the last one in one job; resolves with its version. */
     publish(): Promise<number>;
-    /** Processes with a lower manifest version than `version`. */
+    /** Number of processes whose manifest version is lower than `version`. */
     behind(version: number): { entries: number; sidecars: number; };
-    /** Entries that each entry knows and trusts, the least and the most over all. */
+    /** Number of entries that an entry knows and trusts: minimum and maximum over all entries. */
     peersKnown(): { least: number; most: number; };
     suspicions(): number;
-    /** Addresses of the entries that watch the object API at present. */
+    /** Addresses of the entries that currently watch the object API. */
     relays(): string[];
-    /** Stops the entry at an address for good. */
+    /** Stops the entry at an address permanently. */
     kill(address: string): void;
-    /** Entries that know and trust the one at an address. */
+    /** Number of entries that know and trust the one at an address. */
     countEntriesTrusting(address: string): number;
     /** Adds to the latency of all calls to an address. */
     slow(address: string, latencyMs: number): void;
--- a/packages/bench/src/slopes/FleetCommon.ts
+++ b/packages/bench/src/slopes/FleetCommon.ts
@@ -5,7 +5,7 @@
 import type { VmList } from "@auburnarch/types/VmList";
 import type { FleetNetwork } from "./FleetNetwork.js";
 
-/** What every process of a simulated fleet is built from. */
+/** Dependencies common to all processes of a simulated fleet. */
 export interface FleetCommon {
     clock: Clock;
     random: Random;
--- a/packages/bench/src/slopes/FleetNetwork.ts
+++ b/packages/bench/src/slopes/FleetNetwork.ts
@@ -1,12 +1,12 @@
 import type { RoleCounts } from "./RoleCounts.js";
 
-/** Who calls; the bytes of a call count for both its ends. */
+/** Role of the caller; the bytes of a call are counted at both ends. */
 type Role = "entry" | "sidecar";
 
-/** Handles a message that came over the wire. */
+/** Handles a message received over the network. */
 type Handler = (message: unknown) => unknown;
 
-/** A network of processes that counts messages and bytes. */
+/** A simulated network between processes that counts calls and bytes. */
 export interface FleetNetwork {
     listen(address: string, region: string, handlers: Record<string, Handler>): void;
     remove(address: string): void;
--- a/packages/bench/src/slopes/FleetOptions.ts
+++ b/packages/bench/src/slopes/FleetOptions.ts
@@ -1,14 +1,14 @@
-/** Shape of a simulated fleet. */
+/** Size and topology of a simulated fleet. */
 export interface FleetOptions {
     entries: number;
     samplers: number;
-    /** Jobs; each has an owner document and a weights document, beside those of the key ranges. */
+    /** Number of jobs. Each has an owner document and a weights document, in addition to those of the key ranges. */
     jobs: number;
     regions: number;
     domains: number;
-    /** Part of the messages between processes that are lost. */
+    /** Fraction of the calls between processes that are lost. */
     loss: number;
     seed: number;
-    /** Bytes of HTTP headers and JSON-RPC envelope of one call, both ways. */
+    /** Bytes of HTTP headers and JSON-RPC envelope per call, in both directions together. */
     envelopeBytes: number;
 }
--- a/packages/bench/src/slopes/LeasePoint.ts
+++ b/packages/bench/src/slopes/LeasePoint.ts
@@ -1,4 +1,4 @@
-/** Calls to the object API for leases that are held. */
+/** Calls to the object API per second for a number of held leases. */
 export interface LeasePoint {
     leases: number;
     writesPerSecond: number;
--- a/packages/bench/src/slopes/LineFit.ts
+++ b/packages/bench/src/slopes/LineFit.ts
@@ -1,7 +1,7 @@
-/** A straight line through points. */
+/** A straight line fitted to points. */
 export interface LineFit {
     slope: number;
     intercept: number;
-    /** Part of the variance that the line explains; 1 where there is none to explain. */
+    /** Fraction of the variance that the line explains; 1 if there is no variance. */
     r2: number;
 }
--- a/packages/bench/src/slopes/PropagationPoint.ts
+++ b/packages/bench/src/slopes/PropagationPoint.ts
@@ -1,10 +1,10 @@
-/** Time for one change of configuration to come into force. */
+/** Time until one configuration change takes effect. */
 export interface PropagationPoint {
     entries: number;
     samplers: number;
     condition: "clean" | "loss" | "deadRelay" | "slowRelay";
-    /** From the write's answer until every entry has it; undefined if not within the limit. */
+    /** Time from the answer of the write until every entry has the change; undefined if not within the limit. */
     entriesMs: number | undefined;
-    /** The same for every sidecar as well. */
+    /** The same for all entries and sidecars. */
     everywhereMs: number | undefined;
 }
--- a/packages/bench/src/slopes/RegionPartitionPoint.ts
+++ b/packages/bench/src/slopes/RegionPartitionPoint.ts
@@ -1,11 +1,11 @@
-/** Two regions that lose each other for some minutes. */
+/** Result of a network partition of two regions for several minutes. */
 export interface RegionPartitionPoint {
     entries: number;
     cutMs: number;
-    /** Peers trusted by the entry that trusts fewest, at the end of the cut. */
+    /** Number of peers trusted by the entry that trusts the fewest, at the end of the partition. */
     leastPeersDuringCut: number;
-    /** From the end of the cut until every entry trusts all others; undefined if not within the limit. */
+    /** Time from the end of the partition until every entry trusts all others; undefined if not within the limit. */
     mergedMs: number | undefined;
-    /** From the end of the cut until a change made during it is in force on every entry. */
+    /** Time from the end of the partition until a change made during it is in effect on every entry. */
     configMs: number | undefined;
 }
--- a/packages/bench/src/slopes/RoleCounts.ts
+++ b/packages/bench/src/slopes/RoleCounts.ts
@@ -1,7 +1,7 @@
-/** What one role sent and received over a measured stretch. */
+/** Traffic of one role over the measured period. */
 export interface RoleCounts {
-    /** Requests started. */
+    /** Number of requests sent. */
     calls: number;
-    /** Bytes of requests and answers, counted once at each end, so twice in all. */
+    /** Bytes of requests and answers, counted at both ends and thus twice in total. */
     bytes: number;
 }
--- a/packages/bench/src/slopes/SlopesFigures.ts
+++ b/packages/bench/src/slopes/SlopesFigures.ts
@@ -6,21 +6,21 @@
 import type { RegionPartitionPoint } from "./RegionPartitionPoint.js";
 import type { SteadyPoint } from "./SteadyPoint.js";
 
-/** Everything that `slopes` measured; docs/CAPACITY.md is computed from it. */
+/** All results of `slopes`; the tables of docs/CAPACITY.md are computed from them. */
 export interface SlopesFigures {
-    /** Resident memory of this process before the first fleet, all modules loaded. */
+    /** Resident memory of this process before the first fleet, with all modules loaded. */
     baseRssBytes: number;
     call: CallCost;
-    /** Series by what is doubled in them. */
+    /** Series by the quantity that is doubled in them. */
     steady: { entries: SteadyPoint[]; samplers: SteadyPoint[]; jobs: SteadyPoint[]; changes: SteadyPoint[]; };
-    /** Entries doubled with 10.25 samplers each, as in the target. */
+    /** Series in which entries are doubled with 10.25 samplers each, as in the target. */
     scaled: SteadyPoint[];
     spread: PropagationPoint[];
     detection: DetectionPoint[];
     cut: RegionPartitionPoint[];
     leases: LeasePoint[];
     change: ChangePoint[];
-    /** Points left out because the time was up. */
+    /** Points skipped because the time limit was reached. */
     skipped: string[];
     elapsedMs: number;
 }
--- a/packages/bench/src/slopes/SteadyPoint.ts
+++ b/packages/bench/src/slopes/SteadyPoint.ts
@@ -1,4 +1,4 @@
-/** One fleet, measured once it had settled. Rates are per process and second. */
+/** Measurements of one fleet after it has settled. Call and byte rates of entries and sidecars are per process. */
 export interface SteadyPoint {
     entries: number;
     samplers: number;
@@ -8,9 +8,9 @@
     entryCallsPerSecond: number;
     sidecarBytesPerSecond: number;
     sidecarCallsPerSecond: number;
-    /** Processor time of the whole simulation for one simulated second, harness included. */
+    /** Processor time of the whole simulation per simulated second, including the test harness. */
     cpuUsPerSecond: number;
-    /** Live heap of the whole simulation, harness included. */
+    /** Live heap of the whole simulation, including the test harness. */
     heapBytes: number;
     storeCallsPerSecond: number;
     suspicions: number;
--- a/packages/bench/src/slopes/Target.ts
+++ b/packages/bench/src/slopes/Target.ts
@@ -1,4 +1,4 @@
-/** The fleet that the product is to carry in two years. */
+/** The fleet size that the product must support in two years, and its budgets. */
 export interface Target {
     entries: number;
     samplers: number;
@@ -6,11 +6,11 @@
     keyRanges: number;
     changesPerDay: number;
     regions: number;
-    /** What a daemon may spend for control. */
+    /** Control overhead allowed per daemon. */
     budget: { coreRatio: number; memoryBytes: number; bytesPerSecond: number; };
-    /** Time for a change to be in force everywhere. */
+    /** Maximum time until a change is in effect everywhere. */
     configMs: number;
-    /** Rates of the object API; a quarter of them is the fleet's. */
+    /** Call rates that the object API supports; the fleet may use the fraction `storeShare` of them. */
     storeWritesPerSecond: number;
     storeReadsPerSecond: number;
     storeShare: number;
--- a/packages/bench/src/slopes/capacityPage.test.ts
+++ b/packages/bench/src/slopes/capacityPage.test.ts
@@ -12,18 +12,18 @@
 const figures = JSON.parse(readFile("packages/bench/figures/slopes.json")) as SlopesFigures;
 const page = readFile("docs/CAPACITY.md");
 
-test("the tables of docs/CAPACITY.md are those of the committed figures", () => {
+test("the tables of docs/CAPACITY.md match the committed figures", () => {
     expect(page).toContain(renderCapacity(projectCapacity(figures, capacityTarget)));
     expect(page).toContain(renderSeries(figures));
 });
 
-test("the page says which points were not run", () => {
+test("docs/CAPACITY.md lists all skipped points", () => {
     for (const label of figures.skipped) {
         expect(page).toContain(label);
     }
 });
 
-test("each quantity was doubled at least five times", () => {
+test("each series doubles its quantity at least five times", () => {
     const { steady, scaled, detection, leases, change } = figures;
     const xs = [
         steady.entries.map(point => point.entries),
@@ -39,7 +39,7 @@
     }
 });
 
-test("a line is fitted through points that lie on one", () => {
+test("a line is fitted exactly to collinear points", () => {
     const { slope, intercept, r2 } = fitLine([[1, 5], [2, 7], [4, 11]]);
     expect([slope, intercept, r2].map(value => Number(value.toFixed(9)))).toEqual([2, 3, 1]);
 });
--- a/packages/bench/src/slopes/capacityTarget.ts
+++ b/packages/bench/src/slopes/capacityTarget.ts
@@ -1,7 +1,7 @@
 import { rangeCount } from "@auburnarch/admission/rangeCount";
 import type { Target } from "./Target.js";
 
-/** The target of the first letter. "Several hundred writes" is taken as 300. */
+/** The required capacity. "Several hundred writes" per second at the object API are taken as 300. */
 export const capacityTarget: Target = {
     entries: 400,
     samplers: 4_100,
--- a/packages/bench/src/slopes/collectGarbage.ts
+++ b/packages/bench/src/slopes/collectGarbage.ts
@@ -1,7 +1,7 @@
 import { setFlagsFromString } from "node:v8";
 import { runInNewContext } from "node:vm";
 
-/** Collects all garbage now, so that the heap in use is what is live. */
+/** Runs a full garbage collection, so that the used heap contains only live objects. */
 export function collectGarbage(): void {
     setFlagsFromString("--expose-gc");
     const collect = runInNewContext("gc") as () => void;
--- a/packages/bench/src/slopes/createFleet.test.ts
+++ b/packages/bench/src/slopes/createFleet.test.ts
@@ -14,7 +14,7 @@
     envelopeBytes: 400,
 };
 
-test("a small fleet settles, takes a manifest everywhere and stays within the budget of bytes", async () => {
+test("a small fleet settles, applies a manifest everywhere and stays within its byte budget", async () => {
     const fleet = createFleet(options);
     const version = await fleet.publish();
     await fleet.clock.advance(60_000);
@@ -28,14 +28,14 @@
     fleet.stop();
 });
 
-test("a change is in force everywhere within 14 s with messages lost and with a relay dead or slow", async () => {
+test("a change is in effect everywhere within 14 s, also with lost messages or a crashed or slow relay", async () => {
     for (const condition of ["clean", "loss", "deadRelay", "slowRelay"] as const) {
         const { everywhereMs } = await measurePropagation(options, condition);
         expect(everywhereMs).toBeLessThan(14_000);
     }
 });
 
-test("the death of an entry is known to all, and nobody else is suspected", async () => {
+test("all entries detect the failure of an entry and suspect no other", async () => {
     const { allMs, falseSuspicions } = await measureDetection({ ...options, samplers: 0 });
     expect(allMs).toBeLessThan(30_000);
     expect(falseSuspicions).toBe(0);
--- a/packages/bench/src/slopes/createFleet.ts
+++ b/packages/bench/src/slopes/createFleet.ts
@@ -58,7 +58,7 @@
     return [...ofJobs.flat(), ...ofRanges];
 }
 
-/** Starts a fleet: membership, spreading and reporting as in the product, on a network that counts bytes. */
+/** Starts a fleet: the real membership, document sync and reporting on a simulated network that counts bytes. */
 export function createFleet(options: FleetOptions): Fleet {
     const clock = createFakeClock();
     const random = createRandom(options.seed);
@@ -69,7 +69,7 @@
     });
     const suspicion = createSuspicionLogger();
     const invariants = createInvariants(suspicion.logger, code => {
-        throw new Error(`promise broken: ${code.name}`);
+        throw new Error(`invariant violated: ${code.name}`);
     });
     const network: FleetNetwork = createFleetNetwork(clock, random.fork(), options);
     const records = Array.from({ length: options.entries }, (_, at) => toRecord(at, options));
--- a/packages/bench/src/slopes/createFleetEntry.ts
+++ b/packages/bench/src/slopes/createFleetEntry.ts
@@ -7,7 +7,7 @@
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 import type { FleetCommon } from "./FleetCommon.js";
 
-/** The control part of an entry. */
+/** The control components of an entry. */
 interface FleetEntry {
     membership: Membership;
     documentSync: DocumentSync;
@@ -15,7 +15,7 @@
     stop(): void;
 }
 
-/** Starts membership and spreading of one entry. */
+/** Starts the membership and the document sync of one entry. */
 export function createFleetEntry(deps: FleetCommon & { self: EntryRecord; store: ObjectStore; }): FleetEntry {
     const { self, network } = deps;
     const from = { role: "entry" as const, region: self.region };
--- a/packages/bench/src/slopes/createFleetManifest.ts
+++ b/packages/bench/src/slopes/createFleetManifest.ts
@@ -4,7 +4,7 @@
 const places = ["Pamplona", "Lugo", "Burgos", "Bilbao", "Caerdydd", "Abertawe"];
 const minJobs = 1;
 
-/** A valid manifest with the given numbers of samplers and jobs; `priority` tells two of them apart. */
+/** Creates a valid manifest with the given numbers of samplers and jobs; manifests with different `priority` differ. */
 export function createFleetManifest(samplers: number, jobs: number, priority: number): Manifest {
     const tokenDigests = [createHash("sha256").update("bench").digest("hex")];
     return {
--- a/packages/bench/src/slopes/createFleetNetwork.ts
+++ b/packages/bench/src/slopes/createFleetNetwork.ts
@@ -3,7 +3,7 @@
 import type { FleetNetwork } from "./FleetNetwork.js";
 import type { FleetOptions } from "./FleetOptions.js";
 
-/** One way, between failure domains of a region. */
+/** One-way latency between failure domains of a region. */
 const latencyMs = 0.5;
 const regionLatencyMs = 10;
 
@@ -13,7 +13,7 @@
     extraMs: number;
 }
 
-/** Makes the network. Messages cross as JSON, as they do in the product. */
+/** Creates the network. Messages are serialised as JSON, as in the product. */
 export function createFleetNetwork(
     clock: Clock,
     random: Random,
@@ -32,10 +32,10 @@
         const oneWayMs = (isFar ? regionLatencyMs : latencyMs) + (listener?.extraMs ?? 0);
         await clock.sleep(oneWayMs);
         if (listeners.get(address) !== listener || listener === undefined) {
-            throw new Error("refused");
+            throw new Error(`connection to ${address} refused`);
         }
         if (random.nextUnit() < options.loss || (isCut && isFar)) {
-            // Nothing comes back: the caller notices by its own timeout.
+            // No answer arrives; the caller detects this by its own timeout.
             return new Promise(() => undefined);
         }
         counts.entry.bytes += request.length + options.envelopeBytes / 2;
--- a/packages/bench/src/slopes/createFleetSidecar.ts
+++ b/packages/bench/src/slopes/createFleetSidecar.ts
@@ -5,13 +5,13 @@
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { FleetCommon } from "./FleetCommon.js";
 
-/** The control part of a sidecar. */
+/** The control components of a sidecar. */
 interface FleetSidecar {
     manifestVersion(): number;
     stop(): void;
 }
 
-/** Starts the reporting of one sidecar, with a report as large as that of a busy model sampler. */
+/** Starts the reporter of one sidecar; its report is as large as that of a busy model sampler. */
 export function createFleetSidecar(
     deps: FleetCommon & { at: number; domains: number; regions: number; },
 ): FleetSidecar {
--- a/packages/bench/src/slopes/createSuspicionLogger.ts
+++ b/packages/bench/src/slopes/createSuspicionLogger.ts
@@ -1,6 +1,6 @@
 import type { Logger } from "@auburnarch/types/Logger";
 
-/** Makes a logger that keeps nothing but the number of suspicions. */
+/** Creates a logger that only counts suspicions. */
 export function createSuspicionLogger(): { logger: Logger; count(): number; } {
     let suspicions = 0;
     const logger: Logger = {
--- a/packages/bench/src/slopes/fitLine.ts
+++ b/packages/bench/src/slopes/fitLine.ts
@@ -2,7 +2,7 @@
 
 const mean = (values: number[]): number => values.reduce((sum, value) => sum + value, 0) / values.length;
 
-/** Least squares through points `[x, y]`; at least two with different x. */
+/** Fits a line to points `[x, y]` by least squares; at least two points must differ in x. */
 export function fitLine(points: [number, number][]): LineFit {
     const meanX = mean(points.map(([x]) => x));
     const meanY = mean(points.map(([, y]) => y));
--- a/packages/bench/src/slopes/measureCall.ts
+++ b/packages/bench/src/slopes/measureCall.ts
@@ -5,7 +5,7 @@
 const warmUpCalls = 300;
 const measuredCalls = 2_000;
 
-/** Length of a message and of its answer as entries exchange them in the steady state. */
+/** Length of a request and of its answer as exchanged between entries in the steady state. */
 const messageChars = 250;
 
 async function readAll(stream: AsyncIterable<unknown>): Promise<string> {
@@ -18,7 +18,10 @@
 
 const rpcBody = (fields: object): string => JSON.stringify({ jsonrpc: "2.0", id: 12_345, ...fields });
 
-/** Calls a server on loopback with kept-alive connections, a bearer token and a JSON-RPC envelope, as entries do. */
+/**
+ * Measures calls to a loopback server over keep-alive connections with a bearer token and a JSON-RPC envelope, as
+ * entries use.
+ */
 export async function measureCall(): Promise<CallCost> {
     const params = { filler: "x".repeat(messageChars) };
     const answer = rpcBody({ result: params });
--- a/packages/bench/src/slopes/measureChange.ts
+++ b/packages/bench/src/slopes/measureChange.ts
@@ -16,7 +16,7 @@
 function createSet(): DocumentSet {
     const { logger } = createSuspicionLogger();
     const invariants = createInvariants(logger, code => {
-        throw new Error(`promise broken: ${code.name}`);
+        throw new Error(`invariant violated: ${code.name}`);
     });
     return createDocumentSet(
         { logger, invariants, faultsOf: faultsOfDocument },
@@ -35,7 +35,7 @@
     return process.memoryUsage().heapUsed;
 }
 
-/** Passes changes of a manifest from one process to another and measures each side. */
+/** Transfers changes of a manifest from one process to another and measures both sides. */
 export function measureChange(samplers: number): ChangePoint {
     const [from, to] = [createSet(), createSet()];
     const publish = (version: number): void => {
@@ -65,7 +65,7 @@
         transferBytes,
         takeCpuUs: Math.round(takeUs / changes),
         makeCpuUs: Math.round(makeUs / changes),
-        // The sender's texts grew in step with the receiver's.
+        // The heap grew on both sides, since the sender stores the same texts as the receiver.
         heapBytes: Math.round((heapNow() - heapBefore) / 2),
     };
 }
--- a/packages/bench/src/slopes/measureDetection.ts
+++ b/packages/bench/src/slopes/measureDetection.ts
@@ -6,7 +6,7 @@
 const limitMs = 120_000;
 const resolutionMs = 100;
 
-/** Kills one entry of a settled fleet and measures until the others trust it no more. */
+/** Kills one entry of a settled fleet and measures the time until the others no longer trust it. */
 export async function measureDetection(options: FleetOptions): Promise<DetectionPoint> {
     const fleet = createFleet(options);
     await fleet.publish();
--- a/packages/bench/src/slopes/measureLeases.ts
+++ b/packages/bench/src/slopes/measureLeases.ts
@@ -11,7 +11,7 @@
 const measuredMs = 60_000;
 const storeLatencyMs = 4;
 
-/** Holds leases with the default term for a minute and counts the calls. */
+/** Holds leases with the default duration for a minute and counts the calls to the object API. */
 export async function measureLeases(leases: number): Promise<LeasePoint> {
     const clock = createFakeClock();
     const random = createRandom(leases);
@@ -27,7 +27,7 @@
         random,
         logger,
         invariants: createInvariants(logger, code => {
-            throw new Error(`promise broken: ${code.name}`);
+            throw new Error(`invariant violated: ${code.name}`);
         }),
         holder: "entry-1",
     });
--- a/packages/bench/src/slopes/measurePropagation.ts
+++ b/packages/bench/src/slopes/measurePropagation.ts
@@ -9,7 +9,7 @@
 const slowRelayMs = 2_000;
 const lossRatio = 0.1;
 
-/** Simulated milliseconds until `done`, to within 50 ms; undefined if not within the limit. */
+/** Simulated time until `done` returns true, in steps of 50 ms; undefined if not within the limit. */
 async function timeUntil(fleet: Fleet, startedMs: number, done: () => boolean): Promise<number | undefined> {
     while (!done()) {
         if (fleet.clock.monotonicMs() - startedMs > limitMs) {
@@ -30,7 +30,7 @@
     }
 }
 
-/** Publishes one change to a settled fleet under a condition and measures until it is in force. */
+/** Publishes one change to a settled fleet under a condition and measures the time until it is in effect. */
 export async function measurePropagation(
     options: FleetOptions,
     condition: PropagationPoint["condition"],
--- a/packages/bench/src/slopes/measureRegionPartition.ts
+++ b/packages/bench/src/slopes/measureRegionPartition.ts
@@ -7,7 +7,7 @@
 const limitMs = 180_000;
 const resolutionMs = 250;
 
-/** Cuts two regions off from each other for three minutes, publishes a change meanwhile and joins them again. */
+/** Partitions two regions for three minutes, publishes a change meanwhile, then ends the partition. */
 export async function measureRegionPartition(options: FleetOptions): Promise<RegionPartitionPoint> {
     const fleet = createFleet({ ...options, regions: 2 });
     await fleet.publish();
--- a/packages/bench/src/slopes/measureSteady.ts
+++ b/packages/bench/src/slopes/measureSteady.ts
@@ -5,7 +5,7 @@
 import type { SteadyPoint } from "./SteadyPoint.js";
 
 const minWarmUpMs = 30_000;
-/** Until the news of so many starts is told. */
+/** The membership needs this time per entry to propagate the starts of all entries. */
 const warmUpMsPerEntry = 400;
 const measuredMs = 20_000;
 const msPerHour = 3_600_000;
@@ -28,7 +28,7 @@
     }
 }
 
-/** Measures a fleet once it has settled: each entry knows all others and the first manifest is in force. */
+/** Measures a fleet after it has settled: each entry knows all others, and the first manifest is in effect. */
 export async function measureSteady(options: FleetOptions, changesPerHour: number): Promise<SteadyPoint> {
     const fleet = createFleet(options);
     await fleet.publish();
--- a/packages/bench/src/slopes/projectCapacity.ts
+++ b/packages/bench/src/slopes/projectCapacity.ts
@@ -10,9 +10,9 @@
 const usPerSecond = 1_000_000;
 const pushFanOut = 3;
 const relaysPerRegion = 2;
-/** Rates of change above this are bursts, at which changes no longer travel as deltas. */
+/** Higher change rates are bursts, in which changes are no longer transferred as deltas. */
 const maxFittedChangesPerHour = 720;
-/** Below this, fleets have fewer reports for each entry and other messages than large ones. */
+/** Smaller fleets have fewer reports per entry and different messages than large ones. */
 const minFittedEntries = 16;
 
 const large = (points: SteadyPoint[]): SteadyPoint[] =>
@@ -20,13 +20,13 @@
 
 const last = <T>(points: T[]): T => points[points.length - 1]!;
 
-/** Value at `x` of the line through points. */
+/** Value at `x` of the line fitted to the points. */
 function at(points: [number, number][], x: number): number {
     const { slope, intercept } = fitLine(points);
     return intercept + slope * x;
 }
 
-/** Growth of `read` for each change a second. */
+/** Increase of `read` per change per second. */
 function perChange(points: SteadyPoint[], read: (point: SteadyPoint) => number): number {
     const fitted = points.filter(point => point.changesPerHour <= maxFittedChangesPerHour);
     return fitLine(fitted.map(point => [point.changesPerHour / secondsPerHour, read(point)])).slope;
@@ -43,7 +43,7 @@
     return at(points.map(point => [Math.log2(point.entries), point.entriesMs!]), Math.log2(entries));
 }
 
-/** Longest wait of a sidecar for a document that all entries have. */
+/** Longest time until a sidecar receives a document that all entries have. */
 function sidecarWaitMs(figures: SlopesFigures): number {
     const waits = figures.spread
         .filter(point => point.condition === "clean")
@@ -51,7 +51,7 @@
     return Math.max(...waits);
 }
 
-/** Bytes and processor time for control, which every process has a budget of. */
+/** Rows for the bytes and the processor time of control, for which every process has a budget. */
 function controlRows(
     common: Pick<CapacityRow, "role" | "measured" | "extrapolated">,
     bytes: number,
@@ -184,7 +184,7 @@
     ];
 }
 
-/** What the measured slopes come to at the target size. */
+/** Projects the measured slopes to the target size. */
 export function projectCapacity(figures: SlopesFigures, target: Target): CapacityRow[] {
     return [
         ...entryRows(figures, target),
--- a/packages/bench/src/slopes/renderCapacity.ts
+++ b/packages/bench/src/slopes/renderCapacity.ts
@@ -2,7 +2,7 @@
 
 const digits = (value: number): string => value >= 100 ? value.toFixed(0) : value.toPrecision(3);
 
-/** The capacity table in Markdown, as docs/CAPACITY.md carries it. */
+/** Renders the capacity table of docs/CAPACITY.md in Markdown. */
 export function renderCapacity(rows: CapacityRow[]): string {
     const lines = rows.map(row => {
         const mark = row.extrapolated ? " (extrapolated)" : "";
--- a/packages/bench/src/slopes/renderPlot.ts
+++ b/packages/bench/src/slopes/renderPlot.ts
@@ -1,4 +1,4 @@
-/** A named line of a plot. */
+/** One labelled line of a plot. */
 interface PlotLine {
     name: string;
     points: [number, number][];
@@ -10,7 +10,7 @@
 const legendStepPx = 18;
 const colours = ["#1b6ca8", "#c0392b", "#2e8b57", "#8e44ad", "#d68910"];
 
-/** An SVG of lines with both axes logarithmic, so that a straight line of slope 1 is proportional growth. */
+/** Renders lines as SVG with logarithmic axes, so that proportional growth is a straight line of slope 1. */
 export function renderPlot(title: string, xLabel: string, yLabel: string, lines: PlotLine[]): string {
     const points = lines.flatMap(line => line.points).filter(([x, y]) => x > 0 && y > 0);
     const logs = (axis: 0 | 1): [number, number] => {
--- a/packages/bench/src/slopes/renderPlots.ts
+++ b/packages/bench/src/slopes/renderPlots.ts
@@ -4,7 +4,7 @@
 
 const conditions: PropagationPoint["condition"][] = ["clean", "loss", "deadRelay", "slowRelay"];
 
-/** Plots by file name. */
+/** Renders the plots by file name. */
 export function renderPlots(figures: SlopesFigures): Record<string, string> {
     const { steady, scaled, spread, detection } = figures;
     const rates = renderPlot("Control traffic", "doubled quantity", "bytes per second and process", [
--- a/packages/bench/src/slopes/renderSeries.ts
+++ b/packages/bench/src/slopes/renderSeries.ts
@@ -79,7 +79,7 @@
     ];
 }
 
-/** Every measured point as Markdown tables. */
+/** Renders all measured points as Markdown tables. */
 export function renderSeries(figures: SlopesFigures): string {
     return [...renderSteady(figures), "", ...renderTimes(figures), "", ...renderCosts(figures)].join("\n");
 }
--- a/packages/bench/src/slopes/runSlopes.ts
+++ b/packages/bench/src/slopes/runSlopes.ts
@@ -9,10 +9,10 @@
 import type { PropagationPoint } from "./PropagationPoint.js";
 import type { SlopesFigures } from "./SlopesFigures.js";
 
-/** The run ends by itself within five minutes: nothing new is started after this. */
+/** No measurement is started after this time, so that a run ends within five minutes. */
 const startLimitMs = 235_000;
 const samplersPerEntry = 10.25;
-/** Above this, fewer samplers: checking the manifest in each sidecar would take up the whole run. */
+/** Larger fleets get fewer samplers, since validating the manifest in each sidecar would take up the whole run. */
 const maxFullSpreadEntries = 32;
 const largeSpreadSamplersPerEntry = 4;
 
@@ -70,7 +70,7 @@
     const cut = await series("cut", cutCounts, count => measureRegionPartition(optionsOf(count, 0, 10)));
     const spreadPoints = spreadCounts.flatMap(count => conditions.map(condition => ({ count, condition })));
     const spread = await series("spread", spreadPoints, ({ count, condition }) => {
-        // Sidecars hear of a change with the answers to their reports, whatever becomes of the relays.
+        // Sidecars receive a change in the answers to their reports, regardless of the state of the relays.
         const ratio = count <= maxFullSpreadEntries ? samplersPerEntry : largeSpreadSamplersPerEntry;
         const samplers = condition === "clean" ? Math.round(count * ratio) : 0;
         return measurePropagation(optionsOf(count, samplers, 10), condition);
--- a/packages/bench/src/slopes/slopesCommand.ts
+++ b/packages/bench/src/slopes/slopesCommand.ts
@@ -10,7 +10,7 @@
 
 const jsonIndent = 4;
 
-/** `bench slopes`: what control costs as the fleet grows, and what that comes to at the target size. */
+/** `bench slopes`: measures the cost of control as the fleet grows and projects it to the target size. */
 export const slopesCommand = defineCommand({
     meta: { name: "slopes", description: "Cost of membership, spreading and leases as the fleet doubles" },
     args: {
