--- a/packages/transport/src/PlainSendResult.ts
+++ b/packages/transport/src/PlainSendResult.ts
@@ -2,9 +2,9 @@
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 
-/** How a plain request ended for its caller. */
+/** Result of a plain request as its caller sees it. */
 export interface PlainSendResult {
     outcome: AttemptOutcome<PlainAnswer>;
-    /** Samplers tried, in order; the last one answered. */
+    /** Samplers tried, in order; the last one gave the outcome. */
     tried: SamplerId[];
 }
--- a/packages/transport/src/RetryBudget.ts
+++ b/packages/transport/src/RetryBudget.ts
@@ -1,9 +1,9 @@
-/** Bounds what retries and hedges add to the load. */
+/** Bounds the load that retries and hedges add. */
 export interface RetryBudget {
-    /** Counts a first attempt. */
+    /** Records a first attempt, which adds to the budget. */
     recordFirstAttempt(): void;
-    /** Takes one retry or hedge; false if none is left. */
+    /** Spends one retry or hedge; false if none is left. */
     tryTake(): boolean;
-    /** Retries left now. */
+    /** Whole retries that are currently available. */
     remaining(): number;
 }
--- a/packages/transport/src/SendGuards.ts
+++ b/packages/transport/src/SendGuards.ts
@@ -1,11 +1,11 @@
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 
-/** The checks that a sender's outcomes rest on; each returns true to let something pass. */
+/** Checks that decide the outcome a sender reports; each returns true to allow something. Fault tests replace them. */
 export interface SendGuards {
-    /** Only the incarnation that an attempt was sent to can vouch that it did not run. */
+    /** Only the incarnation that an attempt was sent to can prove that it did not run. */
     sameIncarnation(sentTo: IncarnationId | undefined, answered: IncarnationId): boolean;
-    /** Whether the sidecar would still remember an attempt sent this long ago. */
+    /** Whether the sidecar still has a record of an attempt that was sent this long ago. */
     withinMemory(ageMs: number): boolean;
-    /** Whether a request may be sent again after an attempt that may have run. */
+    /** Whether a request may be retried after an attempt that may have run. */
     repeatUnknown(idempotent: boolean): boolean;
 }
--- a/packages/transport/src/SendPlainDeps.ts
+++ b/packages/transport/src/SendPlainDeps.ts
@@ -6,14 +6,14 @@
 import type { RetryBudget } from "./RetryBudget.js";
 import type { SendGuards } from "./SendGuards.js";
 
-/** What `sendPlain` sends with. */
+/** Dependencies of `sendPlain`. */
 export interface SendPlainDeps {
-    /** Chooses a sampler other than those tried; undefined if none is left. Logs its own decision. */
+    /** Picks a sampler that has not been tried yet; undefined if none is left. Logs its own decision. */
     pick: (tried: SamplerId[]) => SamplerId | undefined;
     sidecar: (sampler: SamplerId) => SidecarPort;
     newAttempt: () => AttemptId;
     retryBudget: RetryBudget;
-    /** First attempt and retries together. */
+    /** Includes the first attempt. */
     maxAttempts: number;
     clock: Clock;
     logger: Logger;
--- a/packages/transport/src/SidecarTransport.ts
+++ b/packages/transport/src/SidecarTransport.ts
@@ -5,17 +5,17 @@
 import type { createIncarnationTracker } from "./createIncarnationTracker.js";
 import type { SendGuards } from "./SendGuards.js";
 
-/** What the calls to one sidecar share. */
+/** Connection state that all calls to one sidecar share. */
 export interface SidecarTransport {
     host: string;
     port: number;
     agent: Agent;
     clock: Clock;
     guards: SendGuards;
-    /** Headers of every message. */
+    /** Sent with every request. */
     commonHeaders: Record<string, string>;
     incarnations: ReturnType<typeof createIncarnationTracker>;
     query: (attempt: AttemptId) => Promise<AttemptState>;
-    /** Learns the sidecar's incarnation if none is known. Never rejects. */
+    /** Asks the sidecar for its incarnation if none is known. Never rejects. */
     learnIncarnation: () => Promise<void>;
 }
--- a/packages/transport/src/attemptStateSchema.ts
+++ b/packages/transport/src/attemptStateSchema.ts
@@ -1,7 +1,7 @@
 import type { AttemptState } from "@auburnarch/types/AttemptState";
 import { z } from "zod";
 
-/** A sidecar's word on an attempt as it arrives. */
+/** Attempt state as a sidecar reports it on the wire. */
 export const attemptStateSchema = z.object({
     incarnation: z.string().min(1).max(512),
     state: z.enum(["neverSeen", "refused", "running", "finished"]),
--- a/packages/transport/src/createHttpSidecar.ts
+++ b/packages/transport/src/createHttpSidecar.ts
@@ -25,21 +25,21 @@
     address: string;
     clock: Clock;
     guards?: SendGuards;
-    /** Proves this process to the sidecar; undefined where sidecars ask for none. */
+    /** Authenticates this process to the sidecar; undefined where sidecars require no token. */
     clusterToken?: string;
-    /** Makes agents that connect by TLS with this process's certificate; the address is then `https://ip:port`. */
+    /** Creates agents that connect over TLS with this process's certificate; the address is then `https://ip:port`. */
     createSecureAgent?: (options: AgentOptions) => Agent;
-    /** Connections kept open at most while idle. */
+    /** Maximum number of idle connections kept open. */
     maxIdleConnections?: number;
 }
 
 const queryTimeoutMs = 1_000;
 const reportTimeoutMs = 2_000;
-/** Longer than a sidecar may take for download, drain and load together. */
+/** Exceeds the time that a sidecar may take for download, drain and load together. */
 const orderTimeoutMs = 300_000;
 const defaultMaxIdleConnections = 64;
 
-/** Makes the port to a sidecar over HTTP. See `SidecarPort` for outcomes and errors. */
+/** Creates a client of a sidecar over HTTP. See `SidecarPort` for outcomes and errors. */
 export function createHttpSidecar(options: HttpSidecarOptions): HttpSidecar {
     const { clock, guards = defaultSendGuards } = options;
     const { createSecureAgent } = options;
@@ -67,7 +67,7 @@
         return report;
     }
 
-    /** Before the first attempt, so that there is an incarnation to hold to its word. */
+    /** Called before the first attempt: without a known incarnation no later answer could prove that nothing ran. */
     async function learnIncarnation(): Promise<void> {
         if (incarnations.current() === undefined) {
             pendingReport ??= readReport().catch(() => undefined).finally(() => {
--- a/packages/transport/src/createIncarnationTracker.ts
+++ b/packages/transport/src/createIncarnationTracker.ts
@@ -1,14 +1,14 @@
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 
 interface IncarnationTracker {
-    /** Notes the incarnation an answer came from. */
+    /** Records the incarnation that an answer came from. */
     record(incarnation: string | string[] | undefined): void;
     current(): IncarnationId | undefined;
 }
 
 /**
- * Remembers which incarnation of a sidecar answered last. An attempt is counted as sent to that one: if it is
- * another by the time a broken connection is asked about, nobody can vouch for the attempt.
+ * Tracks which incarnation of a sidecar answered last. An attempt counts as sent to that incarnation: if another one
+ * answers the query after a broken connection, it cannot prove that the attempt did not run.
  */
 export function createIncarnationTracker(): IncarnationTracker {
     let incarnation: IncarnationId | undefined;
--- a/packages/transport/src/createLineReader.ts
+++ b/packages/transport/src/createLineReader.ts
@@ -5,8 +5,9 @@
 const lineFeed = "\n";
 
 /**
- * Makes a function that takes bytes and passes on whole lines. Throws a `ResultError` of code `bodyTooLarge` once
- * a line grows beyond `maxLineChars`, so that an endless line cannot fill the memory.
+ * Creates a function that splits chunks of bytes into lines and passes each complete, non-empty line to `onLine`.
+ * Throws a `ResultError` with code `bodyTooLarge` once a line exceeds `maxLineChars`, so that an endless line cannot
+ * exhaust memory.
  */
 export function createLineReader(
     maxLineChars: number,
@@ -18,7 +19,7 @@
         const lines = (rest + decoder.write(Buffer.from(chunk))).split(lineFeed);
         rest = lines.pop() ?? "";
         if (rest.length > maxLineChars) {
-            throw new ResultError(resultCodes.bodyTooLarge, `a line of more than ${maxLineChars} characters`);
+            throw new ResultError(resultCodes.bodyTooLarge, `line exceeds ${maxLineChars} characters`);
         }
         lines.filter(line => line !== "").forEach(onLine);
     };
--- a/packages/transport/src/createPlainCaller.ts
+++ b/packages/transport/src/createPlainCaller.ts
@@ -15,11 +15,11 @@
 
 type Outcome = AttemptOutcome<PlainAnswer>;
 
-/** The sidecar gives up at the budget's end; its answer may take this much longer to arrive. */
+/** The sidecar times out at the end of the budget; its response may take this much longer to arrive. */
 const answerGraceMs = 1_000;
 const plainPrefix = "/plain";
 
-/** Makes `callPlain` over HTTP: bodies stream both ways, everything else travels in headers. */
+/** Implements `callPlain` over HTTP: the response body is streamed, everything besides bodies is sent in headers. */
 export function createPlainCaller(transport: SidecarTransport): SidecarPort["callPlain"] {
     const { clock } = transport;
 
@@ -79,7 +79,7 @@
     return timedOut ? resultCodes.deadlineWhileRunning : resultCodes.connectionBroken;
 }
 
-/** Undefined where only the sidecar can say what became of the attempt. */
+/** Undefined where the sidecar has to be queried for the state of the attempt. */
 function readOutcome(transport: SidecarTransport, exchange: HttpExchange): Outcome | undefined {
     if (exchange.kind === "broken") {
         return undefined;
@@ -105,7 +105,7 @@
         case "unknown":
             return { kind: "unknown", code };
         default:
-            // Answered below the gate, by the HTTP server: it does not say whether the gate saw the attempt.
+            // The HTTP server answered, not the sidecar's gate, so it is not known whether the gate saw the attempt.
             return undefined;
     }
 }
@@ -114,7 +114,7 @@
     return typeof value === "string" && value !== "" ? Number(value) : undefined;
 }
 
-/** Reads a short body that nobody wants, so that its connection can be used again. */
+/** Discards the short body of a refusal, so that its connection can be reused. */
 function drainBody(body: AsyncIterable<Uint8Array>): void {
     void (async () => {
         try {
@@ -123,7 +123,7 @@
             }
         }
         catch {
-            // The outcome was in the head.
+            // The headers already contained the outcome.
         }
     })();
 }
--- a/packages/transport/src/createRetryBudget.ts
+++ b/packages/transport/src/createRetryBudget.ts
@@ -3,18 +3,18 @@
 
 interface RetryBudgetOptions {
     clock: Clock;
-    /** Retries and hedges allowed for each first attempt; read anew each time, so that a manifest may change it. */
+    /** Retries and hedges allowed per first attempt; read on every call, because a new manifest may change it. */
     ratio: () => number;
 }
 
-/** Allowed whatever the traffic, so that a caller alone at night may retry as well. */
+/** Granted regardless of traffic, so that a caller can also retry when there are few requests. */
 const minRetriesPerSecond = 1;
-/** Saved up at most; a burst of failures after a calm time must not become a storm of retries. */
+/** Upper bound of unspent retries: a burst of failures after a quiet period must not become a retry storm. */
 const maxSavedRetries = 20;
 
 /**
- * Makes a retry budget, full at first. Without it every layer of an overloaded system repeats what failed, and
- * the repeats keep it overloaded after the cause is gone.
+ * Creates a retry budget that starts full. Without it every layer of an overloaded system retries what failed, and
+ * the retries keep the system overloaded after the cause is gone.
  */
 export function createRetryBudget(options: RetryBudgetOptions): RetryBudget {
     const { clock } = options;
--- a/packages/transport/src/createRpcClient.ts
+++ b/packages/transport/src/createRpcClient.ts
@@ -18,14 +18,14 @@
     headers?: Record<string, string>;
 }
 
-/** Calls a method of another process of ours; rejects with a `ResultError`. */
+/** Calls a method of another process of this system; rejects with a `ResultError`. */
 type CallRpc = (method: string, params: unknown, timeoutMs: number) => Promise<unknown>;
 
 const neverAborted = new AbortController().signal;
 setMaxListeners(0, neverAborted);
 const maxAnswerBytes = 4_194_304;
 
-/** Makes JSON-RPC calls over POST. Transport faults reject with code `sidecarUnreachable`. */
+/** Creates a JSON-RPC client over HTTP POST. Transport faults reject with code `sidecarUnreachable`. */
 export function createRpcClient(options: RpcClientOptions): CallRpc {
     const { host, port, agent, clock, path = "/rpc" } = options;
     const headersOf = (body: Uint8Array): Record<string, string> => ({
@@ -52,9 +52,9 @@
     return async (method, params, timeoutMs) => {
         const client = new JSONRPCClient(async (payload: { id?: unknown; }) => {
             const answer = await post(payload, timeoutMs);
-            // What another program at a reused address says answers no call: the client would wait for ever.
+            // Another program may listen at a reused address. The client would ignore its answer and wait forever.
             if (!(answer instanceof Object) || !isJSONRPCResponse(answer) || answer.id !== payload.id) {
-                throw new ResultError(resultCodes.sidecarUnreachable, "no answer to the call");
+                throw new ResultError(resultCodes.sidecarUnreachable, "response does not match the call");
             }
             client.receive(answer);
         });
@@ -74,6 +74,6 @@
     if (error instanceof JSONRPCErrorException && error.code > 0) {
         return new ResultError(codeByNumber(error.code), error.message);
     }
-    const detail = error instanceof Error ? error.message : "no answer";
+    const detail = error instanceof Error ? error.message : "no response";
     return new ResultError(resultCodes.sidecarUnreachable, detail);
 }
--- a/packages/transport/src/createSampleCaller.ts
+++ b/packages/transport/src/createSampleCaller.ts
@@ -21,16 +21,16 @@
 type Outcome = AttemptOutcome<SampleAnswer>;
 
 interface SampleCallerDeps extends SidecarTransport {
-    /** Asks the sidecar to end the attempt and to answer with what was made. */
+    /** Asks the sidecar to end the attempt and to return what was generated so far. */
     cancel: (attempt: AttemptId) => Promise<void>;
 }
 
-/** A cancelled attempt has this long to answer with what was made. */
+/** How long a cancelled attempt may take to return what was generated. */
 const cancelGraceMs = 3_000;
 const answerGraceMs = 5_000;
 const maxLineChars = 1_048_576;
 
-/** Makes `runSample` over HTTP: the answer is a line of JSON for each span and one for the outcome. */
+/** Implements `runSample` over HTTP: the response has one line of JSON for each span and one for the outcome. */
 export function createSampleCaller(deps: SampleCallerDeps): SidecarPort["runSample"] {
     const { clock } = deps;
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Undefined where the connection broke and the sidecar has to be asked. */
+    /** Undefined where the connection broke and the sidecar has to be queried. */
     async function exchange(
         attempt: SampleAttempt,
         onSpan: (span: TokenSpan) => void,
@@ -116,7 +116,7 @@
                 .with({ kind: "ran" }, ran => {
                     const isComplete = ran.streamedSpans === assembler.addedSpans()
                         && ran.streamedTokens === assembler.addedTokens();
-                    // A stream with a gap is as good as a broken one.
+                    // A stream with missing spans is handled like a broken connection.
                     return isComplete ? { kind: "ran", answer: answerOf(ran) } : undefined;
                 })
                 .with({ kind: "notRun" }, refused => ({
--- a/packages/transport/src/defaultSendGuards.ts
+++ b/packages/transport/src/defaultSendGuards.ts
@@ -1,7 +1,7 @@
 import { attemptRetentionMs } from "@auburnarch/types/attemptRetentionMs";
 import type { SendGuards } from "./SendGuards.js";
 
-/** The guards in force outside the fault bench. */
+/** Guards used in production; only the fault bench replaces them. */
 export const defaultSendGuards: SendGuards = {
     sameIncarnation: (sentTo, answered) => sentTo === answered,
     withinMemory: ageMs => ageMs < attemptRetentionMs,
--- a/packages/transport/src/digestContent.ts
+++ b/packages/transport/src/digestContent.ts
@@ -1,16 +1,16 @@
 import type { ContentDigest } from "@auburnarch/types/ContentDigest";
 import { createHash } from "node:crypto";
 
-/** What a request asks to run, and of whom. */
+/** The parts of a request that determine what is executed, and where. */
 interface RequestContent {
-    /** The service or host that it is for. */
+    /** Service or host that the request is addressed to. */
     target: string;
     method: string;
     path: string;
     body: Uint8Array;
 }
 
-/** Digest of what a request asks to run, the same whatever its id, headers and caller. */
+/** Content digest of a request; independent of its id, headers and caller. */
 export function digestContent({ target, method, path, body }: RequestContent): ContentDigest {
     const hash = createHash("sha256");
     hash.update(`${target}\n${method}\n${path}\n`);
--- a/packages/transport/src/exchangeHttp.ts
+++ b/packages/transport/src/exchangeHttp.ts
@@ -17,25 +17,28 @@
     path: string;
     headers: Record<string, string | string[]>;
     body: Uint8Array | undefined;
-    /** Gives the call up: the connection is destroyed, and a body being read rejects. */
+    /** Aborts the call: the connection is destroyed, and a body that is being read rejects. */
     signal: AbortSignal;
-    /** The same after this time, answer body included. */
+    /** Aborts the call in the same manner after this time; includes reading the response body. */
     timeoutMs: number;
 }
 
-/** A VM that is gone answers nothing at all; without this the whole budget would be spent on it. */
+/** A removed VM does not answer at all; without this limit the whole request budget would be spent on it. */
 const connectTimeoutMs = 1_000;
 
-/** Sends one request and resolves with the head of its answer. Never rejects; the body of a cut answer does. */
+/**
+ * Sends one request and resolves with the status and headers of its response. Never rejects; the body of a truncated
+ * response does.
+ */
 export function exchangeHttp(call: HttpCall): Promise<HttpExchange> {
     if (call.signal.aborted) {
-        return Promise.resolve({ kind: "notWritten", detail: "given up before it was sent" });
+        return Promise.resolve({ kind: "notWritten", detail: "aborted before it was sent" });
     }
     return new Promise(resolve => {
         let connected = false;
         let timedOut = false;
         const request = startRequest(call);
-        const abortRequest = (): void => void request.destroy(new Error("given up"));
+        const abortRequest = (): void => void request.destroy(new Error("aborted"));
         call.signal.addEventListener("abort", abortRequest);
         const cancelTimer = call.clock.startTimer(call.timeoutMs, () => {
             timedOut = true;
@@ -75,13 +78,13 @@
     return httpRequest({ agent, protocol, host, port, method, path, headers });
 }
 
-/** Over TLS nothing of a request is sent before the handshake has ended. */
+/** Over TLS nothing of a request is sent before the handshake is complete. */
 function isConnected(socket: Socket): boolean {
     const isReady = !(socket instanceof TLSSocket) || socket.getFinished() !== undefined;
     return !socket.connecting && isReady;
 }
 
-/** The body of an answer; it rejects if the connection ends before the message does. */
+/** Streams the body of a response; it rejects if the connection ends before the message does. */
 function readMessage(
     request: ClientRequest,
     message: IncomingMessage,
@@ -98,7 +101,7 @@
     });
     const failBody = (): void => {
         release();
-        stream.fail(new ResultError(resultCodes.connectionBroken, "the answer was cut short"));
+        stream.fail(new ResultError(resultCodes.connectionBroken, "response body was truncated"));
     };
     message.once("end", () => {
         release();
--- a/packages/transport/src/internalHeaderPrefix.ts
+++ b/packages/transport/src/internalHeaderPrefix.ts
@@ -1,2 +1,2 @@
-/** Headers with this prefix belong to the system and never pass from one side to the other. */
+/** Prefix of headers that are internal to the system and never forwarded between callers and backend servers. */
 export const internalHeaderPrefix = "x-auburnarch-";
--- a/packages/transport/src/parseAddress.ts
+++ b/packages/transport/src/parseAddress.ts
@@ -1,7 +1,10 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
 
-/** Splits `http://ip:port`, or `https://…` where TLS is used. Throws a `ResultError` of code `settingsInvalid` for anything else. */
+/**
+ * Parses `http://ip:port`, or `https://…` where TLS is used. Throws a `ResultError` with code `settingsInvalid` for
+ * anything else.
+ */
 export function parseAddress(address: string, secure = false): { host: string; port: number; } {
     const protocol = secure ? "https:" : "http:";
     const url = URL.canParse(address) ? new URL(address) : undefined;
--- a/packages/transport/src/pauseAfterBreaks.ts
+++ b/packages/transport/src/pauseAfterBreaks.ts
@@ -1,6 +1,6 @@
 /**
- * After so many attempts in a row that broke off, a content most likely kills what runs it. Where samplers crash or are
- * cut off for other reasons most contents break off once.
+ * After this many consecutive broken attempts, the content most likely crashes the samplers that run it. When samplers
+ * crash or are disconnected for other reasons, most contents break only once.
  */
 const breaksBeforePause = 3;
 const firstPauseMs = 1_000;
@@ -8,9 +8,10 @@
 const maxPauseMs = 3_600_000;
 
 /**
- * How long a content waits before its next attempt, after so many in a row that broke off with nothing made. Without it
- * a content that kills samplers takes down each one as soon as it is back, with what runs beside it. Pauses that grow
- * leave it few retries, and cost one that is harmless a second.
+ * Returns how long a content waits before its next attempt, after `breaks` consecutive attempts that broke without any
+ * output. Without the pause, a crash-inducing request takes down each sampler as soon as it has restarted, together
+ * with the requests that run beside it. Growing pauses leave such a request few retries and cost a harmless one a
+ * second.
  */
 export function pauseAfterBreaks(breaks: number): number {
     return breaks < breaksBeforePause
--- a/packages/transport/src/resolveBrokenAttempt.test.ts
+++ b/packages/transport/src/resolveBrokenAttempt.test.ts
@@ -19,7 +19,7 @@
     const query = async (): Promise<AttemptState> => {
         queries++;
         if (state === "silent") {
-            throw new Error("no answer");
+            throw new Error("no response");
         }
         return { incarnation: incarnation as IncarnationId, state };
     };
@@ -29,8 +29,8 @@
     return `${outcome.kind} asked=${queries}`;
 }
 
-test("only never seen and refused, from the same incarnation and in time, prove that nothing ran", async () => {
-    // Guards against: "not run" is said of something that ran.
+test("only neverSeen and refused, from the same incarnation and within its memory, yield notRun", async () => {
+    // Guards against reporting `notRun` for an attempt that ran.
     expect({
         neverSeen: await resolve("neverSeen", "one"),
         refused: await resolve("refused", "one"),
--- a/packages/transport/src/resolveBrokenAttempt.ts
+++ b/packages/transport/src/resolveBrokenAttempt.ts
@@ -10,13 +10,13 @@
 
 interface BrokenAttempt {
     attempt: AttemptId;
-    /** Incarnation that the attempt was sent to; undefined where it was not known beforehand. */
+    /** Incarnation that the attempt was sent to; undefined if it was not known at that time. */
     sentTo: IncarnationId | undefined;
     sentAtMs: number;
     clock: Clock;
     /** `queryAttempt` of the same sidecar; may reject. */
     query: (attempt: AttemptId) => Promise<AttemptState>;
-    /** Code of an outcome that stays unknown. */
+    /** Code used if the outcome remains unknown. */
     code?: ResultCode;
     guards?: SendGuards;
 }
@@ -25,8 +25,9 @@
 const queryPauseMs = 150;
 
 /**
- * Finds out what became of an attempt whose connection broke. Only "never seen" (which leaves a tombstone there)
- * and "refused", from the incarnation it was sent to and within its memory, prove that it did not run.
+ * Queries the sidecar for the state of an attempt whose connection broke. Only `neverSeen` (the query then leaves a
+ * tombstone in the sidecar) and `refused` prove that it did not run, and only if they come from the incarnation that
+ * the attempt was sent to, while that still has a record of it.
  */
 export async function resolveBrokenAttempt(broken: BrokenAttempt): Promise<AttemptOutcome<never>> {
     const guards = broken.guards ?? defaultSendGuards;
--- a/packages/transport/src/sampleAttemptSchema.ts
+++ b/packages/transport/src/sampleAttemptSchema.ts
@@ -5,7 +5,7 @@
 const name = z.string().min(1).max(512);
 const nonNegativeInteger = z.number().int().nonnegative();
 
-/** A sample attempt as it arrives from another process; unknown keys are refused. */
+/** Sample attempt as received from another process; unknown keys are rejected. */
 export const sampleAttemptSchema = z.strictObject({
     attempt: name,
     sample: name,
--- a/packages/transport/src/sampleLineSchema.ts
+++ b/packages/transport/src/sampleLineSchema.ts
@@ -2,7 +2,7 @@
 
 const tokens = z.number().int().nonnegative();
 
-/** One line of a sample's answer: spans, then exactly one outcome. Without the outcome the stream was cut short. */
+/** One line of a sample's response: spans, then exactly one outcome. Without an outcome the stream is truncated. */
 export const sampleLineSchema = z.discriminatedUnion("kind", [
     z.object({ kind: z.literal("span"), version: tokens, tokens, text: z.string() }),
     z.object({
@@ -11,7 +11,7 @@
         complete: z.boolean(),
         engineMs: z.number(),
         cachedPromptTokens: z.number(),
-        /** Spans and tokens streamed before, for the receiver to compare. */
+        /** Number of spans and tokens streamed before this line, with which the receiver detects missing ones. */
         streamedSpans: tokens,
         streamedTokens: tokens,
     }),
--- a/packages/transport/src/samplerOrderSchema.ts
+++ b/packages/transport/src/samplerOrderSchema.ts
@@ -20,7 +20,7 @@
     }),
 ]);
 
-/** An order as it arrives from another process. */
+/** Sampler order as received from another process; unknown keys are rejected. */
 export const samplerOrderSchema = z.strictObject({
     scope: name,
     order: engineOrder,
--- a/packages/transport/src/samplerReportSchema.ts
+++ b/packages/transport/src/samplerReportSchema.ts
@@ -6,7 +6,7 @@
 const nonNegativeInteger = z.number().int().nonnegative();
 const nonNegativeNumber = z.number().nonnegative();
 
-/** A sidecar's report as it arrives; later releases may add keys, which are dropped. */
+/** Sampler report as received from a sidecar; unknown keys are dropped, because later releases may add some. */
 export const samplerReportSchema = z.object({
     sampler: name,
     vm: name,
--- a/packages/transport/src/sendPlain.test.ts
+++ b/packages/transport/src/sendPlain.test.ts
@@ -30,7 +30,7 @@
     budgetMs: 1_000,
 });
 
-/** Sends to samplers that answer with `outcomes` in turn; says what was told to the caller after how many tries. */
+/** Sends to samplers that return `outcomes` in turn; returns the caller's outcome and the number of attempts. */
 async function send(outcomes: Outcome[], idempotent: boolean, retries = 20): Promise<string> {
     const clock = createFakeClock();
     const budget = createRetryBudget({ clock, ratio: () => 0 });
@@ -52,7 +52,7 @@
     return `${outcome.kind} ${outcome.kind === "ran" ? "" : outcome.code.name} tries=${sent.tried.length}`;
 }
 
-test("what did not run is sent elsewhere; what may have run only if it is idempotent", async () => {
+test("an attempt that did not run is retried elsewhere; one that may have run only if it is idempotent", async () => {
     expect({
         refusedThenRan: await send([notRun, ran], false),
         unknownOnce: await send([unknown, ran], false),
@@ -76,7 +76,7 @@
     `);
 });
 
-test("retries stay within their part of the first attempts, with a small floor", async () => {
+test("retries are limited to a ratio of the first attempts, plus a small rate over time", async () => {
     const clock = createFakeClock();
     const budget = createRetryBudget({ clock, ratio: () => 0.1 });
     let retries = 0;
--- a/packages/transport/src/sendPlain.ts
+++ b/packages/transport/src/sendPlain.ts
@@ -10,13 +10,13 @@
 
 type Failure = Exclude<AttemptOutcome<PlainAnswer>, { kind: "ran"; }>;
 
-/** Told to a caller whose request was given up without another time to wait for. */
+/** Returned to the caller of an abandoned request if no sampler stated a delay. */
 const defaultRetryAfterMs = 1_000;
 
-/** A content that killed so many samplers is not tried on one more: within moments it could kill all of them. */
+/** A content that crashed this many samplers is not retried: it could crash all of them within moments. */
 const maxCrashes = 2;
 
-/** Refusals of the request itself: another sampler would say the same. */
+/** Refusals that concern the request itself; another sampler would refuse it too. */
 const finalCodes = new Set<ResultCode>([
     resultCodes.badRequest,
     resultCodes.bodyTooLarge,
@@ -26,9 +26,10 @@
 ]);
 
 /**
- * Sends a plain request; the only layer that retries. What did not run is sent elsewhere, what may have run only if
- * it is idempotent, both within the retry budget and the deadline. Once an answer has begun nothing is retried.
- * If an attempt may have run, the final outcome is never "not run", whatever the later ones said.
+ * Sends a plain request; the only layer that retries. A request that did not run is retried on another sampler, one
+ * that may have run only if it is idempotent, in both cases within the retry budget and the deadline. Nothing is
+ * retried once a response has begun. If any attempt may have run, the final outcome is never `notRun`, whatever later
+ * attempts returned.
  */
 export async function sendPlain(
     request: Omit<PlainRequest, "attempt">,
--- a/packages/transport/src/sidecarHeaders.ts
+++ b/packages/transport/src/sidecarHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers between the system's own processes; everything else passes through. */
+/** Headers used between processes of this system; all others are forwarded unchanged. */
 export const sidecarHeaders = {
     attempt: "x-auburnarch-attempt",
     service: "x-auburnarch-service",
@@ -6,13 +6,13 @@
     budgetMs: "x-auburnarch-budget-ms",
     idempotent: "x-auburnarch-idempotent",
     digest: "x-auburnarch-digest",
-    /** `1` for the one run that a refused content is allowed. */
+    /** `1` for the trial run of a quarantined content. */
     trial: "x-auburnarch-trial",
-    /** `ran`, `notRun` or `unknown`; an answer without it was not made by a sidecar's gate. */
+    /** `ran`, `notRun` or `unknown`; a response without it does not come from a sidecar's gate. */
     outcome: "x-auburnarch-outcome",
     code: "x-auburnarch-code",
     retryAfterMs: "x-auburnarch-retry-after-ms",
-    /** Proves the system's processes to each other. */
+    /** Authenticates the processes of the system to each other. */
     clusterToken: "x-auburnarch-cluster-token",
     incarnation: "x-auburnarch-incarnation",
 } as const;
--- a/packages/transport/src/toForwardedHeaders.ts
+++ b/packages/transport/src/toForwardedHeaders.ts
@@ -15,7 +15,10 @@
     "upgrade",
 ]);
 
-/** Headers that go on to the next hop. Several `set-cookie` values are joined by line feeds, which none may hold. */
+/**
+ * Returns the headers that are forwarded to the next hop. Multiple `set-cookie` values are joined by line feeds, which
+ * a header value cannot contain.
+ */
 export function toForwardedHeaders(headers: IncomingHttpHeaders): Record<string, string> {
     const forwarded: Record<string, string> = {};
     for (const name in headers) {
--- a/packages/transport/src/usageCountersSchema.ts
+++ b/packages/transport/src/usageCountersSchema.ts
@@ -3,7 +3,7 @@
 
 const name = z.string().max(512);
 
-/** Usage counters as they arrive from another process. */
+/** Usage counters as received from another process. */
 export const usageCountersSchema = z.array(z.object({
     sampler: name,
     incarnation: name,
