--- a/packages/lease/src/LeaseDeps.ts
+++ b/packages/lease/src/LeaseDeps.ts
@@ -5,21 +5,21 @@
 import type { Random } from "@auburnarch/types/Random";
 import type { LeaseGuards } from "./LeaseGuards.js";
 
-/** What leases are kept with. */
+/** Dependencies and settings of a `LeaseManager`. */
 export interface LeaseDeps {
     store: ObjectStore;
     clock: Clock;
     random: Random;
     logger: Logger;
     invariants: Invariants;
-    /** Name under which this process holds leases, shown to operators. */
+    /** Name of this process as a lease holder, shown to operators. */
     holder: string;
     /**
-     * True if holder names are bound to a VM on which one process at a time runs. A lease that names this holder was
-     * then held by an earlier process, which is gone, and is taken up at once instead of after its term.
+     * True if holder names are bound to a VM that runs one process at a time. A lease that names this holder then
+     * belongs to an earlier process, which has ended, and is acquired at once instead of after its term.
      */
     resumesOwnLeases?: boolean;
-    /** Term of a lease without renewal; 10 s by default, renewed every third of it. */
+    /** How long a lease lasts without renewal; 10 s by default, renewed after each third of it. */
     ttlMs?: number;
     guards?: LeaseGuards;
 }
--- a/packages/lease/src/LeaseGuards.ts
+++ b/packages/lease/src/LeaseGuards.ts
@@ -1,7 +1,7 @@
-/** The two judgements of time that keep a lease with one holder at a time. */
+/** The two time checks that together ensure a single holder of a lease at a time. Fault tests replace them. */
 export interface LeaseGuards {
-    /** Holder's side: whether it still holds, `ageMs` after the last confirmed renewal was sent. */
+    /** On the holder: whether the lease is still valid `ageMs` after the last confirmed renewal was sent. */
     isWithinLease(ageMs: number, ttlMs: number): boolean;
-    /** Observer's side: how long it must have seen no change before it may take over. */
+    /** On an observer: how long the lease must have been unchanged before it may be taken over. */
     takeOverAfterMs(ttlMs: number): number;
 }
--- a/packages/lease/src/LeaseManager.ts
+++ b/packages/lease/src/LeaseManager.ts
@@ -1,19 +1,20 @@
 import type { Lease } from "@auburnarch/types/Lease";
 import type { StoredObject } from "@auburnarch/types/StoredObject";
 
-/** Acquires leases and watches those of others. */
+/** Acquires leases and observes those of other holders. */
 export interface LeaseManager {
     /**
-     * One try. Undefined while another holds the lease, or until it was seen unchanged for its whole term, which
-     * takes at least two tries or observations. Rejects with `storeUnavailable` or `storeThrottled`.
+     * Makes one attempt. Undefined while the lease is held by another, which is assumed until it has been observed
+     * unchanged for its whole term; that takes at least two attempts or observations. Rejects with `storeUnavailable`
+     * or `storeThrottled`.
      */
     tryAcquire(key: string): Promise<Lease | undefined>;
-    /** Tries until the lease is acquired; undefined once `signal` is aborted. */
+    /** Repeats attempts until the lease is acquired; undefined once `signal` is aborted. */
     acquire(key: string, signal: AbortSignal): Promise<Lease | undefined>;
-    /** Feeds a lease's object seen elsewhere, such as by one watch over all leases. */
+    /** Records a lease object that was read elsewhere, such as by a single watch over all leases. */
     observe(object: StoredObject): void;
-    /** Holder last seen, and for how long its lease has not changed; undefined where none was seen. */
+    /** Last observed holder, and how long its lease has been unchanged; undefined if the lease was never observed. */
     lastObserved(key: string): { holder: string | undefined; unchangedMs: number; } | undefined;
-    /** Releases every lease held, for a graceful shutdown. */
+    /** Releases all held leases, for a graceful shutdown. */
     releaseAll(): Promise<void>;
 }
--- a/packages/lease/src/LeaseValue.ts
+++ b/packages/lease/src/LeaseValue.ts
@@ -1,10 +1,10 @@
 import type { WriteStamp } from "@auburnarch/store/WriteStamp";
 
-/** Value of a lease's object. */
+/** Value of a lease object in the object API. */
 export interface LeaseValue {
     /** Undefined once released. */
     holder: string | undefined;
-    /** Undefined in the write that acquires: the number is then the object's version. */
+    /** Undefined in the write that acquires the lease: the fencing number is then the object's version. */
     fencing: number | undefined;
     ttlMs: number;
     stamp: WriteStamp;
--- a/packages/lease/src/createFencingReader.ts
+++ b/packages/lease/src/createFencingReader.ts
@@ -4,7 +4,10 @@
 import { fencingOf } from "./fencingOf.js";
 import { jobLeaseKey } from "./jobLeaseKey.js";
 
-/** Reads a job lease's present number from the object API; rejects while that is down. 0 before the first owner. */
+/**
+ * Creates a reader of the current fencing number of a job's lease, 0 before the first owner. It rejects while the
+ * object API is unavailable.
+ */
 export function createFencingReader(store: ObjectStore): (job: JobId) => Promise<FencingNumber> {
     return async job => fencingOf(await store.read(jobLeaseKey(job)));
 }
--- a/packages/lease/src/createHeldLease.ts
+++ b/packages/lease/src/createHeldLease.ts
@@ -8,14 +8,14 @@
 import type { LeaseValue } from "./LeaseValue.js";
 import { parseLeaseValue } from "./parseLeaseValue.js";
 
-/** A lease just acquired. */
+/** A newly acquired lease. */
 interface AcquiredLease {
     key: string;
     fencing: FencingNumber;
     version: ObjectVersion;
-    /** Monotonic time before the acquiring write was sent. */
+    /** Monotonic time just before the acquiring write was sent. */
     sentAtMs: number;
-    /** Writer of the acquiring write's stamp; renewals go on with the next sequence. */
+    /** Writer in the stamp of the acquiring write; renewals use the following sequence numbers. */
     writer: string;
     ttlMs: number;
     isFirst: boolean;
@@ -28,12 +28,12 @@
 const jitterRatio = 0.1;
 const maxReleaseAttempts = 2;
 
-/** Keeps an acquired lease by renewing it, until it is released or another holder is seen. */
+/** Renews an acquired lease until it is released or another holder is observed. */
 export function createHeldLease(deps: LeaseDeps, acquired: AcquiredLease): Lease {
     const { store, clock, random, logger, guards = defaultLeaseGuards } = deps;
     const { key, fencing, writer, ttlMs } = acquired;
     const lost = new AbortController();
-    /** When each write not yet known to stand was sent, by sequence. */
+    /** Send times of writes that are not confirmed yet, by sequence. */
     const sentAtMs = new Map<number, number>();
     let version = acquired.version;
     let confirmedSentAtMs = acquired.sentAtMs;
@@ -62,7 +62,7 @@
         acquired.onEnd();
     }
 
-    /** True if the write stands. A conflict with our own writer is an earlier write whose answer was lost. */
+    /** True if the write took effect. A conflict with our own writer shows an earlier write whose response was lost. */
     function settleRenewal(sent: number, outcome: WriteOutcome): boolean {
         if (outcome.kind === "written") {
             confirm(sent, outcome.version);
@@ -85,7 +85,7 @@
             return !isEnded() && settleRenewal(sent, outcome);
         }
         catch {
-            // Whether it took effect is unknown; the next try's conflict tells. Until then the lease ages.
+            // Whether it took effect is unknown until the next attempt's conflict shows it. Until then the lease ages.
             return false;
         }
     }
@@ -125,7 +125,7 @@
         released = true;
         cancelTimer();
         acquired.onEnd();
-        // If no try is answered, the lease ends by its term: slower for the next holder, never wrong.
+        // If no attempt is answered, the lease expires after its term: the next holder waits longer, but stays safe.
         for (let attempts = 0; attempts < maxReleaseAttempts; attempts++) {
             const value = nextValue(undefined);
             const sent = sequence;
@@ -137,7 +137,7 @@
         }
     }
 
-    /** True if nothing is left to release. */
+    /** True if the lease is released or no longer ours. */
     function settleRelease(sent: number, outcome: WriteOutcome): boolean {
         if (outcome.kind === "written") {
             return true;
--- a/packages/lease/src/createLeaseManager.ts
+++ b/packages/lease/src/createLeaseManager.ts
@@ -14,11 +14,11 @@
 import type { LeaseValue } from "./LeaseValue.js";
 import { parseLeaseValue } from "./parseLeaseValue.js";
 
-/** An acquiring write, whose answer may be lost. */
+/** A write that acquires a lease; its response may be lost. */
 interface Acquisition {
     writer: string;
     sentAtMs: number;
-    /** Whether it was sent for a key that had no object. */
+    /** True if the key had no object when the write was sent. */
     isFirst: boolean;
     found: NonNullable<Lease["found"]>;
 }
@@ -36,7 +36,7 @@
     return parseLeaseValue(object.value)?.holder === undefined ? "released" : "lapsed";
 }
 
-/** Makes the keeper of a process's leases over the object API; see `docs/design/03-leases.md`. */
+/** Creates the manager of a process's leases in the object API; see `docs/design/03-leases.md`. */
 export function createLeaseManager(deps: LeaseDeps): LeaseManager {
     const { store, clock, random, logger, invariants } = deps;
     const { ttlMs = defaultTtlMs, guards = defaultLeaseGuards } = deps;
@@ -76,7 +76,7 @@
         return lease;
     }
 
-    /** The lease that an unanswered write of ours turned out to have acquired. */
+    /** Returns the lease if `object` shows that an unanswered write of this process acquired it. */
     function adopt(key: string, object: StoredObject | undefined): Lease | undefined {
         const pending = unresolved.get(key);
         const stamp = parseLeaseValue(object?.value)?.stamp;
@@ -129,7 +129,7 @@
     async function attemptAcquire(key: string): Promise<Lease | undefined> {
         const existing = held.get(key);
         if (existing !== undefined) {
-            // One that lapsed goes on trying to renew itself.
+            // A lapsed lease keeps trying to renew itself.
             return existing.isHeld() ? existing : undefined;
         }
         const object = await store.read(key);
@@ -146,7 +146,7 @@
         return writeOrReadBack(key, known.object?.version ?? absent, foundIn(known.object, isOwnEarlier));
     }
 
-    /** Two tries at once in one process would race each other for nothing. */
+    /** Joins a running attempt: two concurrent attempts of one process would only race each other. */
     function tryAcquire(key: string): Promise<Lease | undefined> {
         const running = pendingAttempts.get(key);
         if (running !== undefined) {
--- a/packages/lease/src/createLeaseObserver.ts
+++ b/packages/lease/src/createLeaseObserver.ts
@@ -3,24 +3,24 @@
 import type { LeaseGuards } from "./LeaseGuards.js";
 import { parseLeaseValue } from "./parseLeaseValue.js";
 
-/** A lease as this process last saw it, with the monotonic time at which it saw it change. */
+/** A lease as last observed by this process, with the monotonic time at which its change was observed. */
 interface ObservedLease {
     object: StoredObject | undefined;
     changedAtMs: number;
 }
 
 interface LeaseObserver {
-    /** Takes what a read or a watch showed, unless something newer was seen; returns what holds now. */
+    /** Records the result of a read or watch unless a newer version is known; returns the newest observation. */
     record(key: string, object: StoredObject | undefined): ObservedLease;
-    /** Takes what a refused write showed, which is always the present. */
+    /** Records the object returned by a conflicting write, which is always the current one. */
     replace(key: string, object: StoredObject | undefined): void;
     forget(key: string): void;
     observed(key: string): ObservedLease | undefined;
-    /** Milliseconds until the lease may be taken, if it does not change before; 0 for a free one. */
+    /** Milliseconds until the lease may be taken over if it does not change; 0 if it is free. */
     availableInMs(lease: ObservedLease): number;
 }
 
-/** Judges the age of others' leases on this process's monotonic clock, from when it saw each change. */
+/** Measures the age of other holders' leases on this process's monotonic clock, from when each change was observed. */
 export function createLeaseObserver(clock: Clock, guards: LeaseGuards, defaultTtlMs: number): LeaseObserver {
     const leases = new Map<string, ObservedLease>();
 
@@ -34,7 +34,7 @@
         record: (key, object) => {
             const known = leases.get(key);
             const isNewer = known?.object === undefined || (object?.version ?? 0) > known.object.version;
-            // A lagging replica or a late answer may show the past; it must not restart the count.
+            // A lagging replica or a late response may return an older version, which must not restart the timer.
             return known === undefined || isNewer ? replace(key, object) : known;
         },
         replace,
--- a/packages/lease/src/createLeaseWaiter.ts
+++ b/packages/lease/src/createLeaseWaiter.ts
@@ -10,15 +10,15 @@
     tryAcquire: (key: string) => Promise<Lease | undefined>;
 }
 
-/** Tries until the lease is acquired; undefined once the signal is aborted. */
+/** Repeats attempts until the lease is acquired; undefined once the signal is aborted. */
 type AcquireLease = (key: string, signal: AbortSignal) => Promise<Lease | undefined>;
 
 const retriesPerTerm = 3;
-/** Waiters draw a delay of up to this fraction of the term, so that few race for a lease that lapsed. */
+/** Waiters add a random delay of up to the term divided by this, so that few of them race for an expired lease. */
 const jitterDivisor = 20;
 const startRevision = 0 as ObjectVersion;
 
-/** Waits for a lease with one watch a change, and reads only when it may be free. */
+/** Waits for a lease with one watch per change, and reads it only when it may be free. */
 export function createLeaseWaiter(deps: LeaseWaiterDeps): AcquireLease {
     const { store, clock, random, observer, ttlMs, tryAcquire } = deps;
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Waits until the lease may be free: a change is told by the watch, a lapse by the time. */
+    /** Waits until the lease may be free: the watch reports a change, the timeout covers an expiry. */
     async function waitUntilAvailable(
         key: string,
         since: ObjectVersion,
@@ -65,7 +65,7 @@
             if (lease !== undefined) {
                 return lease;
             }
-            // Watching on from the last revision, a change is told once and the loop cannot spin on it.
+            // Continuing from the last revision reports each change once, so that the loop cannot spin on it.
             revision = await waitUntilAvailable(key, revision, signal);
         }
         return undefined;
--- a/packages/lease/src/leaseCost.test.ts
+++ b/packages/lease/src/leaseCost.test.ts
@@ -52,7 +52,7 @@
     return { min: at(0), p50: at(0.5), max: at(1) };
 };
 
-test("how long a job is without a holder, and what a lease costs the object API", async () => {
+test("time without a holder and object API calls per lease match the snapshot", async () => {
     const seeds = Array.from({ length: 100 }, (_, n) => n + 1);
     const afterDeathMs = [];
     const afterReleaseMs = [];
--- a/packages/lease/src/leases.test.ts
+++ b/packages/lease/src/leases.test.ts
@@ -17,7 +17,7 @@
 const ttlMs = 10_000;
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 const fail = (): never => {
-    throw new Error("promise broken");
+    throw new Error("invariant violated");
 };
 
 function createFixture(latencyMs = 2) {
@@ -54,8 +54,8 @@
 
 const neverAborted = new AbortController().signal;
 
-test("a holder paused past its term wakes without the lease, and its renewal is refused", async () => {
-    // Guards against: two owners order swaps.
+test("a holder paused beyond its term resumes without the lease, and its renewal is refused", async () => {
+    // Guards against two owners that both order swaps.
     const { clock, store, manager: keeper, keeperOn } = createFixture();
     const process = createPausableProcess(clock, store);
     const first = await settle(clock, keeperOn(process.store, process.clock).acquire(key, neverAborted));
@@ -71,8 +71,8 @@
     expect(second!.isHeld()).toBe(true);
 });
 
-test("an acquisition whose answer was lost is found by reading back, with the same number", async () => {
-    // Guards against: a job without an owner for a whole term.
+test("an acquisition whose response was lost is found by reading back, with the same fencing number", async () => {
+    // Guards against a job that has no owner for a whole term.
     const { clock, control, manager: keeper } = createFixture();
     control.loseAnswers(1);
     const lease = await settle(clock, keeper().acquire(key, neverAborted));
@@ -81,7 +81,7 @@
     expect(lease!.fencing).toBe(control.revision());
 });
 
-test("an acquisition that only the watch shows, after an outage, is adopted", async () => {
+test("an acquisition that only the watch reveals after an outage is adopted", async () => {
     const { clock, control, manager: keeper } = createFixture();
     control.loseAnswers(1);
     const waiting = keeper().acquire(key, neverAborted);
@@ -95,7 +95,7 @@
     expect(lease!.isHeld()).toBe(true);
 });
 
-test("a renewal whose answer was lost does not cost the lease", async () => {
+test("a renewal whose response was lost does not end the lease", async () => {
     const { clock, control, manager: keeper } = createFixture();
     const lease = await settle(clock, keeper().acquire(key, neverAborted));
     for (let renewal = 0; renewal < 10; renewal++) {
@@ -112,7 +112,7 @@
     value: control.peek(key),
 });
 
-test("of two that race for a free lease, one holds it", async () => {
+test("one of two processes that race for a free lease acquires it", async () => {
     const { clock, manager: keeper } = createFixture();
     const [first, second] = await settle(
         clock,
@@ -121,8 +121,8 @@
     expect([first, second].filter(lease => lease?.isHeld()).length).toBe(1);
 });
 
-test("an outage lapses the lease without losing it; it is held again once the store is back", async () => {
-    // Guards against: after an outage every job changed its owner.
+test("a lease that lapses in an outage is held again by the same holder once the store is back", async () => {
+    // Guards against every job changing its owner after an outage.
     const { clock, control, manager: keeper } = createFixture();
     const lease = await settle(clock, keeper().acquire(key, neverAborted));
     control.setOutage(true);
@@ -135,7 +135,7 @@
     expect(lease!.isHeld()).toBe(true);
 });
 
-test("a released lease is taken at once, by a waiter too", async () => {
+test("a waiter acquires a released lease at once", async () => {
     const { clock, manager: keeper } = createFixture();
     const lease = await settle(clock, keeper().acquire(key, neverAborted));
     const waiting = keeper().acquire(key, neverAborted);
@@ -147,7 +147,7 @@
     expect(clock.monotonicMs() - releasedAtMs).toBeLessThan(50);
 });
 
-test("a holder that dies is replaced within its term, the drift margin and the jitter", async () => {
+test("a holder that crashes is replaced within its term plus the clock drift margin and the jitter", async () => {
     const tookMs: number[] = [];
     for (let run = 0; run < 20; run++) {
         const { clock, store, manager: keeper, keeperOn } = createFixture();
@@ -164,7 +164,7 @@
     expect(Math.min(...tookMs)).toBeGreaterThan(ttlMs * 0.6);
 });
 
-test("a waiter costs one watch for each renewal and no write", async () => {
+test("a waiter causes one watch per renewal and no read or write", async () => {
     const { clock, control, manager: keeper } = createFixture();
     await settle(clock, keeper().acquire(key, neverAborted));
     void keeper().acquire(key, neverAborted);
@@ -182,7 +182,7 @@
     expect(spent.read).toBe(0);
 });
 
-test("a stale replica cannot hand the lease to a second holder", async () => {
+test("stale reads do not give the lease to a second holder", async () => {
     const { clock, control, manager: keeper } = createFixture();
     const first = await settle(clock, keeper().acquire(key, neverAborted));
     control.setStaleReads(2);
@@ -192,7 +192,7 @@
     expect(await Promise.race([...others, Promise.resolve("none")])).toBe("none");
 });
 
-test("a lease object that someone removed does not stop the next holder", async () => {
+test("a waiter acquires the lease after its object was removed", async () => {
     const { clock, store, manager: keeper } = createFixture();
     const first = await settle(clock, keeper().acquire(key, neverAborted));
     const waiting = keeper().acquire(key, neverAborted);
@@ -215,7 +215,7 @@
     afterMs: fc.integer({ min: 1, max: 15_000 }),
 });
 
-/** Runs three processes through the actions; returns the largest number of holders at one time and all numbers. */
+/** Runs three processes through the actions; returns the maximum of concurrent holders and all fencing numbers. */
 async function interleave(actions: Action[], guards: LeaseGuards) {
     const { clock, store, control, keeperOn } = createFixture(20);
     const processes = [0, 1, 2].map(() => createPausableProcess(clock, store));
@@ -259,7 +259,7 @@
     return { maxHolders, fencings };
 }
 
-test("over random interleavings there is never more than one holder, and numbers only grow", async () => {
+test("random interleavings never yield more than one holder, and fencing numbers only increase", async () => {
     let takeovers = 0;
     await fc.assert(
         fc.asyncProperty(fc.array(action, { minLength: 4, maxLength: 16 }), async actions => {
@@ -273,7 +273,7 @@
     expect(takeovers).toBeGreaterThan(20);
 });
 
-test("without either judgement of time the same interleavings show two holders", async () => {
+test("without either time check the same interleavings yield two holders", async () => {
     const careless: LeaseGuards[] = [
         { ...defaultLeaseGuards, isWithinLease: () => true },
         { ...defaultLeaseGuards, takeOverAfterMs: () => 0 },
@@ -288,7 +288,7 @@
     }
 });
 
-test("a process takes up the lease of its VM's earlier process at once, and only that", async () => {
+test("a process acquires the lease of its VM's earlier process at once, but not that of another VM", async () => {
     const { clock, store } = createFixture();
     const keeperOf = (holder: string) =>
         createLeaseManager({
--- a/packages/lease/src/parseLeaseValue.ts
+++ b/packages/lease/src/parseLeaseValue.ts
@@ -8,7 +8,7 @@
     stamp: z.object({ writer: z.string(), sequence: z.number().int() }),
 });
 
-/** Reads a lease's value; undefined where the object holds something else. */
+/** Parses the value of a lease object; undefined if the object contains something else. */
 export function parseLeaseValue(value: unknown): LeaseValue | undefined {
     const parsed = leaseValue.safeParse(value);
     return parsed.success ? { holder: undefined, fencing: undefined, ...parsed.data } : undefined;
