--- a/packages/weights/src/SwapPlan.ts
+++ b/packages/weights/src/SwapPlan.ts
@@ -1,8 +1,8 @@
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 
-/** Samplers to order now and those in turn after them. */
+/** Samplers to order to swap now, and those queued after them. */
 export interface SwapPlan {
     orders: { sampler: SamplerId; reason: "noCapacityLost" | "leastWork"; }[];
-    /** Those that still wait for their turn, next one first. */
+    /** Samplers that still need a swap, in the order of their turn. */
     waiting: SamplerId[];
 }
--- a/packages/weights/src/SwapPlanInput.ts
+++ b/packages/weights/src/SwapPlanInput.ts
@@ -3,19 +3,19 @@
 import type { SamplerView } from "@auburnarch/types/SamplerView";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** What is known when swaps are planned. */
+/** State from which swaps are planned. */
 export interface SwapPlanInput {
     policy: PolicyId;
     target: WeightVersion;
-    /** Oldest version that samples may still come from. */
+    /** Oldest version that may still generate samples. */
     minVersion: WeightVersion;
     views: SamplerView[];
-    /** Samplers with an order of ours under way. */
+    /** Samplers with an unfinished order from this process. */
     ordered: ReadonlySet<SamplerId>;
-    /** Samplers not to be ordered yet after a failure. */
+    /** Samplers that are in backoff after a failed order. */
     backingOff: ReadonlySet<SamplerId>;
-    /** At most this part of the samplers that serve the policy swaps at once. */
+    /** Maximum part of the policy's samplers that swap at the same time. */
     maxSwappingRatio: number;
-    /** Downloads the weight store takes at once. */
+    /** Maximum number of concurrent downloads from the weight store. */
     maxDownloads: number;
 }
--- a/packages/weights/src/SwapPlanner.ts
+++ b/packages/weights/src/SwapPlanner.ts
@@ -1,5 +1,5 @@
 import type { SwapPlan } from "./SwapPlan.js";
 import type { SwapPlanInput } from "./SwapPlanInput.js";
 
-/** Chooses which samplers swap weights now. Pure. */
+/** Selects the samplers that swap weights now; a pure function. */
 export type SwapPlanner = (input: SwapPlanInput) => SwapPlan;
--- a/packages/weights/src/SwapRoller.ts
+++ b/packages/weights/src/SwapRoller.ts
@@ -2,21 +2,21 @@
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { SamplerView } from "@auburnarch/types/SamplerView";
 
-/** Rolls published weights over the samplers of a policy. */
+/** Rolls out published weights to the samplers of a policy. */
 export interface SwapRoller {
-    /** Takes a version if it is higher than the last; rolls it as samplers become free for it. */
+    /** Starts the rollout of a version if it is higher than the last one; samplers swap as their turn comes. */
     publish(weights: PublishedWeights): void;
-    /** Plans at once instead of at the next tick; for a sampler that has just joined or become free. */
+    /** Plans immediately instead of at the next tick; for a sampler that has just joined or become free. */
     planNow(): void;
-    /** Samplers that do not serve the last published version yet, as far as is known. */
+    /** Samplers that are not known to serve the last published version yet. */
     pending(): SamplerId[];
-    /** True if the sampler is ordered or next in turn to be ordered to swap. */
+    /** True if the sampler has been ordered to swap or is the next to be ordered. */
     isAboutToSwap(sampler: SamplerId): boolean;
     /**
-     * The view, with its version unknown while an order without an answer may still change it. That matters where the
-     * engine does not state versions: its sidecar may have looked before the load took effect.
+     * Returns the view with its version marked as unknown while an unanswered order may still change it. This matters
+     * if the engine does not state versions: its sidecar may have read the version before the load took effect.
      */
     maskUncertainVersion(view: SamplerView): SamplerView;
-    /** Orders nothing more; orders under way end by themselves. */
+    /** Sends no further orders; running ones are left to finish. */
     stop(): void;
 }
--- a/packages/weights/src/SwapRollerDeps.ts
+++ b/packages/weights/src/SwapRollerDeps.ts
@@ -12,13 +12,13 @@
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 import type { SwapPlanner } from "./SwapPlanner.js";
 
-/** What a swap roller is built from. */
+/** Dependencies of a `SwapRoller`. */
 export interface SwapRollerDeps {
     job: JobId;
     policy: PolicyId;
-    /** Number of the job's lease; every order carries it. */
+    /** Fencing number of the job's lease; sent with every order. */
     fencing: FencingNumber;
-    /** False once the lease is lost or lapsed: no order is sent. */
+    /** False once the lease is lost or lapsed; no order is sent then. */
     mayAct: () => boolean;
     limits: () => LimitsManifest;
     listSamplers: () => SamplerView[];
@@ -27,8 +27,8 @@
     random: Random;
     logger: Logger;
     metrics: Metrics;
-    /** Oldest version that samples may still come from; samplers below it are of no use until swapped. */
+    /** Oldest version that may still generate samples; samplers below it cannot be used until they have swapped. */
     minVersion?: () => WeightVersion;
-    /** Chooses who swaps now; `planSwaps` by default. */
+    /** Selects the samplers that swap now; `planSwaps` by default. */
     plan?: SwapPlanner;
 }
--- a/packages/weights/src/createDownloadLimit.ts
+++ b/packages/weights/src/createDownloadLimit.ts
@@ -1,17 +1,17 @@
-/** Downloads asked of the weight store at once, found by trying. */
+/** Adaptive limit of concurrent downloads from the weight store. */
 interface DownloadLimit {
     current(): number;
     recordCompletion(): void;
-    /** The store refused while `running` downloads of ours were under way. */
+    /** Records that the store refused a download while `running` others of this process were in progress. */
     recordRefusal(running: number): void;
 }
 
-/** Limit until the weight store has refused one. */
+/** Limit until the weight store refuses a download for the first time. */
 const initialLimit = 64;
-/** Completed downloads after which one more at once is tried. */
+/** Number of completed downloads after which the limit is raised by one. */
 const completionsPerRaise = 8;
 
-/** Makes a limit that falls to what was accepted at each refusal and rises by one after eight completions. */
+/** Creates a limit that drops to the accepted number at each refusal and rises by one after eight completions. */
 export function createDownloadLimit(): DownloadLimit {
     let limit = initialLimit;
     let completedSinceChange = 0;
--- a/packages/weights/src/createOrderReports.ts
+++ b/packages/weights/src/createOrderReports.ts
@@ -8,24 +8,24 @@
     atMs: number;
 }
 
-/** Reports that came back with orders, until the views have caught up. */
+/** Reports returned by orders, kept until the sampler views are at least as recent. */
 interface OrderReports {
     record(report: SamplerReport): void;
-    /** The view with the newer of its own and the answered report. */
+    /** Returns the view with the newer of its own report and the one returned by an order. */
     withLatestReport(view: SamplerView): SamplerView;
 }
 
 /**
- * Makes an empty record. Without it a sampler that has just swapped would be ordered again while its heartbeat
- * is under way, and load the same weights twice.
+ * Creates an empty cache. Without it a sampler that has just swapped would be ordered again before its next report
+ * arrives, and load the same weights twice.
  */
 export function createOrderReports(clock: Clock): OrderReports {
     const received = new Map<SamplerId, ReceivedReport>();
 
     /**
-     * Whether the answer tells less than the view. An answer of another incarnation than the view's is the newer one
-     * if it came after the view's report: a replaced VM answers orders before its first report is here, and without
-     * this it would be ordered again and again until then.
+     * Whether the received report is older than the view. A report of another incarnation than the view's is the newer
+     * one if it was received after the view's report: a replaced VM answers orders before its first regular report
+     * arrives, and without this rule it would be ordered again and again until then.
      */
     function isOutdated({ report, atMs }: ReceivedReport, view: SamplerView): boolean {
         if (report.incarnation === view.report.incarnation) {
--- a/packages/weights/src/createSwapBackoff.ts
+++ b/packages/weights/src/createSwapBackoff.ts
@@ -2,18 +2,18 @@
 import type { Random } from "@auburnarch/types/Random";
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 
-/** Samplers whose last order failed, each with a doubling pause before the next one. */
+/** Samplers whose last order failed, each with an exponentially growing pause before the next one. */
 interface SwapBackoff {
     recordFailure(sampler: SamplerId): void;
     recordSuccess(sampler: SamplerId): void;
-    /** Samplers that are still in their pause. */
+    /** Samplers whose pause has not ended yet. */
     pausedSamplers(): Set<SamplerId>;
 }
 
 const firstPauseMs = 200;
 const maxPauseMs = 5_000;
 
-/** Makes an empty record of failures. Pauses are jittered, so that failures at one moment are not repeated at one. */
+/** Creates an empty failure record. Pauses are jittered, so that simultaneous failures are not retried together. */
 export function createSwapBackoff(clock: Clock, random: Random): SwapBackoff {
     const failed = new Map<SamplerId, { failures: number; untilMs: number; }>();
     return {
--- a/packages/weights/src/createSwapRoller.test.ts
+++ b/packages/weights/src/createSwapRoller.test.ts
@@ -18,14 +18,14 @@
     version: number,
 ): PublishedWeights => ({ policy: "plume", version, location: `w/${version}` } as PublishedWeights);
 
-/** Samplers that take a second to swap; `decide` may make an order fail. */
+/** Starts a roller over samplers that take one second to swap; `decide` may make an order fail. */
 function start(
     names: string[],
     decide: (sampler: string) => "done" | "throttled" | "unknown" = () => "done",
 ) {
     const clock = createFakeClock();
     const reports = new Map<string, SamplerReport>();
-    /** Reports as the views show them, where they lag behind; made at the given time. */
+    /** Reports that the views show instead of the current ones, with the time of each. */
     const shown = new Map<string, { report: SamplerReport; atMs: number; }>();
     const ordered: string[] = [];
     let maxSwapping = 0;
@@ -90,7 +90,7 @@
     return { clock, ordered, join, reports, shown, roller: createSwapRoller(deps), most: () => maxSwapping };
 }
 
-test("samplers swap a share at a time until all serve the version, a late joiner too", async () => {
+test("samplers swap within the ratio until all serve the version, including one that joins late", async () => {
     const { clock, ordered, join, roller, most } = start(["a", "b", "c", "d", "e", "f"]);
     roller.publish(weightsOf(2));
     expect(roller.pending()).toHaveLength(6);
@@ -113,7 +113,7 @@
     roller.stop();
 });
 
-test("an older version changes nothing", async () => {
+test("publishing an older version sends no orders", async () => {
     const { clock, ordered, roller } = start(["a"]);
     roller.publish(weightsOf(3));
     await clock.advance(2_000);
@@ -123,8 +123,8 @@
     roller.stop();
 });
 
-test("failed orders are repeated with growing pauses and hold up no other sampler", async () => {
-    // Guards against: one sampler serves old weights for weeks.
+test("failed orders are retried with growing pauses and delay no other sampler", async () => {
+    // Guards against a sampler that keeps serving old weights for weeks.
     const failures = ["unknown", "throttled", "unknown"] as const;
     let tries = 0;
     const { clock, ordered, roller } = start(
@@ -139,8 +139,8 @@
     expect(clock.pendingTimers()).toBe(0);
 });
 
-test("a sampler that came back on another VM is ordered once, not until its first report is here", async () => {
-    // Guards against: a thousand orders a second to one sampler.
+test("a sampler that restarted on another VM is ordered once before its first report arrives", async () => {
+    // Guards against a thousand orders per second to one sampler.
     const { clock, ordered, reports, shown, roller } = start(["a"]);
     shown.set("a", { report: reports.get("a")!, atMs: 0 });
     reports.set("a", {
@@ -158,8 +158,8 @@
     roller.stop();
 });
 
-// Guards against: a sample names the old weights, though an order whose answer was lost has loaded the new ones.
-test("a sampler whose engine states no versions is in doubt after an order without an answer, until one is answered", async () => {
+// Guards against a sample that names the old weights although an order whose response was lost has loaded new ones.
+test("without stated versions, a sampler's version is unknown from an unanswered to a completed order", async () => {
     const ends: ("done" | "unknown")[] = ["unknown", "done"];
     const { clock, roller, reports } = start(["a"], () => ends.shift() ?? "done");
     const stateNow = (): string =>
@@ -178,7 +178,7 @@
     expect(states).toEqual(["ready", "unknownVersion", "unknownVersion", "ready"]);
 });
 
-test("a sampler that serves what was ordered, or states its versions, is not in doubt", async () => {
+test("after an unanswered order a sampler that serves the ordered version or states versions stays ready", async () => {
     const { clock, roller, reports } = start(["a", "b"], () => "unknown");
     roller.publish(weightsOf(2));
     await clock.advance(5_000);
--- a/packages/weights/src/createSwapRoller.ts
+++ b/packages/weights/src/createSwapRoller.ts
@@ -18,8 +18,8 @@
 const anyVersion = 0 as WeightVersion;
 
 /**
- * Makes the swap roller of one policy. It plans every 250 ms and after each finished order. A failed order is
- * repeated after a backoff; a refusal by the weight store lowers the number of downloads at once.
+ * Creates the swap roller of one policy. It plans every 250 ms and after each finished order. A failed order is
+ * retried after a backoff; a refusal by the weight store lowers the limit of concurrent downloads.
  */
 export function createSwapRoller(deps: SwapRollerDeps): SwapRoller {
     const { clock, logger, metrics } = deps;
--- a/packages/weights/src/createUncertainOrders.ts
+++ b/packages/weights/src/createUncertainOrders.ts
@@ -5,13 +5,16 @@
 import type { SamplerView } from "@auburnarch/types/SamplerView";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** Orders to load a version that may or may not take effect yet. */
+/** Load orders of unknown outcome, which may still take effect. */
 interface UncertainOrders {
     record(sampler: SamplerId, version: WeightVersion, result: SamplerOrderResult): void;
     maskUncertainVersion(view: SamplerView): SamplerView;
 }
 
-/** Makes the record of one policy. A doubt ends with an order that is carried out, or once its version is served. */
+/**
+ * Creates the record for one policy. A sampler's version is uncertain until an order to it is completed or the ordered
+ * version is served.
+ */
 export function createUncertainOrders(policy: PolicyId): UncertainOrders {
     const uncertainVersions = new Map<SamplerId, WeightVersion>();
 
--- a/packages/weights/src/planSwaps.test.ts
+++ b/packages/weights/src/planSwaps.test.ts
@@ -40,7 +40,7 @@
     ...changes,
 });
 
-test("the least loaded swap first, within the share; one of unknown version goes beside them", () => {
+test("the least loaded samplers swap first within the ratio, an idle one of unknown version in addition", () => {
     const views = [
         viewOf("busy", 3, { running: 9 }),
         viewOf("idle", 3, { running: 0 }),
@@ -76,12 +76,12 @@
     `);
 });
 
-test("a swap under way counts against the share, also one ordered by nobody we know", () => {
+test("a running swap counts against the ratio even if this process did not order it", () => {
     const views = [viewOf("a", 3, {}), viewOf("b", 3, { state: "swapping" }), viewOf("c", 3, {})];
     expect(planSwaps(inputOf(views)).orders).toEqual([]);
 });
 
-test("never more out than the share allows, never more downloads than the store takes", () => {
+test("swaps never exceed the ratio, and downloads never exceed the limit", () => {
     const sampler = fc.record({
         version: fc.integer({ min: 0, max: 4 }),
         running: fc.integer({ min: 0, max: 8 }),
--- a/packages/weights/src/planSwaps.ts
+++ b/packages/weights/src/planSwaps.ts
@@ -4,7 +4,7 @@
 import type { SwapPlan } from "./SwapPlan.js";
 import type { SwapPlanInput } from "./SwapPlanInput.js";
 
-/** Idle, and unable to run anything of the policy under its bound: swapping it takes no capacity away. */
+/** True if the sampler is idle and cannot serve the policy at `minVersion`: swapping it costs no capacity. */
 const losesNoCapacity = (view: SamplerView, input: SwapPlanInput): boolean => {
     const version = servedVersion(view, input.policy);
     const isUsable = view.report.state === "ready" && version !== undefined && version >= input.minVersion;
@@ -28,9 +28,9 @@
     || (a.report.sampler < b.report.sampler ? -1 : 1);
 
 /**
- * Chooses which samplers swap weights now. Samplers that lose no capacity go at once; of the others at most
- * `maxSwappingRatio` (one at least) are out at a time, those with the least work first, since their swap drains
- * or pauses the fewest samples. All of them together stay within the downloads the weight store takes.
+ * Selects the samplers that swap weights now. Samplers that lose no capacity swap at once; of the others at most
+ * `maxSwappingRatio` (but at least one) swap at a time, those with the least work first, because their swap drains or
+ * pauses the fewest samples. All swaps together stay within the download limit of the weight store.
  */
 export function planSwaps(input: SwapPlanInput): SwapPlan {
     const serving = input.views.filter(view => view.report.state !== "leaving");
