--- a/packages/discovery/src/RegisteredSampler.ts
+++ b/packages/discovery/src/RegisteredSampler.ts
@@ -4,21 +4,21 @@
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
 
-/** A sampler as it registered itself. */
+/** A sampler as registered in its own store entry. */
 export interface RegisteredSampler {
-    /** Names one start of the sampler, so that what is kept by it never passes to the next start. */
+    /** Identifies one start of the sampler, so that state recorded under it never applies to a later start. */
     incarnation: IncarnationId;
-    /** The name under which it registered and by which it checks what is sent to it; a next start may have the same. */
+    /** Name under which it registered and against which it checks requests; a later start may use the same name. */
     instance: string;
-    /** Wall time of this start, as the sampler says; undefined where it does not. */
+    /** Wall time of this start as stated by the sampler; undefined if it states none. */
     bornAtMs: number | undefined;
     service: ServiceId;
     host: string;
     port: number;
     failureDomain: FailureDomain;
-    /** Requests it processes at once. */
+    /** Maximum number of concurrent requests. */
     maxBatch: number;
     isDraining: boolean;
-    /** Weights it serves, by policy; empty for a plain service. */
+    /** Weight versions that it serves, by policy; empty for a plain service. */
     served: { policy: PolicyId; version: WeightVersion; }[];
 }
--- a/packages/discovery/src/RoutingView.ts
+++ b/packages/discovery/src/RoutingView.ts
@@ -1,4 +1,4 @@
 import type { RoutingTable } from "@auburnarch/routing/RoutingTable";
 
-/** The configuration in force here; undefined until one is known. Its version never goes back. */
+/** Returns the active configuration of this process; undefined until one is known. Its version never decreases. */
 export type RoutingView = () => RoutingTable | undefined;
--- a/packages/discovery/src/RunnerAddress.ts
+++ b/packages/discovery/src/RunnerAddress.ts
@@ -1,4 +1,4 @@
-/** Where a runner's peers reach it, as registered in the store. */
+/** Address under which peers reach a runner, as registered in the store. */
 export interface RunnerAddress {
     host: string;
     port: number;
--- a/packages/discovery/src/SamplerDirectory.ts
+++ b/packages/discovery/src/SamplerDirectory.ts
@@ -2,15 +2,15 @@
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { RegisteredSampler } from "./RegisteredSampler.js";
 
-/** The samplers that may get new work now. */
+/** Registry of the samplers that may receive new work. */
 export interface SamplerDirectory {
-    /** False until the samplers were listed once. */
+    /** False until the samplers have been listed once. */
     isKnown(): boolean;
-    /** Those of a service that neither drain nor are gone. */
+    /** Samplers of a service that are neither draining nor removed. */
     serving(service: ServiceId): RegisteredSampler[];
     find(incarnation: IncarnationId): RegisteredSampler | undefined;
-    /** False for one whose entry is missing and that is kept until it can have registered again. */
+    /** False for a sampler whose entry is missing and that is only retained until it can have registered again. */
     isListed(incarnation: IncarnationId): boolean;
-    /** Milliseconds since the list was confirmed. */
+    /** Milliseconds since the store last confirmed the list. */
     ageMs(): number;
 }
--- a/packages/discovery/src/createRoutingView.ts
+++ b/packages/discovery/src/createRoutingView.ts
@@ -4,8 +4,8 @@
 import type { WatchedKind } from "./WatchedKind.js";
 
 /**
- * Follows the configuration forward only. A store that answers from an older state must not take a route back that
- * requests were already served by; a lower version is therefore logged and left.
+ * Creates a view that only moves to higher configuration versions. A store that answers from an older state must not
+ * remove a route that has already served requests; a lower version is therefore logged and ignored.
  */
 export function createRoutingView(tables: WatchedKind<RoutingTable>, logger: Logger): RoutingView {
     let active: RoutingTable | undefined;
--- a/packages/discovery/src/createSamplerDirectory.ts
+++ b/packages/discovery/src/createSamplerDirectory.ts
@@ -6,13 +6,13 @@
 import type { WatchedKind } from "./WatchedKind.js";
 
 /**
- * In an outage the store drops the entries of samplers that it does not hear from, though they live; they are back within
- * two seconds of its end. A sampler whose entry vanished in an outage is therefore kept until this long after it; half a
- * second is for its next entry to be read here.
+ * During an outage the store removes the entries of samplers that cannot reach it, although they are running; they
+ * register again within two seconds after the outage. A sampler whose entry disappeared in an outage is therefore
+ * retained for this long after its end; the extra half second is for its new entry to be read here.
  */
 const reregistrationGraceMs = 2_500;
 
-/** Names whose latest start is remembered; those seen last stay. */
+/** Maximum number of names whose latest start is recorded; the least recently seen ones are evicted. */
 const maxNames = 8_192;
 
 const formatServed = ({ served }: RegisteredSampler): string =>
@@ -20,23 +20,23 @@
 
 interface SamplerDirectoryDeps {
     entries: WatchedKind<RegisteredSampler>;
-    /** Milliseconds since the latest outage of the store, or 0 while it lasts; infinite if none is known. */
+    /** Milliseconds since the end of the store's latest outage, or 0 while it lasts; infinite if none is known. */
     sinceOutageMs: () => number;
     clock: Clock;
     logger: Logger;
 }
 
-/** Makes the directory over the copy of the samplers' entries. */
+/** Creates the directory from the watched entries of the samplers. */
 export function createSamplerDirectory(deps: SamplerDirectoryDeps): SamplerDirectory {
     const { entries, sinceOutageMs, clock, logger } = deps;
     let known = new Map<string, RegisteredSampler>();
-    /** The same by start; looked up at each event of a run. */
+    /** The same samplers by incarnation; looked up at each event of a run. */
     let byIncarnation = new Map<IncarnationId, RegisteredSampler>();
-    /** Latest start seen under each name. */
+    /** Latest start observed under each name. */
     const latestStartMs = new Map<string, number>();
     const retained = new Map<string, { sampler: RegisteredSampler; untilMs: number; }>();
 
-    /** The next outage may begin before a sampler could register. */
+    /** Extends retention if another outage began before the sampler could register again. */
     function extendRetention(): void {
         const outageAtMs = clock.monotonicMs() - sinceOutageMs();
         for (const entry of retained.values()) {
@@ -69,8 +69,8 @@
     }
 
     /**
-     * What an earlier start said of itself may be written after the later one has registered. Taken for the present it
-     * would bring back weights that are gone, or a drain that is over; the later start is known to hold.
+     * An entry of an earlier start may be written after a later start has registered. Treating it as current would
+     * restore weights that are no longer served, or a drain that has ended; the entry of the later start is kept.
      */
     function resolveEntry(name: string, entry: RegisteredSampler): RegisteredSampler {
         const { bornAtMs } = entry;
--- a/packages/discovery/src/discovery.test.ts
+++ b/packages/discovery/src/discovery.test.ts
@@ -48,7 +48,7 @@
         await settle(store.remove(key, current!.version));
     };
     const watched = { store, clock, logger };
-    /** When the store was last away, by the word of others. */
+    /** Time of the store's last outage as reported by other processes. */
     const lastOutage = { atMs: -Infinity };
     const directoryOf = (entries: WatchedKind<RegisteredSampler>): SamplerDirectory =>
         createSamplerDirectory({
@@ -66,7 +66,7 @@
     return { clock, control, lines, logger, put, remove, watched, samplers, away: lastOutage, directoryOf };
 }
 
-test("a copy follows changes, through an outage and through lost history", async () => {
+test("a copy follows changes through an outage and discarded history", async () => {
     const { clock, control, lines, put, remove, samplers } = createFixture(2);
     const watch = samplers();
     const names = (): string[] => [...watch.objects()?.keys() ?? []].sort();
@@ -91,8 +91,8 @@
     watch.stop();
 });
 
-test("a change is seen at once though a watch on a forgotten history hears nothing", async () => {
-    // Guards against: a route was refused as unknown 4.2 s after the configuration that added it was acknowledged.
+test("a change is received at once although a watch on discarded history receives nothing", async () => {
+    // Guards against refusing a route as unknown 4.2 s after the configuration that added it was acknowledged.
     const { clock, put, watched } = createFixture();
     let isForgotten = false;
     const { store } = watched;
@@ -122,8 +122,8 @@
     copy.stop();
 });
 
-test("an older list takes nothing back", async () => {
-    // Guards against: a removed sampler got requests again.
+test("an older list does not restore removed objects", async () => {
+    // Guards against a removed sampler that receives requests again.
     const { clock, control, put, remove, samplers } = createFixture();
     await put("servers/a", entryOf("a"));
     await put("servers/b", entryOf("b"));
@@ -145,8 +145,8 @@
     watch.stop();
 });
 
-test("a sampler whose entry lapsed in an outage is kept until it can have registered again, a draining one is not", async () => {
-    // Guards against: after each outage of the store all requests were refused for a second.
+test("a sampler whose entry expired in an outage is retained until it can register again unless it drains", async () => {
+    // Guards against refusing all requests for a second after each outage of the store.
     const { clock, control, put, remove, samplers, away, directoryOf } = createFixture();
     await put("servers/a", entryOf("a"));
     await put("servers/b", entryOf("b", true));
@@ -166,7 +166,7 @@
     expect(serving()).toEqual([]);
 });
 
-test("a sampler whose entry lapsed is kept on where the store is away again before it could register", async () => {
+test("a sampler whose entry expired is retained longer if another outage begins before it could register", async () => {
     const { clock, control, put, remove, samplers, away, directoryOf } = createFixture();
     await put("servers/a", entryOf("a"));
     const directory = directoryOf(samplers());
@@ -191,7 +191,7 @@
     expect(directory.serving(service)).toEqual([]);
 });
 
-test("a sampler that left while only this process was cut off from the store gets nothing once that is seen", async () => {
+test("a sampler removed while only this process was disconnected from the store is not retained", async () => {
     const { clock, control, put, remove, samplers, directoryOf } = createFixture();
     await put("servers/a", entryOf("a"));
     const directory = directoryOf(samplers());
@@ -204,7 +204,7 @@
     expect(directory.serving(service)).toEqual([]);
 });
 
-test("a sampler that starts again under its name is another one, and what its earlier start says late changes nothing", async () => {
+test("a restarted sampler has a new incarnation, and a late entry of its earlier start is ignored", async () => {
     const { clock, lines, put, samplers, directoryOf } = createFixture();
     const startOf = (bornAtMs: number, isDraining = false): RegisteredSampler => ({
         ...entryOf("a", isDraining),
@@ -224,8 +224,8 @@
     expect(lines).toContain("samplerEarlierStartIgnored");
 });
 
-test("what is not understood is told once a revision, and costs nothing else", async () => {
-    // Guards against: a line for each answer, for as long as an entry of another writer stands there.
+test("an object that cannot be decoded is logged once per revision and does not affect others", async () => {
+    // Guards against one log line per response for as long as an entry of another writer exists.
     const { clock, control, lines, put, watched } = createFixture(1);
     const copy = watchKind<number>({
         ...watched,
@@ -250,7 +250,7 @@
     copy.stop();
 });
 
-test("a sampler that leaves in calm times gets nothing more at once", async () => {
+test("a sampler that drains or is removed without an outage is not returned any more at once", async () => {
     const { clock, put, remove, samplers, directoryOf } = createFixture();
     await put("servers/a", entryOf("a"));
     await put("servers/b", entryOf("b"));
@@ -265,8 +265,8 @@
     expect(serving()).toEqual([]);
 });
 
-test("the configuration never goes back, whatever the store shows", async () => {
-    // Guards against: a route that had been served was refused as unknown.
+test("the configuration version never decreases, whatever the store returns", async () => {
+    // Guards against refusing a route as unknown that has already served requests.
     const { clock, lines, logger, put, watched } = createFixture();
     const tableOf = (version: number): RoutingTable =>
         ({ version: version as ConfigVersion, routes: [] }) as unknown as RoutingTable;
--- a/packages/discovery/src/followPrefix.ts
+++ b/packages/discovery/src/followPrefix.ts
@@ -7,30 +7,31 @@
 interface FollowPrefixOptions {
     store: Pick<ObjectStore, "list" | "watch">;
     clock: Clock;
-    /** All objects whose key begins with this. */
+    /** Key prefix of the followed objects. */
     prefix: string;
-    /** Longest wait of one watch. */
+    /** Maximum wait of one watch. */
     waitMs: number;
-    /** Pause after each answered watch, so that changes close together cost one call. */
+    /** Pause after each list and each watch with changes, so that changes in quick succession cost one call. */
     gatherMs: () => number;
-    /** Every object there is; what is absent was removed. `sentAtMs`: when the answered call was sent. */
+    /** Receives all objects; absent ones were removed. `sentAtMs` is the time at which the call was sent. */
     onListed: (
         objects: Pick<StoredObject, "key" | "version" | "value">[],
         revision: ObjectVersion,
         sentAtMs: number,
     ) => void;
-    /** Changes since the last answer; none if the wait ended without one. */
+    /** Receives the changes since the last response; none if the wait ended without a change. */
     onChanged: (changes: StoredChange[], revision: ObjectVersion, sentAtMs: number) => void;
     onFailed: (error: unknown) => void;
 }
 
-/** After a failed call. Short, because outages end without notice and changes are due within two seconds. */
+/** Pause after a failed call; short because the end of an outage is not announced and changes are due within 2 s. */
 const retryMs = 150;
 
 /**
- * Lists the objects under a prefix and then follows their changes; after a failed call it lists anew. A store that
- * forgets its history cuts its watches, and one begun at that moment on an old revision hears nothing for its whole
- * wait, so that a change of the configuration would be in force too late. A list says what stands at once. The returned function ends it.
+ * Lists the objects under a prefix and then follows their changes; after a failed call it lists again. A store that
+ * discards its history ends its watches, and a watch started at that moment from an old revision receives nothing for
+ * its whole wait, so that a configuration change would take effect too late. A list returns the current state at once.
+ * The returned function stops following.
  */
 export function followPrefix(options: FollowPrefixOptions): () => void {
     const { store, clock, prefix, waitMs, gatherMs } = options;
@@ -38,7 +39,7 @@
     let revision: ObjectVersion | undefined;
     let isListDue = true;
 
-    /** An older list, from a process that is behind, takes nothing back: the next one is asked for after a pause. */
+    /** Ignores an older list, from a store process that lags behind, and lists again after a pause. */
     async function listOnce(): Promise<void> {
         const sentAtMs = clock.monotonicMs();
         const found = await store.list(prefix);
--- a/packages/discovery/src/testing/createTestDirectory.ts
+++ b/packages/discovery/src/testing/createTestDirectory.ts
@@ -1,7 +1,7 @@
 import type { RegisteredSampler } from "../RegisteredSampler.js";
 import type { SamplerDirectory } from "../SamplerDirectory.js";
 
-/** A directory in which these samplers stand for every service. */
+/** Creates a directory that returns these samplers for every service. */
 export function createTestDirectory(samplers: RegisteredSampler[]): SamplerDirectory {
     const find: SamplerDirectory["find"] = incarnation =>
         samplers.find(sampler => sampler.incarnation === incarnation);
--- a/packages/discovery/src/testing/createTestSampler.ts
+++ b/packages/discovery/src/testing/createTestSampler.ts
@@ -3,7 +3,7 @@
 import type { ServiceId } from "@auburnarch/types/ServiceId";
 import type { RegisteredSampler } from "../RegisteredSampler.js";
 
-/** A plain sampler of the service `tiles` that takes work, but for what `over` says. */
+/** Creates a plain sampler of the service `tiles` that accepts work; `overrides` replaces fields. */
 export function createTestSampler(
     name: string,
     overrides: Partial<RegisteredSampler> = {},
--- a/packages/discovery/src/watchKind.ts
+++ b/packages/discovery/src/watchKind.ts
@@ -11,31 +11,33 @@
     store: ObjectStore;
     clock: Clock;
     logger: Logger;
-    /** All objects whose key begins with this and a slash. */
+    /** Name of the kind; its objects are those whose key begins with it and a slash. */
     kind: string;
-    /** Undefined drops the object: it is not one of ours to understand, and the log names it. */
+    /** Decodes an object; one for which it returns undefined is skipped and logged. */
     decode: (name: string, value: unknown) => T | undefined;
-    /** Longest wait of one watch; by default `defaultWaitMs`. */
+    /** Maximum wait of one watch; `defaultWaitMs` by default. */
     waitMs?: number;
-    /** Pause after each answered watch, so that changes close together cost one call. */
+    /** Pause after each list and each watch with changes, so that changes in quick succession cost one call. */
     gatherMs?: () => number;
 }
 
 /**
- * Longest wait of one watch. A connection may fall silent without a reset; it is noticed once a watch is overdue, so
- * this bounds how long a change can go unseen. Below the four seconds that machines have to learn of a change after
- * such a fault (three until they count as healthy again, and two to take the change, less a second in hand).
+ * Maximum wait of one watch. A connection may stop delivering data without being reset, which is detected when a watch
+ * is overdue, so this bounds how long a change can go unnoticed. It is below the four seconds in which a VM has to
+ * receive a change after such a fault: three until it counts as healthy again plus two to apply the change, minus a
+ * margin of one second.
  */
 const defaultWaitMs = 3_500;
+
 /**
- * Keeps a copy of one kind by list and watch. A watch whose history is gone comes back as a full list. What the
- * store removed while it could not be reached shows in the next list.
+ * Maintains a copy of one kind by list and watch. A watch whose history was discarded returns a full list. Objects that
+ * were removed while the store was unreachable are detected by the next list.
  */
 export function watchKind<T>(options: WatchKindOptions<T>): WatchedKind<T> {
     const { store, clock, logger, kind, decode, gatherMs = () => 0, waitMs = defaultWaitMs } = options;
     const prefix = `${kind}/`;
     const objects = new Map<string, T>();
-    /** Objects that stand there and are none of ours to understand, by name. */
+    /** Versions of present objects that could not be decoded, by name. */
     const undecodable = new Map<string, ObjectVersion>();
     const listeners = new Set<() => void>();
     let isStopped = false;
@@ -43,7 +45,7 @@
     let confirmedAtMs = -Infinity;
     let isReachable = true;
 
-    /** Once a revision: a list that comes again says nothing new of what still stands there. */
+    /** Logs each version once; a repeated list returns unchanged objects again. */
     function recordUndecodable(name: string, version: ObjectVersion): void {
         if (undecodable.get(name) !== version) {
             undecodable.set(name, version);
