--- a/packages/queue/src/WaitingSample.ts
+++ b/packages/queue/src/WaitingSample.ts
@@ -1,14 +1,14 @@
 import type { SampleTask } from "@auburnarch/types/SampleTask";
 
-/** A sample waiting for a sampler, as the order sees it. */
+/** A sample that waits for a sampler, with the values by which it is ordered. */
 export interface WaitingSample {
     task: SampleTask;
-    /** Grows with each submitted sample. */
+    /** Increases with each submitted sample. */
     arrivalOrder: number;
-    /** Tokens still to be generated, by prediction at the time it was queued. */
+    /** Predicted number of tokens still to be generated, from when the sample was queued. */
     expectedTokens: number;
-    /** Monotonic time at which it has to start to be ready in time, by prediction. */
+    /** Predicted monotonic time by which it has to start to be ready in time. */
     latestStartMs: number;
-    /** Monotonic time before which it is not sent. */
+    /** Monotonic time before which it must not be sent. */
     notBeforeMs: number;
 }
--- a/packages/queue/src/createFairQueue.test.ts
+++ b/packages/queue/src/createFairQueue.test.ts
@@ -19,7 +19,7 @@
     trueMs,
 });
 
-/** Runs `count` items one at a time, each team always having one waiting; engine time by team. */
+/** Runs `count` items one at a time while each team always has one waiting; returns the engine time by team. */
 function serve(
     shares: Record<string, number>,
     costs: Record<string, () => number>,
@@ -39,7 +39,7 @@
     return used;
 }
 
-test("engine time follows the shares within 5% whatever the items cost", () => {
+test("engine time follows the shares within 5% for any item costs", () => {
     const cost = fc.integer({ min: 1, max: 200 });
     fc.assert(
         fc.property(cost, cost, fc.integer({ min: 1, max: 9 }), (costA, costB, tenths) => {
@@ -52,7 +52,7 @@
     );
 });
 
-test("a team that was idle starts level: nothing is saved up, what was lent is called back at once", () => {
+test("a team that was idle gets its share at once, without credit for the idle time", () => {
     const queue = createFairQueue<Item>({ share: () => 0.5, nowMs: () => 0 });
     for (let at = 0; at < 100; at++) {
         queue.push(item("busy"));
@@ -73,7 +73,7 @@
     expect(order.filter(team => team === "back").length).toBeLessThanOrEqual(11);
 });
 
-test("interactive work goes first, priority orders a team, and age beats priority in the end", () => {
+test("interactive items run first, priority orders a team's items, and an aged item precedes newer ones", () => {
     let nowMs = 0;
     const queue = createFairQueue<Item>({ share: () => 0.5, nowMs: () => nowMs });
     const low = item("a", 10, 1);
@@ -87,7 +87,7 @@
     expect([queue.pop(acceptAll), queue.pop(acceptAll), queue.pop(acceptAll)]).toEqual([low, high, fresh]);
 });
 
-test("held items are passed over and withdrawn ones are gone", () => {
+test("items that may not run are skipped, and removed ones are not returned", () => {
     const queue = createFairQueue<Item>({ share: () => 0.5, nowMs: () => 0 });
     const held = item("a");
     const other = item("b");
--- a/packages/queue/src/createFairQueue.ts
+++ b/packages/queue/src/createFairQueue.ts
@@ -1,29 +1,29 @@
-/** Something that waits for engine time. */
+/** An item that waits for engine time. */
 interface FairItem {
     team: string;
-    /** 0 to 100; `interactivePriority` goes before everything else. */
+    /** 0 to 100; items of `interactivePriority` run before all others. */
     priority: number;
-    /** Engine time it is expected to take; corrected by `settle` once known. */
+    /** Expected engine time; corrected by `settle` once the actual one is known. */
     costMs: number;
-    /** Monotonic time of its arrival. */
+    /** Monotonic time of arrival. */
     queuedAtMs: number;
 }
 
 interface FairQueueDeps {
-    /** Part of engine time guaranteed to a team, 0 to 1. */
+    /** Share of engine time guaranteed to a team, 0 to 1. */
     share: (team: string) => number;
     nowMs: () => number;
 }
 
 interface FairQueue<Item extends FairItem> {
     push(item: Item): void;
-    /** Takes the item to run next among those that `mayRun` accepts, and charges its expected cost. */
+    /** Removes the next item to run among those that `mayRun` accepts and charges its expected cost. */
     pop(mayRun: (item: Item) => boolean): Item | undefined;
-    /** Charges an item that runs at once, without having waited. */
+    /** Charges an item that runs at once without having waited. */
     charge(item: Item): void;
-    /** Withdraws a waiting item; false if it is not waiting. */
+    /** Removes a waiting item; false if it is not waiting. */
     remove(item: Item): boolean;
-    /** Replaces the expected cost of a popped or charged item by the engine time it took. Once an item. */
+    /** Replaces the expected cost of a popped or charged item by its actual engine time. Call once per item. */
     settle(item: Item, engineMs: number): void;
     size(): number;
     waitingOf(team: string): number;
@@ -33,21 +33,21 @@
 interface TeamQueue<Item> {
     items: Item[];
     running: number;
-    /** Engine time charged, divided by the share: the team with the least runs next. */
+    /** Charged engine time divided by the share; the team with the lowest value runs next. */
     virtualMs: number;
 }
 
 const interactivePriority = 100;
-/** Weight of a team without a share of its own: it gets what the others leave. */
+/** Weight of a team without a share, which only gets engine time that the others leave unused. */
 const minShare = 0.001;
-/** An item that has waited this long goes first within its team, so that no priority starves another. */
+/** After this wait an item precedes its team's other non-interactive items, so that no priority starves another. */
 const agingDelayMs = 60_000;
 
 /**
- * Work-conserving weighted fair queue over teams' engine time: start-time fair queueing whose costs are corrected
- * afterwards. Interactive items go first and are charged to their team like any other. A team that comes back
- * from idleness starts level with the teams at work: its unused share was lent and is called back from then on,
- * never saved up.
+ * Creates a work-conserving weighted fair queue of the teams' engine time: start-time fair queueing whose costs are
+ * corrected afterwards. Interactive items run first and are charged to their team like any other. A team that becomes
+ * active again starts at the lowest virtual time of the active teams: it gets its share from then on, without credit
+ * for the time that it left unused.
  */
 export function createFairQueue<Item extends FairItem>(deps: FairQueueDeps): FairQueue<Item> {
     const teamQueues = new Map<string, TeamQueue<Item>>();
@@ -136,7 +136,7 @@
         return teamQueue.virtualMs < otherQueue.virtualMs;
     }
 
-    /** With nobody at work there is nothing to be level with: earlier use must not count against anyone. */
+    /** Without an active team there is no virtual time to start from, and earlier use must not count against a team. */
     function resetIfIdle(): void {
         if (waiting === 0 && running === 0) {
             teamQueues.clear();
--- a/packages/queue/src/createWaitingQueue.ts
+++ b/packages/queue/src/createWaitingQueue.ts
@@ -1,22 +1,22 @@
 import type { SampleOrdering } from "./SampleOrdering.js";
 import type { WaitingSample } from "./WaitingSample.js";
 
-/** Samples kept in sending order. */
+/** Waiting samples in the order in which they are sent. */
 interface WaitingQueue<Work extends WaitingSample> {
     add(work: Work): void;
     remove(work: Work): boolean;
-    /** Those whose time has come, first to be sent first. Members removed while it is read are left out. */
+    /** Samples whose `notBeforeMs` has passed, in sending order. Samples removed during iteration are left out. */
     due(nowMs: number): Iterable<Work>;
     size(): number;
-    /** What the order looks at has changed. */
+    /** To be called after values have changed by which the samples are ordered. */
     invalidateOrder(): void;
     all(): Iterable<Work>;
 }
 
-/** Makes a queue that sorts when read after a change, which is cheap because most of it is in order already. */
+/** Creates a queue that sorts when read after a change, which is cheap because most samples are in order already. */
 export function createWaitingQueue<Work extends WaitingSample>(order: SampleOrdering): WaitingQueue<Work> {
     const members = new Set<Work>();
-    /** May still hold what was removed; `members` has the say. */
+    /** May still contain removed samples; `members` is authoritative. */
     let sorted: Work[] = [];
     let isSorted = true;
 
--- a/packages/queue/src/orderByArrival.ts
+++ b/packages/queue/src/orderByArrival.ts
@@ -1,4 +1,4 @@
 import type { SampleOrdering } from "./SampleOrdering.js";
 
-/** Baseline: first come, first served. */
+/** Baseline ordering: first come, first served. */
 export const orderByArrival: SampleOrdering = (a, b) => a.arrivalOrder - b.arrivalOrder;
--- a/packages/queue/src/orderByStepAndLength.ts
+++ b/packages/queue/src/orderByStepAndLength.ts
@@ -1,8 +1,9 @@
 import type { SampleOrdering } from "./SampleOrdering.js";
 
 /**
- * The step needed first, then the longest expected rest first. A long sample started last ends long after all
- * others, and the trainer waits for it with idle engines; started first it overlaps with the short ones.
+ * Sends samples of the earliest step first, and within a step those with the most expected tokens left. A long sample
+ * that starts last ends long after all others, and the trainer waits for it while engines are idle; started first it
+ * overlaps with the short ones.
  */
 export const orderByStepAndLength: SampleOrdering = (a, b) =>
     a.task.step - b.task.step
