--- a/packages/bench/src/faults/createBackends.ts
+++ b/packages/bench/src/faults/createBackends.ts
@@ -37,7 +37,7 @@
     plain(node: string): PlainBackendServer;
 } => ({
     model: (node, vm, kind, sidecar) => {
-        const { clock, observer: witness } = simulation;
+        const { clock, observer } = simulation;
         const { engine, control } = createFakeEngine({
             clock,
             random: simulation.random.fork(),
@@ -57,7 +57,7 @@
             engine,
             control,
             clock,
-            observer: witness,
+            observer,
             sidecar,
             statesFingerprint: kind.statesFingerprint,
             onStart: (request, countRunning) => {
--- a/packages/bench/src/faults/createCaller.ts
+++ b/packages/bench/src/faults/createCaller.ts
@@ -40,7 +40,7 @@
 
 /** Creates a caller. After an unknown outcome it resends the same idempotency key through a randomly picked entry. */
 export function createCaller(simulation: Simulation, deps: CallerDeps): Caller {
-    const { clock, network, violations, observer: witness } = simulation;
+    const { clock, network, violations, observer } = simulation;
     const random = simulation.random.fork();
     const records: CallerRecord[] = [];
     let count = 0;
@@ -141,7 +141,7 @@
     function checkAtEnd(): void {
         for (const { key, outcomes } of records) {
             const neverRan = outcomes.length > 0 && outcomes.every(outcome => outcome === "notRun");
-            if (neverRan && witness.countPlainRuns(key) > 0) {
+            if (neverRan && observer.countPlainRuns(key) > 0) {
                 violations.add("notRunButRan", `key ${key}`);
             }
         }
--- a/packages/bench/src/faults/createNetwork.ts
+++ b/packages/bench/src/faults/createNetwork.ts
@@ -108,8 +108,8 @@
             reorderDelayMs = 0;
         },
         isCut: (a, b) => cuts.has(pairOf(a, b)),
-        failNext: (fault, to, from, onStruck = () => undefined) => {
-            pendingFaults.push({ fault, to, from, onInjected: onStruck });
+        failNext: (fault, to, from, onInjected = () => undefined) => {
+            pendingFaults.push({ fault, to, from, onInjected });
         },
         setReordering: maxDelayMs => {
             reorderDelayMs = maxDelayMs;
--- a/packages/bench/src/faults/createObservedEngine.ts
+++ b/packages/bench/src/faults/createObservedEngine.ts
@@ -26,7 +26,7 @@
 
 /** Creates an engine that reports all its effects to the observer. */
 export function createObservedEngine(deps: ObservedEngineDeps): EnginePort {
-    const { engine, control, clock, observer: witness, node } = deps;
+    const { engine, control, clock, observer, node } = deps;
     let running = 0;
     const servedVersion = (): number => control.served()[0]?.version ?? -1;
 
@@ -34,17 +34,17 @@
         ...engine,
         generate: (request, onChunk, signal) => {
             if (control.isUp() && !signal.aborted && servedVersion() >= 0) {
-                witness.recordEngineStart(node, request);
+                observer.recordEngineStart(node, request);
             }
             running++;
             deps.onStart(request, () => running);
             const finished = engine.generate(request, chunk => {
-                witness.recordTokens(request.attempt, versionIn(chunk.fingerprint), chunk.tokens);
+                observer.recordTokens(request.attempt, versionIn(chunk.fingerprint), chunk.tokens);
                 onChunk(deps.statesFingerprint ? chunk : { ...chunk, fingerprint: undefined });
             }, signal);
             const end = (reason?: EngineFinish["reason"]): void => {
                 running--;
-                witness.recordEngineEnd(node, request.attempt, reason === "stop" || reason === "length");
+                observer.recordEngineEnd(node, request.attempt, reason === "stop" || reason === "length");
             };
             finished.then(({ reason }) => end(reason), () => end());
             return finished;
@@ -52,9 +52,9 @@
         order: order => {
             const sidecar = deps.sidecar();
             if (sidecar !== undefined && control.isUp()) {
-                witness.recordEngineOrder(node, order, servedVersion(), sidecar);
+                observer.recordEngineOrder(node, order, servedVersion(), sidecar);
                 if (order.kind === "load" && !deps.statesFingerprint && running > 0) {
-                    witness.recordMixedSwap(node, running);
+                    observer.recordMixedSwap(node, running);
                 }
             }
             return engine.order(order);
--- a/packages/bench/src/faults/createSamplerNode.ts
+++ b/packages/bench/src/faults/createSamplerNode.ts
@@ -35,7 +35,7 @@
 
 /** Creates a VM with a backend server and a sidecar and starts both. */
 export function createSamplerNode(simulation: Simulation, deps: SamplerNodeDeps): SamplerNode {
-    const { clock, network, observer: witness, vms } = simulation;
+    const { clock, network, observer, vms } = simulation;
     const { name } = deps;
     let generation = 0;
     const vm = (): VmId => `vm-${name}-${generation}` as VmId;
@@ -75,7 +75,7 @@
         killSidecar();
         vms.remove(vm());
         generation++;
-        witness.setLeaving(name, undefined);
+        observer.setLeaving(name, undefined);
         backend.crash();
         backend = deps.createBackend(() => sidecarProcess, vm());
         vms.add(record());
@@ -85,7 +85,7 @@
     function leave(removedAfterMs: number): void {
         const leaving = vm();
         vms.markLeaving(leaving);
-        witness.setLeaving(name, clock.monotonicMs());
+        observer.setLeaving(name, clock.monotonicMs());
         clock.startTimer(removedAfterMs, () => {
             if (leaving === vm()) {
                 replaceVm();
@@ -113,7 +113,7 @@
         const { sidecar, process } = present;
         const recordArrival = (
             work: { attempt: AttemptId; budgetMs: number; digest: ContentDigest; },
-        ): void => witness.recordArrival(name, work, present);
+        ): void => observer.recordArrival(name, work, present);
         return {
             ...sidecar,
             runSample: (attempt, onSpan, signal) => {
@@ -126,7 +126,7 @@
                 const listener = orderListener;
                 orderListener = undefined;
                 listener?.();
-                witness.recordOrderArrival(order.order, present);
+                observer.recordOrderArrival(order.order, present);
                 return process.enter(() => sidecar.order(order));
             },
             callPlain: (request, signal) => {
--- a/packages/bench/src/faults/createSimulatedTrainer.ts
+++ b/packages/bench/src/faults/createSimulatedTrainer.ts
@@ -125,19 +125,19 @@
     });
     return {
         trainer,
-        loseAnswers: (count, strike) => {
+        loseAnswers: (count, listener) => {
             answersToLose = count;
-            onLost = strike;
+            onLost = listener;
         },
-        publishMore: (count, strike) => {
+        publishMore: (count, listener) => {
             extraPublishes = count;
-            onBurst = strike;
+            onBurst = listener;
         },
         beforeNextPublish: listener => {
             onPublish = listener;
         },
-        forgeNextCursor: strike => {
-            onForged = strike;
+        forgeNextCursor: listener => {
+            onForged = listener;
         },
     };
 }
--- a/packages/bench/src/faults/createSimulation.ts
+++ b/packages/bench/src/faults/createSimulation.ts
@@ -58,9 +58,7 @@
             digest,
             crashedAtMs: deaths.map(death => death.atMs).filter(atMs => atMs > liftedAtMs),
         }));
-        const known = counted.filter(({ crashedAtMs: diedAtMs }) =>
-            diedAtMs.some(atMs => atMs < knownBeforeMs)
-        );
+        const known = counted.filter(({ crashedAtMs }) => crashedAtMs.some(atMs => atMs < knownBeforeMs));
         return new Map(known.map(({ digest, crashedAtMs: diedAtMs }) => [digest, Math.max(...diedAtMs)]));
     }
 
@@ -127,26 +125,26 @@
             void inducedCrashes.push({ vm, bootId, atWallMs: clock.wallMs() }),
         recordBoot: bootId => void engineBoots.add(bootId),
         isInducedCrash: ({ vm, bootId, atMs }) =>
-            inducedCrashes.some(death =>
+            inducedCrashes.some(crash =>
                 // A crash reported by entries names a sidecar's start, which only its time relates to an engine's
                 // crash.
                 engineBoots.has(bootId)
-                    ? death.bootId === bootId
-                    : death.vm === vm && Math.abs(death.atWallMs - atMs) < reportedWithinMs
+                    ? crash.bootId === bootId
+                    : crash.vm === vm && Math.abs(crash.atWallMs - atMs) < reportedWithinMs
             ),
         isAnyEntryActive: () => isActive(),
-        setEntryActivityCheck: judge => {
-            isActive = judge;
+        setEntryActivityCheck: check => {
+            isActive = check;
         },
         crashRequests: () => crashRequests,
-        corruptNextAnswer: onSpoilt => {
-            onCorrupted = onSpoilt;
+        corruptNextAnswer: listener => {
+            onCorrupted = listener;
         },
         takeAnswerCorruption: () => {
-            const strike = onCorrupted;
+            const listener = onCorrupted;
             onCorrupted = undefined;
-            strike?.();
-            return strike !== undefined;
+            listener?.();
+            return listener !== undefined;
         },
     };
 }
--- a/packages/bench/src/faults/injectFault.ts
+++ b/packages/bench/src/faults/injectFault.ts
@@ -350,8 +350,8 @@
     network.failNext("answerLost", target.name, entry.name, () => {
         const running = entry.running();
         const others = parts.entries.filter(each => each !== entry);
-        const isOtherAwake = others.some(each => each.running()?.process.isPaused() === false);
-        if (running !== undefined && !running.process.isPaused() && isOtherAwake && !parts.isFrozen()) {
+        const isOtherRunning = others.some(each => each.running()?.process.isPaused() === false);
+        if (running !== undefined && !running.process.isPaused() && isOtherRunning && !parts.isFrozen()) {
             parts.countFault("senderFreeze");
             running.process.pause();
             parts.recordFrozen(freezeMs);
--- a/packages/bench/src/faults/judges/checkRun.ts
+++ b/packages/bench/src/faults/judges/checkRun.ts
@@ -65,8 +65,8 @@
         const before = simulation.crashRequests().get(prompt)!.runs;
         const request = createCrashRequest(prompt);
         const { signal } = new AbortController();
-        const awake = entries.filter(entry => entry.running()?.process.isPaused() === false);
-        awake.forEach(entry =>
+        const runningEntries = entries.filter(entry => entry.running()?.process.isPaused() === false);
+        runningEntries.forEach(entry =>
             void entry.enter(present => present.call(request, signal)).catch(() => undefined)
         );
         const plain = {
@@ -131,8 +131,8 @@
     }
 
     async function checkUsage(): Promise<void> {
-        const awake = entries.filter(entry => entry.running()?.process.isPaused() === false);
-        const owner = awake.find(entry => entry.ownedFencing() !== undefined);
+        const runningEntries = entries.filter(entry => entry.running()?.process.isPaused() === false);
+        const owner = runningEntries.find(entry => entry.ownedFencing() !== undefined);
         const asked = owner?.receive("jobStatus", { job: "plume" }).catch(() => undefined);
         let status: OwnerStatus | undefined;
         void asked?.then(answer => {
--- a/packages/bench/src/faults/judges/createCheckedSidecar.ts
+++ b/packages/bench/src/faults/judges/createCheckedSidecar.ts
@@ -8,7 +8,7 @@
 
 /** Wraps a sidecar port and checks what its callers send and which outcomes they receive. */
 export function createCheckedSidecar(simulation: Simulation, from: string, port: SidecarPort): SidecarPort {
-    const { violations, observer: witness } = simulation;
+    const { violations, observer } = simulation;
 
     /** Only the lease holder may send, unless its access to the object API was impaired recently. */
     function checkOwner(fencing: number, what: string): void {
@@ -33,14 +33,14 @@
         ...port,
         runSample: async (attempt, onSpan, signal) => {
             checkOwner(attempt.fencing, "sample");
-            witness.recordSample(attempt);
+            observer.recordSample(attempt);
             const outcome = await port.runSample(attempt, onSpan, signal);
-            witness.recordOutcome(attempt.attempt, outcome);
+            observer.recordOutcome(attempt.attempt, outcome);
             return corrupt(outcome);
         },
         callPlain: async (request, signal) => {
             const outcome = await port.callPlain(request, signal);
-            witness.recordOutcome(request.attempt, outcome);
+            observer.recordOutcome(request.attempt, outcome);
             return outcome;
         },
         order: order => {
--- a/packages/bench/src/faults/removedMechanisms.ts
+++ b/packages/bench/src/faults/removedMechanisms.ts
@@ -5,7 +5,7 @@
 const vmsToConvict = 2;
 
 function hasCrashesOnTwoVms(record: QuarantineRecord, nowMs: number): boolean {
-    return new Set(countedCrashes(record, nowMs).map(death => death.vm)).size >= vmsToConvict;
+    return new Set(countedCrashes(record, nowMs).map(crash => crash.vm)).size >= vmsToConvict;
 }
 
 /** Mechanisms without a guard of their own, by name, each with its replacement when it is disabled. */
--- a/packages/bench/src/faults/runWithFaults.ts
+++ b/packages/bench/src/faults/runWithFaults.ts
@@ -140,8 +140,8 @@
     }
     if (!stopsNow() && frozenUntilMs > clock.monotonicMs()) {
         // The rest of a long pause concerns only the paused process and the plain samplers.
-        const awake = parts.entries.filter(entry => entry.running()?.process.isPaused() === false);
-        awake.forEach(entry => entry.kill());
+        const runningEntries = parts.entries.filter(entry => entry.running()?.process.isPaused() === false);
+        runningEntries.forEach(entry => entry.kill());
         parts.models.forEach(model => model.node.killSidecar());
         parts.plains.forEach(plain => plain.node.sidecarProcess()?.stopReporting());
         await clock.runUntil(stopsNow, frozenUntilMs + settleMs - clock.monotonicMs());
--- a/packages/bench/src/faults/scripts/runBystanderScript.ts
+++ b/packages/bench/src/faults/scripts/runBystanderScript.ts
@@ -32,8 +32,8 @@
         ["vm-4", ["second killer"]],
     ];
     for (const [vm, contents] of crashes) {
-        const death = { vm: vm as VmId, bootId: `boot of ${vm}`, contents: contents.length };
-        const suspects = contents.map(digest => ({ digest: digest as ContentDigest, deaths: [death] }));
+        const crash = { vm: vm as VmId, bootId: `boot of ${vm}`, contents: contents.length };
+        const suspects = contents.map(digest => ({ digest: digest as ContentDigest, deaths: [crash] }));
         quarantine.recordSuspects({ suspects });
     }
     return quarantine.isRefused(bystander)
--- a/packages/bench/src/policy/createFleet.ts
+++ b/packages/bench/src/policy/createFleet.ts
@@ -81,7 +81,7 @@
             ...speed,
         });
         const id = `sampler-${index}` as SamplerId;
-        const gate = createSidecar({
+        const sidecar = createSidecar({
             identity: {
                 sampler: id,
                 vm: `vm-${index}` as VmId,
@@ -100,21 +100,21 @@
             weightStore,
             readFencing: async () => fencing,
         });
-        gate.offerManifest(deps.manifest);
+        sidecar.offerManifest(deps.manifest);
         let frozenUntilMs = 0;
-        const port = withNetwork(gate, clock, scenario.network.delayMs, () => frozenUntilMs);
+        const port = withNetwork(sidecar, clock, scenario.network.delayMs, () => frozenUntilMs);
         let isKilled = false;
         const isSilent = (): boolean => isKilled || frozenUntilMs > clock.monotonicMs();
-        const feed = createReportFeed(gate, clock, random.fork(), scenario.reports, isSilent);
+        const feed = createReportFeed(sidecar, clock, random.fork(), scenario.reports, isSilent);
         const kill = (): void => {
             isKilled = true;
             control.crash();
-            gate.kill();
+            sidecar.kill();
         };
         const freezeUntil = (ms: number): void => {
             frozenUntilMs = ms;
         };
-        return { id, gate: { ...gate, kill }, control, port, freezeUntil, feed };
+        return { id, gate: { ...sidecar, kill }, control, port, freezeUntil, feed };
     }
 
     const groups = scenario.samplers.flatMap(group => Array.from({ length: group.count }, () => group));
--- a/packages/bench/src/policy/createReportFeed.ts
+++ b/packages/bench/src/policy/createReportFeed.ts
@@ -17,7 +17,7 @@
 
 /** Starts the report feed of a sidecar; `isSilent` is true while the VM sends nothing. */
 export function createReportFeed(
-    gate: Sidecar,
+    sidecar: Sidecar,
     clock: Clock,
     random: Random,
     reports: Scenario["reports"],
@@ -31,7 +31,7 @@
         if (isSilent() || random.nextUnit() < reports.lossRatio) {
             return;
         }
-        const report = gate.report();
+        const report = sidecar.report();
         const sentAtMs = clock.monotonicMs();
         clock.startTimer(reports.lagMs, () => {
             latest = report;
--- a/packages/bench/src/policy/createTrainerLoop.ts
+++ b/packages/bench/src/policy/createTrainerLoop.ts
@@ -116,13 +116,13 @@
     }
 
     function deliver(step: number): void {
-        const { delivered, regenerate: remake } = ledger.deliver(step, minVersion());
+        const { delivered, regenerate } = ledger.deliver(step, minVersion());
         const nowMs = clock.monotonicMs();
         delivered.forEach(made => recordDelivery(measures, made, { published, publishedAtMs, nowMs, bound }));
-        measures.regenerated += remake.length;
-        if (remake.length > 0) {
-            pendingOf[step]! += remake.length;
-            dispatcher.submit(remake);
+        measures.regenerated += regenerate.length;
+        if (regenerate.length > 0) {
+            pendingOf[step]! += regenerate.length;
+            dispatcher.submit(regenerate);
         }
     }
 
--- a/packages/discovery/src/createRoutingView.ts
+++ b/packages/discovery/src/createRoutingView.ts
@@ -14,8 +14,8 @@
         for (const { field, fault } of faults) {
             logger.warn("configPartLeftOut", { version, field, fault });
         }
-        for (const { service, wantsAutoscaling: wantsOrderedSamplers } of services.values()) {
-            if (wantsOrderedSamplers) {
+        for (const { service, wantsAutoscaling } of services.values()) {
+            if (wantsAutoscaling) {
                 logger.warn("samplersNotOrdered", { version, service, detail: "autoscale is not served" });
             }
         }
--- a/packages/discovery/src/discovery.test.ts
+++ b/packages/discovery/src/discovery.test.ts
@@ -63,7 +63,7 @@
             kind: "servers",
             decode: (_name, value) => value as RegisteredSampler,
         });
-    return { clock, control, lines, logger, put, remove, watched, samplers, away: lastOutage, directoryOf };
+    return { clock, control, lines, logger, put, remove, watched, samplers, lastOutage, directoryOf };
 }
 
 test("a copy follows changes through an outage and discarded history", async () => {
@@ -94,12 +94,12 @@
 test("a change is received at once although a watch on discarded history receives nothing", async () => {
     // Guards against refusing a route as unknown 4.2 s after the configuration that added it was acknowledged.
     const { clock, put, watched } = createFixture();
-    let isForgotten = false;
+    let isHistoryDiscarded = false;
     const { store } = watched;
     const watch: typeof store.watch = async (prefix, since, waitMs) => {
-        const isOld = isForgotten;
+        const isOld = isHistoryDiscarded;
         const found = await store.watch(prefix, since, waitMs);
-        if (isForgotten && !isOld) {
+        if (isHistoryDiscarded && !isOld) {
             throw new ResultError(resultCodes.storeUnavailable);
         }
         if (isOld) {
@@ -115,7 +115,7 @@
     });
     await put("config/main", 1);
     await clock.advance(400);
-    isForgotten = true;
+    isHistoryDiscarded = true;
     await put("config/main", 2);
     await clock.advance(900);
     expect([...copy.objects()!.values()]).toEqual([2]);
@@ -147,7 +147,7 @@
 
 test("a sampler whose entry expired in an outage is retained until it can register again unless it drains", async () => {
     // Guards against refusing all requests for a second after each outage of the store.
-    const { clock, control, put, remove, samplers, away, directoryOf } = createFixture();
+    const { clock, control, put, remove, samplers, lastOutage, directoryOf } = createFixture();
     await put("servers/a", entryOf("a"));
     await put("servers/b", entryOf("b", true));
     const directory = directoryOf(samplers());
@@ -157,7 +157,7 @@
     control.setOutage(true);
     await clock.advance(5_000);
     control.setOutage(false);
-    away.atMs = clock.monotonicMs();
+    lastOutage.atMs = clock.monotonicMs();
     await remove("servers/a");
     await remove("servers/b");
     await clock.advance(800);
@@ -167,7 +167,7 @@
 });
 
 test("a sampler whose entry expired is retained longer if another outage begins before it could register", async () => {
-    const { clock, control, put, remove, samplers, away, directoryOf } = createFixture();
+    const { clock, control, put, remove, samplers, lastOutage, directoryOf } = createFixture();
     await put("servers/a", entryOf("a"));
     const directory = directoryOf(samplers());
     const kept: number[] = [];
@@ -175,12 +175,12 @@
     for (let outage = 0; outage < 2; outage++) {
         control.setOutage(true);
         for (let second = 0; second < 5; second++) {
-            away.atMs = clock.monotonicMs();
+            lastOutage.atMs = clock.monotonicMs();
             kept.push(directory.serving(service).length);
             await clock.advance(1_000);
         }
         control.setOutage(false);
-        away.atMs = clock.monotonicMs();
+        lastOutage.atMs = clock.monotonicMs();
         if (outage === 0) {
             await remove("servers/a");
         }
--- a/packages/fakes/src/createBatch.ts
+++ b/packages/fakes/src/createBatch.ts
@@ -57,11 +57,11 @@
             return;
         }
         const nowMs = clock.monotonicMs();
-        let leastMs = Number.POSITIVE_INFINITY;
+        let leastRemainingMs = Number.POSITIVE_INFINITY;
         for (const item of items) {
-            leastMs = Math.min(leastMs, item.totalMs - item.doneMs);
+            leastRemainingMs = Math.min(leastRemainingMs, item.totalMs - item.doneMs);
         }
-        const untilEndMs = Math.max(0, leastMs) / speed();
+        const untilEndMs = Math.max(0, leastRemainingMs) / speed();
         const untilProgressMs = Math.max(0, progressAtMs - nowMs);
         cancelTimer = clock.startTimer(Math.min(untilEndMs, untilProgressMs), tick);
     }
--- a/packages/fakes/src/createEngineOrders.ts
+++ b/packages/fakes/src/createEngineOrders.ts
@@ -25,7 +25,7 @@
     options: FakeEngineOptions;
     generations: ReturnType<typeof createGenerations>;
     /** Whether the engine is up and its boot id is still `bootId`. */
-    isCurrentBoot: (boot: string) => boolean;
+    isCurrentBoot: (bootId: string) => boolean;
 }
 
 const defaultSwapMs = 2_000;
--- a/packages/fakes/src/createFakeEngine.ts
+++ b/packages/fakes/src/createFakeEngine.ts
@@ -55,7 +55,11 @@
         onEnd: generation => void endedEngineMs.set(generation.request.attempt, engineMsOf(generation)),
         onLoadChange: () => load.record(generations.load()),
     });
-    const orders = createEngineOrders({ options, generations, isCurrentBoot: boot => up && boot === bootId });
+    const orders = createEngineOrders({
+        options,
+        generations,
+        isCurrentBoot: expectedBootId => up && expectedBootId === bootId,
+    });
     const requests = createEngineRequests({
         generations,
         serves: policy => versionOf(policy) !== undefined,
@@ -88,7 +92,7 @@
     }
 
     /** Wraps a call so that it rejects with `engineUnreachable` while the engine is down. */
-    const whileUp =
+    const rejectWhileDown =
         <Args extends unknown[], T>(run: (...args: Args) => Promise<T>) => async (...args: Args) => {
             if (!up) {
                 throw new ResultError(resultCodes.engineUnreachable);
@@ -104,19 +108,19 @@
     }
 
     const engine: EnginePort = {
-        generate: whileUp(requests.generate),
-        cancel: whileUp(async attempt => requests.cancel(attempt)),
-        order: whileUp(order => orders.execute(order, bootId)),
-        describe: whileUp(async () => ({
+        generate: rejectWhileDown(requests.generate),
+        cancel: rejectWhileDown(async attempt => requests.cancel(attempt)),
+        order: rejectWhileDown(order => orders.execute(order, bootId)),
+        describe: rejectWhileDown(async () => ({
             bootId,
             served: structuredClone(orders.served()),
             maxBatch,
             tokensPerSecond,
             honoursFencing: options.honoursFencing ?? true,
         })),
-        readLoad: whileUp(async () => load.read()),
-        exportCache: whileUp(requests.exportCache),
-        importCache: whileUp(requests.importCache),
+        readLoad: rejectWhileDown(async () => load.read()),
+        exportCache: rejectWhileDown(requests.exportCache),
+        importCache: rejectWhileDown(requests.importCache),
     };
 
     const control: FakeEngineControl = {
--- a/packages/fakes/src/createFakeTrainer.ts
+++ b/packages/fakes/src/createFakeTrainer.ts
@@ -83,7 +83,7 @@
         await openAhead(step, signal);
         const spec = options.specOf(step as StepNumber);
         const waitStartedAtMs = clock.monotonicMs();
-        const cursor = await reader.readWhole(spec, signal);
+        const cursor = await reader.readStep(spec, signal);
         report.idleMs += clock.monotonicMs() - waitStartedAtMs;
         if (signal.aborted) {
             return;
--- a/packages/fakes/src/createGroupChecker.ts
+++ b/packages/fakes/src/createGroupChecker.ts
@@ -33,7 +33,7 @@
 
     const stalenessOf = (sample: Sample): number => deps.publishedVersion() - oldestVersion(sample);
 
-    function isWhole(group: SampleGroup, prompt: string): boolean {
+    function isComplete(group: SampleGroup, prompt: string): boolean {
         const indexes = new Set(group.samples.map(sample => sample.index));
         const hasIndexesInRange = group.samples.every(sample =>
             sample.index >= 0 && sample.index < deps.groupSize
@@ -69,7 +69,7 @@
         }
         seenGroups.add(key);
         const prompt = spec.prompts[group.group]?.prompt;
-        if (prompt === undefined || !isWhole(group, prompt)) {
+        if (prompt === undefined || !isComplete(group, prompt)) {
             report.brokenGroups++;
         }
         group.samples.forEach(checkSample);
--- a/packages/fakes/src/createStepReader.ts
+++ b/packages/fakes/src/createStepReader.ts
@@ -16,7 +16,7 @@
 
 interface StepReader {
     /** Reads a step until it is complete; resolves with the last cursor. */
-    readWhole(spec: StepSpec, signal: AbortSignal): Promise<string | undefined>;
+    readStep(spec: StepSpec, signal: AbortSignal): Promise<string | undefined>;
     /** Sends the last cursor, which acknowledges the last page to the owner. */
     acknowledge(spec: StepSpec, cursor: string | undefined, signal: AbortSignal): Promise<void>;
 }
@@ -76,7 +76,7 @@
         }
     }
 
-    async function readWhole(spec: StepSpec, signal: AbortSignal): Promise<string | undefined> {
+    async function readStep(spec: StepSpec, signal: AbortSignal): Promise<string | undefined> {
         let cursor: string | undefined;
         let done = false;
         while (!done && !signal.aborted) {
@@ -97,5 +97,5 @@
         return cursor;
     }
 
-    return { readWhole, acknowledge };
+    return { readStep, acknowledge };
 }
--- a/packages/lease/src/leaseCost.test.ts
+++ b/packages/lease/src/leaseCost.test.ts
@@ -24,16 +24,16 @@
             holder: `entry-${n}`,
         });
     const startProcess = () => createPausableProcess(clock, fake.store);
-    return { clock, ...fake, keeperOf: managerOf, startProcess };
+    return { clock, ...fake, managerOf, startProcess };
 }
 
 async function takeOver(seed: number, graceful: boolean): Promise<number> {
-    const { clock, keeperOf, startProcess } = createFixture(seed);
+    const { clock, managerOf, startProcess } = createFixture(seed);
     const process = startProcess();
     let second = false;
-    const first = keeperOf(1, process).acquire(key, neverAborted);
+    const first = managerOf(1, process).acquire(key, neverAborted);
     await clock.advance(100);
-    void keeperOf(2, startProcess()).acquire(key, neverAborted).then(() => (second = true));
+    void managerOf(2, startProcess()).acquire(key, neverAborted).then(() => (second = true));
     await clock.advance(7_000 + seed * 37);
     const endedAtMs = clock.monotonicMs();
     if (graceful) {
@@ -60,10 +60,10 @@
         afterDeathMs.push(await takeOver(seed, false));
         afterReleaseMs.push(await takeOver(seed, true));
     }
-    const { clock, control, keeperOf, startProcess } = createFixture(1);
-    void keeperOf(1, startProcess()).acquire(key, neverAborted);
+    const { clock, control, managerOf, startProcess } = createFixture(1);
+    void managerOf(1, startProcess()).acquire(key, neverAborted);
     await clock.advance(100);
-    void keeperOf(2, startProcess()).acquire(key, neverAborted);
+    void managerOf(2, startProcess()).acquire(key, neverAborted);
     const before = control.calls();
     await clock.advance(3_600_000);
     const after = control.calls();
--- a/packages/lease/src/leases.test.ts
+++ b/packages/lease/src/leases.test.ts
@@ -42,7 +42,7 @@
             guards,
         });
     };
-    return { clock, ...fake, keeperOn: managerOn, manager: () => managerOn(fake.store, clock) };
+    return { clock, ...fake, managerOn, manager: () => managerOn(fake.store, clock) };
 }
 
 async function settle<T>(clock: ReturnType<typeof createFakeClock>, ended: Promise<T>): Promise<T> {
@@ -56,11 +56,11 @@
 
 test("a holder paused beyond its term resumes without the lease, and its renewal is refused", async () => {
     // Guards against two owners that both order swaps.
-    const { clock, store, manager: keeper, keeperOn } = createFixture();
+    const { clock, store, manager, managerOn } = createFixture();
     const process = createPausableProcess(clock, store);
-    const first = await settle(clock, keeperOn(process.store, process.clock).acquire(key, neverAborted));
+    const first = await settle(clock, managerOn(process.store, process.clock).acquire(key, neverAborted));
     process.pause();
-    const second = await settle(clock, keeper().acquire(key, neverAborted));
+    const second = await settle(clock, manager().acquire(key, neverAborted));
     expect(second!.fencing).toBeGreaterThan(first!.fencing);
     expect(first!.isHeld()).toBe(false);
     expect(first!.lost.aborted).toBe(false);
@@ -73,18 +73,18 @@
 
 test("an acquisition whose response was lost is found by reading back, with the same fencing number", async () => {
     // Guards against a job that has no owner for a whole term.
-    const { clock, control, manager: keeper } = createFixture();
+    const { clock, control, manager } = createFixture();
     control.loseAnswers(1);
-    const lease = await settle(clock, keeper().acquire(key, neverAborted));
+    const lease = await settle(clock, manager().acquire(key, neverAborted));
     expect(clock.monotonicMs()).toBeLessThan(1_000);
     expect(lease!.isHeld()).toBe(true);
     expect(lease!.fencing).toBe(control.revision());
 });
 
 test("an acquisition that only the watch reveals after an outage is adopted", async () => {
-    const { clock, control, manager: keeper } = createFixture();
+    const { clock, control, manager } = createFixture();
     control.loseAnswers(1);
-    const waiting = keeper().acquire(key, neverAborted);
+    const waiting = manager().acquire(key, neverAborted);
     await clock.runUntil(() => control.revision() > 0, 1_000);
     control.setOutage(true);
     await clock.advance(3_000);
@@ -96,8 +96,8 @@
 });
 
 test("a renewal whose response was lost does not end the lease", async () => {
-    const { clock, control, manager: keeper } = createFixture();
-    const lease = await settle(clock, keeper().acquire(key, neverAborted));
+    const { clock, control, manager } = createFixture();
+    const lease = await settle(clock, manager().acquire(key, neverAborted));
     for (let renewal = 0; renewal < 10; renewal++) {
         control.loseAnswers(1);
         await clock.advance(ttlMs / 3);
@@ -113,18 +113,18 @@
 });
 
 test("one of two processes that race for a free lease acquires it", async () => {
-    const { clock, manager: keeper } = createFixture();
+    const { clock, manager } = createFixture();
     const [first, second] = await settle(
         clock,
-        Promise.all([keeper().tryAcquire(key), keeper().tryAcquire(key)]),
+        Promise.all([manager().tryAcquire(key), manager().tryAcquire(key)]),
     );
     expect([first, second].filter(lease => lease?.isHeld()).length).toBe(1);
 });
 
 test("a lease that lapses in an outage is held again by the same holder once the store is back", async () => {
     // Guards against every job changing its owner after an outage.
-    const { clock, control, manager: keeper } = createFixture();
-    const lease = await settle(clock, keeper().acquire(key, neverAborted));
+    const { clock, control, manager } = createFixture();
+    const lease = await settle(clock, manager().acquire(key, neverAborted));
     control.setOutage(true);
     await clock.advance(ttlMs + 1);
     expect(lease!.isHeld()).toBe(false);
@@ -136,9 +136,9 @@
 });
 
 test("a waiter acquires a released lease at once", async () => {
-    const { clock, manager: keeper } = createFixture();
-    const lease = await settle(clock, keeper().acquire(key, neverAborted));
-    const waiting = keeper().acquire(key, neverAborted);
+    const { clock, manager } = createFixture();
+    const lease = await settle(clock, manager().acquire(key, neverAborted));
+    const waiting = manager().acquire(key, neverAborted);
     await clock.advance(4_000);
     const releasedAtMs = clock.monotonicMs();
     await settle(clock, lease!.release());
@@ -150,24 +150,24 @@
 test("a holder that crashes is replaced within its term plus the clock drift margin and the jitter", async () => {
     const tookMs: number[] = [];
     for (let run = 0; run < 20; run++) {
-        const { clock, store, manager: keeper, keeperOn } = createFixture();
+        const { clock, store, manager, managerOn } = createFixture();
         const process = createPausableProcess(clock, store);
-        await settle(clock, keeperOn(process.store, process.clock).acquire(key, neverAborted));
-        const waiting = keeper().acquire(key, neverAborted);
+        await settle(clock, managerOn(process.store, process.clock).acquire(key, neverAborted));
+        const waiting = manager().acquire(key, neverAborted);
         await clock.advance(5_000 + run * 250);
         process.pause();
-        const diedAtMs = clock.monotonicMs();
+        const crashedAtMs = clock.monotonicMs();
         await settle(clock, waiting);
-        tookMs.push(clock.monotonicMs() - diedAtMs);
+        tookMs.push(clock.monotonicMs() - crashedAtMs);
     }
     expect(Math.max(...tookMs)).toBeLessThan(ttlMs * 1.05 + ttlMs / 20 + 20);
     expect(Math.min(...tookMs)).toBeGreaterThan(ttlMs * 0.6);
 });
 
 test("a waiter causes one watch per renewal and no read or write", async () => {
-    const { clock, control, manager: keeper } = createFixture();
-    await settle(clock, keeper().acquire(key, neverAborted));
-    void keeper().acquire(key, neverAborted);
+    const { clock, control, manager } = createFixture();
+    await settle(clock, manager().acquire(key, neverAborted));
+    void manager().acquire(key, neverAborted);
     await clock.advance(ttlMs);
     const before = control.calls();
     await clock.advance(100 * ttlMs);
@@ -183,19 +183,19 @@
 });
 
 test("stale reads do not give the lease to a second holder", async () => {
-    const { clock, control, manager: keeper } = createFixture();
-    const first = await settle(clock, keeper().acquire(key, neverAborted));
+    const { clock, control, manager } = createFixture();
+    const first = await settle(clock, manager().acquire(key, neverAborted));
     control.setStaleReads(2);
-    const others = [keeper(), keeper()].map(other => other.acquire(key, neverAborted));
+    const others = [manager(), manager()].map(other => other.acquire(key, neverAborted));
     await clock.advance(20 * ttlMs);
     expect(first!.isHeld()).toBe(true);
     expect(await Promise.race([...others, Promise.resolve("none")])).toBe("none");
 });
 
 test("a waiter acquires the lease after its object was removed", async () => {
-    const { clock, store, manager: keeper } = createFixture();
-    const first = await settle(clock, keeper().acquire(key, neverAborted));
-    const waiting = keeper().acquire(key, neverAborted);
+    const { clock, store, manager } = createFixture();
+    const first = await settle(clock, manager().acquire(key, neverAborted));
+    const waiting = manager().acquire(key, neverAborted);
     await clock.advance(1_000);
     const object = await settle(clock, store.read(key));
     await settle(clock, store.remove(key, object!.version));
@@ -217,13 +217,13 @@
 
 /** Runs three processes through the actions; returns the maximum of concurrent holders and all fencing numbers. */
 async function interleave(actions: Action[], guards: LeaseGuards) {
-    const { clock, store, control, keeperOn } = createFixture(20);
+    const { clock, store, control, managerOn } = createFixture(20);
     const processes = [0, 1, 2].map(() => createPausableProcess(clock, store));
     const leases: Lease[] = [];
     const fencings: number[] = [];
     let maxHolders = 0;
     const abort = new AbortController();
-    const managers = processes.map(process => keeperOn(process.store, process.clock, guards));
+    const managers = processes.map(process => managerOn(process.store, process.clock, guards));
     const compete = async (manager: (typeof managers)[number]): Promise<void> => {
         while (!abort.signal.aborted) {
             const lease = await manager.acquire(key, abort.signal);
@@ -234,7 +234,7 @@
             await clock.sleep(500, abort.signal);
         }
     };
-    managers.forEach(keeper => void compete(keeper));
+    managers.forEach(manager => void compete(manager));
     const sampleHolders = (): void => {
         maxHolders = Math.max(maxHolders, leases.filter(lease => lease.isHeld()).length);
         clock.startTimer(100, sampleHolders);
@@ -274,23 +274,23 @@
 });
 
 test("without either time check the same interleavings yield two holders", async () => {
-    const careless: LeaseGuards[] = [
+    const weakenedGuards: LeaseGuards[] = [
         { ...defaultLeaseGuards, isWithinLease: () => true },
         { ...defaultLeaseGuards, takeOverAfterMs: () => 0 },
     ];
     const cases = fc.sample(fc.array(action, { minLength: 4, maxLength: 16 }), { numRuns: 20, seed: 5 });
-    for (const guards of careless) {
-        let worst = 0;
+    for (const guards of weakenedGuards) {
+        let maxHolders = 0;
         for (const actions of cases) {
-            worst = Math.max(worst, (await interleave(actions, guards)).maxHolders);
+            maxHolders = Math.max(maxHolders, (await interleave(actions, guards)).maxHolders);
         }
-        expect(worst).toBeGreaterThan(1);
+        expect(maxHolders).toBeGreaterThan(1);
     }
 });
 
 test("a process acquires the lease of its VM's earlier process at once, but not that of another VM", async () => {
     const { clock, store } = createFixture();
-    const keeperOf = (holder: string) =>
+    const managerOf = (holder: string) =>
         createLeaseManager({
             store,
             clock,
@@ -300,9 +300,9 @@
             holder,
             resumesOwnLeases: true,
         });
-    const first = await settle(clock, keeperOf("vm-1").tryAcquire(key));
-    const other = await settle(clock, keeperOf("vm-22").tryAcquire(key));
-    const again = await settle(clock, keeperOf("vm-1").tryAcquire(key));
+    const first = await settle(clock, managerOf("vm-1").tryAcquire(key));
+    const other = await settle(clock, managerOf("vm-22").tryAcquire(key));
+    const again = await settle(clock, managerOf("vm-1").tryAcquire(key));
     expect([first?.found, other, again?.found]).toEqual(["nothing", undefined, "ownEarlier"]);
     expect(again!.fencing).toBeGreaterThan(first!.fencing);
 });
--- a/packages/queue/src/createFairQueue.test.ts
+++ b/packages/queue/src/createFairQueue.test.ts
@@ -89,10 +89,10 @@
 
 test("items that may not run are skipped, and removed ones are not returned", () => {
     const queue = createFairQueue<Item>({ share: () => 0.5, nowMs: () => 0 });
-    const held = item("a");
+    const blocked = item("a");
     const other = item("b");
-    [held, other].forEach(queue.push);
-    expect(queue.pop(next => next !== held)).toBe(other);
-    expect(queue.pop(next => next !== held)).toBeUndefined();
-    expect([queue.remove(held), queue.remove(held), queue.size()]).toEqual([true, false, 0]);
+    [blocked, other].forEach(queue.push);
+    expect(queue.pop(next => next !== blocked)).toBe(other);
+    expect(queue.pop(next => next !== blocked)).toBeUndefined();
+    expect([queue.remove(blocked), queue.remove(blocked), queue.size()]).toEqual([true, false, 0]);
 });
--- a/packages/soak/src/checkFinalState.ts
+++ b/packages/soak/src/checkFinalState.ts
@@ -45,9 +45,13 @@
     for (const sampler of bed.samplers) {
         sampler.orders().forEach((order, index, all) => {
             const before = all[index - 1];
-            const isOther = before !== undefined && before.holder !== order.holder;
-            const isApart = !isOther || order.atMs - before.atMs >= orderHandOverMs;
-            checker.check(isApart, "orders come from one holder", { sampler: sampler.id, before, order });
+            const isOtherHolder = before !== undefined && before.holder !== order.holder;
+            const isFarEnoughApart = !isOtherHolder || order.atMs - before.atMs >= orderHandOverMs;
+            checker.check(isFarEnoughApart, "orders come from one holder", {
+                sampler: sampler.id,
+                before,
+                order,
+            });
         });
     }
 
--- a/packages/soak/src/checkPage.ts
+++ b/packages/soak/src/checkPage.ts
@@ -45,10 +45,10 @@
             before: before?.result,
             text,
         });
-        const isTwice = [...step.positions].some(([at, each]) =>
+        const isListedTwice = [...step.positions].some(([at, each]) =>
             at !== position && (JSON.parse(each.result) as PageResult).id === result.id
         );
-        checker.check(!isTwice, "an item is listed once", { lot: step.lot, item: result.id, position });
+        checker.check(!isListedTwice, "an item is listed once", { lot: step.lot, item: result.id, position });
         checker.check(step.items.includes(result.id), "an item is of its job", { lot: step.lot, result });
         if (before === undefined) {
             step.positions.set(position, { result: text, readAtMs: nowMs });
--- a/packages/soak/src/checks.test.ts
+++ b/packages/soak/src/checks.test.ts
@@ -17,12 +17,12 @@
 const run = (id: string, atMs = 0, version = 2) => ({ id, after: 0, version, atMs });
 const order = (holder: string, atMs: number) => ({ model: "m", version: 2, holder, fence: 1, atMs });
 
-function bedOf(runs: ReturnType<Sampler["runs"]>, over: Partial<SoakTestBed> = {}): SoakTestBed {
+function bedOf(runs: ReturnType<Sampler["runs"]>, overrides: Partial<SoakTestBed> = {}): SoakTestBed {
     const sampler = { id: "s-1", runs: () => runs, orders: () => [] as ReturnType<Sampler["orders"]> };
-    return { eventsPerItem: 2, samplers: [sampler], programs: [], ...over } as unknown as SoakTestBed;
+    return { eventsPerItem: 2, samplers: [sampler], programs: [], ...overrides } as unknown as SoakTestBed;
 }
 
-const stepOf = (over: Partial<StepRecord> = {}): StepRecord => ({
+const stepOf = (overrides: Partial<StepRecord> = {}): StepRecord => ({
     lot: "l",
     model: "m",
     minVersion: 2,
@@ -32,15 +32,15 @@
     positions: new Map(),
     endedAtMs: undefined,
     isEndRequested: false,
-    ...over,
+    ...overrides,
 });
-const result = (id: string, over: Record<string, unknown> = {}) => ({
+const result = (id: string, overrides: Record<string, unknown> = {}) => ({
     id,
     state: "completed",
     output: `${id}-1\n${id}-2`,
     versions: [2],
     score: `proof of score-${id}`,
-    ...over,
+    ...overrides,
 });
 
 /** Returns the promises broken by the pages of a job, read in sequence from the given positions. */
--- a/packages/soak/src/createSoakCaller.ts
+++ b/packages/soak/src/createSoakCaller.ts
@@ -32,7 +32,7 @@
 const limitMs = 2_500;
 
 /** Creates a client that sends plain requests and reuses its connections until they are closed. */
-export function createSoakCaller({ bed, clock, random, checker: witness, name }: CallerDeps): Caller {
+export function createSoakCaller({ bed, clock, random, checker, name }: CallerDeps): Caller {
     const client = createFakeClient(soakTeam.key);
     const calls: PlainCall[] = [];
     /** Newest version whose route was served, by start of a gateway. */
@@ -56,9 +56,10 @@
         }
         call.status = reply.status;
         const detail = { requestId, gateway: gateway.name, reply };
-        const isOwn = reply.status !== ok || reply.body === "ok" && reply.proof === `proof of ${requestId}`;
-        witness.check(isOwn, "an answer is whole and belongs to its request", detail);
-        witness.check(reply.status !== notFound, "a known route is not refused", detail);
+        const isOwnAnswer = reply.status !== ok
+            || reply.body === "ok" && reply.proof === `proof of ${requestId}`;
+        checker.check(isOwnAnswer, "an answer is whole and belongs to its request", detail);
+        checker.check(reply.status !== notFound, "a known route is not refused", detail);
     }
 
     async function callVersion(gateway: Program, version: number): Promise<number> {
@@ -76,8 +77,8 @@
         if (status === ok && startOf() === start) {
             newestServed.set(start, Math.max(newest, version));
         }
-        const wentBack = status === notFound && version <= newest && startOf() === start;
-        witness.check(!wentBack, "the configuration goes forward only", { start, version, newest });
+        const isOutdated = status === notFound && version <= newest && startOf() === start;
+        checker.check(!isOutdated, "the configuration goes forward only", { start, version, newest });
         return status;
     }
 
--- a/packages/soak/src/createSoakTestBed.ts
+++ b/packages/soak/src/createSoakTestBed.ts
@@ -162,7 +162,7 @@
         },
         close: async () => {
             await Promise.all(programs.map(program => program.end("SIGKILL")));
-            const links = [...storeLinks.values(), ...slots.map(place => place.link)];
+            const links = [...storeLinks.values(), ...slots.map(slot => slot.link)];
             [...links, ...samplers, store, usageReports].forEach(each => each.close());
             await rm(folder, { recursive: true, force: true });
         },
--- a/packages/soak/src/createSoakTrainer.ts
+++ b/packages/soak/src/createSoakTrainer.ts
@@ -40,7 +40,7 @@
 const settleMs = 1_000;
 
 /** Creates a trainer that submits a step, reads it at any gateway from any position, ends it and names a version. */
-export function createSoakTrainer({ bed, clock, random, checker: witness, model }: TrainerDeps): Trainer {
+export function createSoakTrainer({ bed, clock, random, checker, model }: TrainerDeps): Trainer {
     const client = createFakeClient(soakTeam.key);
     const steps: StepRecord[] = [];
     const anyGateway = (): Program => bed.gateways[random.nextInt(bed.gateways.length)]!;
@@ -53,7 +53,7 @@
             const status = reply.kind === "answered" ? reply.status : 0;
             step.submissions.push(status);
             step.isAccepted = status === accepted;
-            witness.check(status !== notFound, "a known route is not refused", { lot: step.lot });
+            checker.check(status !== notFound, "a known route is not refused", { lot: step.lot });
             await clock.sleep(step.isAccepted ? 0 : retryMs);
         }
     }
@@ -69,16 +69,16 @@
             return after;
         }
         const isSettled = clock.monotonicMs() - acceptedAtMs > settleMs;
-        witness.check(!isSettled || reply.status !== notFound, "an accepted job is known", {
+        checker.check(!isSettled || reply.status !== notFound, "an accepted job is known", {
             lot: step.lot,
             gateway: gateway.name,
         });
         return reply.status === ok
-            ? checkPage(bed, witness, step, after, reply.body, clock.monotonicMs()).next
+            ? checkPage(bed, checker, step, after, reply.body, clock.monotonicMs()).next
             : after;
     }
 
-    async function readWhole(step: StepRecord, limitMs: number): Promise<void> {
+    async function readAll(step: StepRecord, limitMs: number): Promise<void> {
         const acceptedAtMs = clock.monotonicMs();
         let next = 0;
         while (step.positions.size < step.items.length && clock.monotonicMs() - acceptedAtMs < limitMs) {
@@ -122,10 +122,10 @@
             if (!step.isAccepted) {
                 return step;
             }
-            await readWhole(step, limitMs);
-            const isWhole = step.positions.size === step.items.length;
+            await readAll(step, limitMs);
+            const isComplete = step.positions.size === step.items.length;
             await end(step);
-            if (isWhole) {
+            if (isComplete) {
                 bed.nameVersion(model, version + 1);
             }
             return step;
@@ -135,7 +135,7 @@
             const reply = await client.call(gateway.clientPort, clientCalls.read(step.lot, 0));
             const isAnswered = reply.kind === "answered" && reply.status === ok;
             if (isAnswered) {
-                checkPage(bed, witness, step, 0, reply.body, clock.monotonicMs());
+                checkPage(bed, checker, step, 0, reply.body, clock.monotonicMs());
             }
             return isAnswered;
         },
--- a/packages/soak/src/injectFault.ts
+++ b/packages/soak/src/injectFault.ts
@@ -8,7 +8,7 @@
 
 /** Injects one fault; resolves once it is over. */
 export async function injectFault(bed: SoakTestBed, clock: Clock, fault: SoakFault): Promise<void> {
-    const { programs, slots: places, store } = bed;
+    const { programs, slots, store } = bed;
 
     async function disturbLink(link: LinkProxy, mode: LinkMode, forMs: number): Promise<void> {
         link.setMode(mode);
@@ -57,7 +57,7 @@
         )
         .with(
             { kind: "samplerLink" },
-            ({ sampler, mode, forMs }) => disturbLink(places[sampler]!.link, mode, forMs),
+            ({ sampler, mode, forMs }) => disturbLink(slots[sampler]!.link, mode, forMs),
         )
         .with({ kind: "kill" }, kill)
         .with({ kind: "killAll" }, async ({ downMs }) => {
@@ -66,9 +66,9 @@
         .with({ kind: "pause" }, ({ process, forMs }) => pause(programs[process]!, forMs))
         .with({ kind: "terminate" }, ({ process, downMs }) => restart(programs[process]!, "SIGTERM", downMs))
         .with({ kind: "reload" }, async ({ process }) => programs[process]!.signal("SIGHUP"))
-        .with({ kind: "replaceSampler" }, ({ sampler, isAnnounced }) => places[sampler]!.replace(isAnnounced))
-        .with({ kind: "leaveSampler" }, ({ sampler, isAnnounced }) => places[sampler]!.leave(isAnnounced))
-        .with({ kind: "breakStreams" }, async ({ sampler }) => places[sampler]!.current().breakStreams())
+        .with({ kind: "replaceSampler" }, ({ sampler, isAnnounced }) => slots[sampler]!.replace(isAnnounced))
+        .with({ kind: "leaveSampler" }, ({ sampler, isAnnounced }) => slots[sampler]!.leave(isAnnounced))
+        .with({ kind: "breakStreams" }, async ({ sampler }) => slots[sampler]!.current().breakStreams())
         .with({ kind: "changeConfiguration" }, async () => bed.changeConfiguration())
         .exhaustive();
 }
--- a/packages/soak/src/runSoak.ts
+++ b/packages/soak/src/runSoak.ts
@@ -55,7 +55,7 @@
 function endAllFaults(bed: SoakTestBed): void {
     bed.store.setMode("well");
     bed.storeLinks.forEach(link => link.setMode("well"));
-    bed.slots.forEach(place => place.link.setMode("well"));
+    bed.slots.forEach(slot => slot.link.setMode("well"));
     for (const program of bed.programs) {
         program.signal("SIGCONT");
         if (!program.isUp()) {
@@ -125,8 +125,8 @@
         }
         for (const trainer of trainers) {
             const last = await trainer.runStep(recoveryLimitMs);
-            const isWhole = last.positions.size === last.items.length;
-            checker.check(isWhole, "steps are made again", { ...last, positions: last.positions.size });
+            const isComplete = last.positions.size === last.items.length;
+            checker.check(isComplete, "steps are made again", { ...last, positions: last.positions.size });
             for (const step of trainer.steps().filter(each => each.isAccepted)) {
                 for (const gateway of bed.gateways) {
                     const isRead = await waitUntil(
--- a/packages/store/src/writeUntilKnown.test.ts
+++ b/packages/store/src/writeUntilKnown.test.ts
@@ -69,9 +69,9 @@
             );
             await clock.advance(60_000);
             const kind = await ended;
-            const stands = JSON.stringify(control.peek("a")) === JSON.stringify({ stamp });
+            const tookEffect = JSON.stringify(control.peek("a")) === JSON.stringify({ stamp });
             if (kind !== "error") {
-                expect(kind === "written").toBe(stands);
+                expect(kind === "written").toBe(tookEffect);
             }
             expect(control.revision()).toBeLessThanOrEqual(1);
         }),
--- a/packages/weights/src/createSwapRoller.test.ts
+++ b/packages/weights/src/createSwapRoller.test.ts
@@ -87,18 +87,26 @@
         logger: createLogger(clock, () => {}),
         metrics: createMetrics(),
     };
-    return { clock, ordered, join, reports, shown, roller: createSwapRoller(deps), most: () => maxSwapping };
+    return {
+        clock,
+        ordered,
+        join,
+        reports,
+        shown,
+        roller: createSwapRoller(deps),
+        maxSwapping: () => maxSwapping,
+    };
 }
 
 test("samplers swap within the ratio until all serve the version, including one that joins late", async () => {
-    const { clock, ordered, join, roller, most } = start(["a", "b", "c", "d", "e", "f"]);
+    const { clock, ordered, join, roller, maxSwapping } = start(["a", "b", "c", "d", "e", "f"]);
     roller.publish(weightsOf(2));
     expect(roller.pending()).toHaveLength(6);
     await clock.advance(1_500);
     join("late", 1);
     await clock.advance(4_000);
     expect(roller.pending()).toEqual([]);
-    expect(most()).toBe(2);
+    expect(maxSwapping()).toBe(2);
     expect(ordered).toMatchInlineSnapshot(`
       [
         "0 a@2 fencing=7",
