--- a/packages/config/src/ManifestResult.ts
+++ b/packages/config/src/ManifestResult.ts
@@ -1,7 +1,7 @@
 import type { ConfigFault } from "@auburnarch/types/ConfigFault";
 import type { Manifest } from "@auburnarch/types/Manifest";
 
-/** A manifest checked whole: taken with its defaults filled in, or refused with every fault named. */
+/** Result of validating a manifest: the manifest with its defaults filled in, or all faults that were found. */
 export type ManifestResult =
     | { kind: "valid"; manifest: Manifest; }
     | { kind: "invalid"; faults: ConfigFault[]; };
--- a/packages/config/src/RoleSettings.ts
+++ b/packages/config/src/RoleSettings.ts
@@ -1,5 +1,5 @@
 import type { z } from "zod";
 import type { roleSettingsSchema } from "./roleSettingsSchema.js";
 
-/** Checked settings of a gateway or a runner. */
+/** Validated settings of a gateway or a runner. */
 export type RoleSettings = z.infer<typeof roleSettingsSchema>;
--- a/packages/config/src/Settings.ts
+++ b/packages/config/src/Settings.ts
@@ -1,5 +1,5 @@
 import type { z } from "zod";
 import type { settingsSchema } from "./settingsSchema.js";
 
-/** Settings of one process, checked, with defaults filled in. docs/settings.md lists each. */
+/** Validated settings of an entry or a sidecar with defaults filled in; docs/settings.md describes each. */
 export type Settings = z.infer<typeof settingsSchema>;
--- a/packages/config/src/applyFlags.ts
+++ b/packages/config/src/applyFlags.ts
@@ -15,15 +15,15 @@
         return text.split(",").filter(part => part !== "");
     }
     if (inner instanceof z.ZodNumber) {
-        // An empty text would become 0.
+        // `Number("")` is 0, so an empty text is passed on for the schema to reject.
         return text.trim() === "" ? text : Number(text);
     }
     return text;
 }
 
 /**
- * Lays command-line flags over the settings of the file. A flag is a setting's name in camelCase or with dashes;
- * lists are separated by commas, and `tls.certPath` reaches into `tls`.
+ * Overrides settings from the file with command-line flags. A flag is the name of a setting in camelCase or kebab-case;
+ * list items are separated by commas, and `tls.certPath` sets a key inside `tls`.
  */
 export function applyFlags(json: unknown, flags: Record<string, string>): unknown {
     if (Object.keys(flags).length === 0) {
--- a/packages/config/src/checkReferences.ts
+++ b/packages/config/src/checkReferences.ts
@@ -100,8 +100,9 @@
 }
 
 /**
- * Faults between the parts of a manifest: names that stand twice or refer to nothing, shares over 1, steps that
- * groups do not fill. Works on unchecked JSON, so that these come out together with the faults of shape.
+ * Finds faults across the parts of a manifest: duplicate names, references to unknown names, shares that add up to more
+ * than 1, and steps whose samples do not divide into whole groups. Accepts unvalidated JSON, so that these faults are
+ * reported together with those of the schema.
  */
 export function checkReferences(json: unknown): ConfigFault[] {
     if (!(json instanceof Object)) {
--- a/packages/config/src/checkRole.ts
+++ b/packages/config/src/checkRole.ts
@@ -38,7 +38,7 @@
     return [];
 }
 
-/** Faults between settings: what a role needs and what belongs to the other. */
+/** Finds settings that the role requires but that are missing, and settings that only the other role has. */
 export function checkRole(json: unknown): ConfigFault[] {
     const given = (json instanceof Object ? json : {}) as Record<string, unknown>;
     if (given["role"] === "entry") {
--- a/packages/config/src/deriveLimits.ts
+++ b/packages/config/src/deriveLimits.ts
@@ -3,7 +3,7 @@
 const queuedPerSampler = 64;
 const minQueuedPerTeam = 256;
 
-/** Fills in the limits that a manifest leaves out. The queue bound grows with the number of samplers. */
+/** Fills in the limits that a manifest omits. The default queue limit grows with the number of samplers. */
 export function deriveLimits(given: Partial<LimitsManifest>, samplers: number): LimitsManifest {
     return {
         maxBodyBytes: given.maxBodyBytes ?? 1_048_576,
--- a/packages/config/src/diffManifests.ts
+++ b/packages/config/src/diffManifests.ts
@@ -7,7 +7,7 @@
     { list: "jobs", key: "job" },
 ] as const;
 
-/** Token digests are shown by their first digits, which is enough to tell them apart. */
+/** Token digests are abbreviated to their first digits, which is enough to distinguish them. */
 const shownDigits = 8;
 
 function show(value: unknown): string {
@@ -41,7 +41,7 @@
     return [...removed, ...changed];
 }
 
-/** What a change does, one line each: `-` removed, `+` added, `~` changed. Empty where nothing differs. */
+/** Lists the differences between two manifests, one line each: `-` removed, `+` added, `~` changed. */
 export function diffManifests(before: Manifest | undefined, after: Manifest): string[] {
     if (before === undefined) {
         const added = lists.flatMap(({ list, key }) => diffRows(key, [], after[list]));
--- a/packages/config/src/faultsOfDocument.test.ts
+++ b/packages/config/src/faultsOfDocument.test.ts
@@ -7,7 +7,7 @@
     ["quarantine", { records: [{ digest: "a", deaths: "none", expiresAtMs: 1 }] }],
     ["owner/job", { entry: "entry-1" }],
     ["range/3", undefined],
-])("a document %s with value %j has faults", (name, value) => {
+])("document %s with value %j is rejected", (name, value) => {
     expect(faultsOfDocument({ name, version: 1, value })).not.toEqual([]);
 });
 
@@ -17,6 +17,6 @@
     }],
     ["owner/job", { entry: "entry-1", address: "http://10.0.0.1:1", fencing: 4 }],
     ["of-a-newer-release", [1, 2]],
-])("a document %s with value %j has none", (name, value) => {
+])("document %s with value %j is accepted", (name, value) => {
     expect(faultsOfDocument({ name, version: 1, value })).toEqual([]);
 });
--- a/packages/config/src/faultsOfDocument.ts
+++ b/packages/config/src/faultsOfDocument.ts
@@ -26,8 +26,8 @@
 const owner = z.object({ entry: text, address: text, fencing: version });
 
 /**
- * Faults of a shared document's value, by its name. Values of other names are passed on unread: a newer release
- * may spread documents that this one does not know.
+ * Validates the value of a shared document according to the document's name. Documents with other names are accepted
+ * unchecked, because a newer release may distribute documents that this one does not know.
  */
 export function faultsOfDocument({ name, value }: SharedDocument): ConfigFault[] {
     if (name === "manifest") {
--- a/packages/config/src/formatPath.ts
+++ b/packages/config/src/formatPath.ts
@@ -1,4 +1,4 @@
-/** Writes a path of keys and indexes as `jobs[0].groupSize`. */
+/** Formats a path of keys and indexes, for example as `jobs[0].groupSize`. */
 export function formatPath(path: readonly PropertyKey[]): string {
     let text = "";
     for (const part of path) {
--- a/packages/config/src/keysAt.ts
+++ b/packages/config/src/keysAt.ts
@@ -10,7 +10,7 @@
     return inner;
 }
 
-/** Keys that `schema` allows for the object at `path`; empty where there is no object. */
+/** Returns the keys that `schema` allows in the object at `path`; empty if the schema has no object there. */
 export function keysAt(schema: unknown, path: readonly PropertyKey[]): string[] {
     let at = unwrap(schema);
     for (const part of path) {
--- a/packages/config/src/listFaults.ts
+++ b/packages/config/src/listFaults.ts
@@ -33,7 +33,7 @@
     return [{ path, message: issue.message }];
 }
 
-/** Every fault that `schema` finds in `json`, in its order; unknown keys come with the nearest valid one. */
+/** Validates `json` and returns all faults in the order of the schema; for unknown keys it suggests the nearest one. */
 export function listFaults(schema: z.ZodType, json: unknown): ConfigFault[] {
     const result = schema.safeParse(json);
     return result.success ? [] : result.error.issues.flatMap(issue => toFaults(schema, json, issue));
--- a/packages/config/src/manifestSchema.ts
+++ b/packages/config/src/manifestSchema.ts
@@ -51,7 +51,7 @@
     interactiveWaitMs: z.int().min(0).max(maxDurationMs).optional(),
 });
 
-/** Shape of a manifest as the pipeline writes it; what only holds between its parts is checked elsewhere. */
+/** Schema of a manifest as the pipeline writes it; `checkReferences` checks constraints between its parts. */
 export const manifestSchema = z.strictObject({
     name: nameSchema,
     teams: z.array(team).min(1),
--- a/packages/config/src/nearestName.ts
+++ b/packages/config/src/nearestName.ts
@@ -13,9 +13,9 @@
     return previous[b.length]!;
 }
 
-/** The valid name with the least edit distance to `given`, case aside; undefined where none is close. */
+/** Returns the valid name with the smallest case-insensitive edit distance to `given`; undefined if none is close. */
 export function nearestName(given: string, validNames: readonly string[]): string | undefined {
-    // Longer input is no misspelling of a name, and comparing it would cost quadratic time.
+    // Longer input is not a misspelled name, and computing its edit distance takes quadratic time.
     if (given.length > 128) {
         return undefined;
     }
--- a/packages/config/src/parseJson.ts
+++ b/packages/config/src/parseJson.ts
@@ -1,6 +1,6 @@
 import type { ConfigFault } from "@auburnarch/types/ConfigFault";
 
-/** Parses JSON; a syntax fault becomes a fault of the whole text. */
+/** Parses JSON. A syntax error is returned as a fault with an empty path, which denotes the whole text. */
 export function parseJson(
     text: string,
 ): { kind: "valid"; json: unknown; } | { kind: "invalid"; faults: ConfigFault[]; } {
--- a/packages/config/src/readManifestDocument.ts
+++ b/packages/config/src/readManifestDocument.ts
@@ -4,8 +4,8 @@
 import { validateManifest } from "./validateManifest.js";
 
 /**
- * The manifest of a shared document with its defaults filled in; undefined where it has faults. A pipeline may
- * write the object without limits or lists that have defaults; used as it came, those would be missing.
+ * Reads the manifest from a shared document and fills in its defaults; undefined if it is invalid. A pipeline may write
+ * the object without limits or lists that have defaults, so the raw value is incomplete.
  */
 export function readManifestDocument({ version, value }: SharedDocument): VersionedManifest | undefined {
     const result = validateManifest(value);
--- a/packages/config/src/renderSettingsTable.ts
+++ b/packages/config/src/renderSettingsTable.ts
@@ -16,10 +16,10 @@
     if (schema instanceof z.ZodDefault || schema instanceof z.ZodOptional) {
         return metaOf(schema.unwrap() as z.ZodType);
     }
-    throw new Error("A setting is not described.");
+    throw new Error("a setting of the schema has no description");
 }
 
-/** Table of all settings in Markdown, as docs/settings.md carries it. */
+/** Renders the Markdown table of all settings that docs/settings.md contains. */
 export function renderSettingsTable(): string {
     const rows = Object.entries(settingsSchema.shape).map(([key, schema]) => {
         const meta = metaOf(schema);
--- a/packages/config/src/roleSettingsSchema.ts
+++ b/packages/config/src/roleSettingsSchema.ts
@@ -4,30 +4,30 @@
 const address = z.string().regex(/^[^:\s]+:\d{1,5}$/u, "Expected `ip:port`.");
 const milliseconds = z.int().min(0);
 
-/** Shape of the settings of a gateway or a runner; `docs/settings.md` says what each means. */
+/** Schema of the settings of a gateway or a runner; `docs/settings.md` describes each. */
 export const roleSettingsSchema = z.strictObject({
     name: z.string().min(1),
     role: z.enum(["gateway", "runner"]),
     failureDomain: z.string().min(1),
     region: z.string(),
     internalHost: z.string().min(1),
-    /** First and last port of the range for the system's own use. */
+    /** First and last port of the range that is reserved for internal use. */
     internalPorts: z.tuple([port, port]),
-    /** Port at which metrics are served too; left out, only at the first internal port. */
+    /** Additional port that serves metrics; if omitted, only the first internal port serves them. */
     metricsPort: port.optional(),
     storeAddress: address,
     clientAddress: address.optional(),
     readyAddress: address.optional(),
-    /** Folder for unfinished texts; left out, nothing is kept on disk. */
+    /** Folder for unfinished texts; if omitted, nothing is stored on disk. */
     dataFolder: z.string().min(1).optional(),
     orderHandOverMs: milliseconds,
     gracePeriodMs: milliseconds,
     lotRetentionMs: milliseconds.default(120_000),
-    /** Where the use of teams is reported; left out, it is not counted. */
+    /** Receiver of usage reports for teams; if omitted, usage is not counted. */
     usage: z.strictObject({
         address,
         windowS: z.number().positive(),
-        /** A report is due this long after the end of its window. */
+        /** Seconds after the end of a window until its report is due. */
         dueS: z.number().nonnegative(),
     }).optional(),
     maxLoadingSamplers: z.int().min(1).optional(),
--- a/packages/config/src/settingsSchema.ts
+++ b/packages/config/src/settingsSchema.ts
@@ -9,7 +9,7 @@
     meaning: string;
 }
 
-/** Attaches what docs/settings.md says of a setting. */
+/** Attaches the metadata that docs/settings.md shows for a setting. */
 function described<Schema extends z.ZodType>(schema: Schema, meta: Described): Schema {
     return schema.meta({ ...meta }) as Schema;
 }
@@ -42,7 +42,7 @@
     caPath: z.string().min(1),
 });
 
-/** Shape of a process's settings, with the unit, range, default and meaning of each. */
+/** Schema of the settings of an entry or a sidecar, with the unit, range, default and meaning of each. */
 export const settingsSchema = z.strictObject({
     name: name("Name of the process; unique over the fleet."),
     role: described(z.enum(["entry", "sidecar"]), {
--- a/packages/config/src/validateManifest.test.ts
+++ b/packages/config/src/validateManifest.test.ts
@@ -21,7 +21,7 @@
 test.each([
     ["humoboira.manifest.json", ["Pamplona", "Lugo", "Burgos", "Bilbao"]],
     ["cymdeithas.manifest.json", ["Caerdydd", "Abertawe", "Casnewydd", "Pen-y-bont"]],
-])("%s is valid and has 6 + 4 samplers in the user's places", (file, places) => {
+])("%s is valid and has 6 + 4 samplers in the expected failure domains", (file, places) => {
     const manifest = parseExample(file);
     const perService = manifest.services.map(({ service }) =>
         manifest.samplers.filter(sampler => sampler.service === service).length
@@ -32,7 +32,7 @@
     expect(manifest.jobs.length).toBeGreaterThanOrEqual(2);
 });
 
-test("every fault is named with its path and the nearest valid name", () => {
+test("every fault is reported with its path and the nearest valid name", () => {
     const result = validateManifest({
         name: "x",
         teams: [
@@ -77,17 +77,17 @@
 });
 
 test.each([undefined, 3, "text", [], [[]], { teams: {} }, { teams: [3, "x"], jobs: [[], 1] }])(
-    "%j is refused and does not throw",
+    "%j is rejected without throwing",
     json => {
         expect(validateManifest(json).kind).toBe("invalid");
     },
 );
 
-test("text that is not JSON is one fault of the whole", () => {
+test("text that is not JSON is reported as one fault with an empty path", () => {
     expect(parseManifest("{")).toMatchObject({ kind: "invalid", faults: [{ path: "" }] });
 });
 
-test("limits that are left out are derived from the number of samplers", () => {
+test("omitted limits are derived from the number of samplers", () => {
     const manifest = parseExample("humoboira.manifest.json");
     expect(manifest.limits).toMatchInlineSnapshot(`
       {
@@ -101,7 +101,7 @@
     `);
 });
 
-test("a manifest over the object API's value size is refused", () => {
+test("a manifest that exceeds the object API's value size is rejected", () => {
     const example = JSON.parse(readExample("humoboira.manifest.json")) as { samplers: object[]; };
     const samplers = Array.from({ length: 12_000 }, (_, at) => ({
         sampler: `sampler-with-a-rather-long-name-${at}`,
@@ -115,7 +115,7 @@
     expect(validateManifest({ ...example, samplers: samplers.slice(0, 4_100) }).kind).toBe("valid");
 });
 
-test("no JSON makes validation throw, and what is valid stays valid with its defaults", () => {
+test("validation never throws, and a valid manifest stays valid with its defaults filled in", () => {
     const keys = fc.constantFrom(
         "name",
         "teams",
@@ -149,7 +149,7 @@
     );
 });
 
-test("a difference is told line by line, tokens by their first digits only", () => {
+test("differences are listed line by line, with abbreviated token digests", () => {
     const before = parseExample("humoboira.manifest.json");
     const after = structuredClone(before);
     after.teams[0]!.share = 0.5;
--- a/packages/config/src/validateManifest.ts
+++ b/packages/config/src/validateManifest.ts
@@ -5,10 +5,10 @@
 import type { ManifestResult } from "./ManifestResult.js";
 import { manifestSchema } from "./manifestSchema.js";
 
-/** The object API holds values up to a megabyte; the rest is room for its envelope. */
+/** The object API stores values of up to a megabyte; the remainder is reserved for its envelope. */
 const maxManifestBytes = 1_000_000;
 
-/** Checks a manifest whole and fills in its defaults. */
+/** Validates a manifest, reports all of its faults and fills in its defaults. */
 export function validateManifest(json: unknown): ManifestResult {
     const faults = [...listFaults(manifestSchema, json), ...checkReferences(json)];
     if (faults.length > 0) {
--- a/packages/config/src/validateRoleSettings.ts
+++ b/packages/config/src/validateRoleSettings.ts
@@ -7,7 +7,7 @@
 
 const neededByGateway = ["clientAddress", "readyAddress"] as const;
 
-/** Checks the settings of a gateway or a runner and fills in the defaults; names every fault. */
+/** Validates the settings of a gateway or a runner, reports all faults and fills in the defaults. */
 export function validateRoleSettings(json: unknown): Checked {
     const faults = listFaults(roleSettingsSchema, json);
     if (faults.length > 0) {
--- a/packages/config/src/validateSettings.test.ts
+++ b/packages/config/src/validateSettings.test.ts
@@ -10,11 +10,11 @@
     expect(validateSettings(readExample(name))).toMatchObject({ kind: "valid" });
 });
 
-test("docs/settings.md carries the table of the schema", () => {
+test("docs/settings.md contains the settings table of the schema", () => {
     expect(readFile("docs/settings.md")).toContain(renderSettingsTable());
 });
 
-test("flags are laid over the file, in camelCase or with dashes", () => {
+test("flags in camelCase or kebab-case override settings from the file", () => {
     const result = validateSettings(readExample("entry"), {
         "listen-port": "0",
         logLevel: "warn",
@@ -34,7 +34,7 @@
     });
 });
 
-test("every fault of settings is named, unknown ones with the nearest name", () => {
+test("every fault in settings is reported, with the nearest name for unknown keys", () => {
     const faulty = {
         ...readExample("sidecar-engine") as object,
         listenPort: 70_000,
--- a/packages/config/src/validateSettings.ts
+++ b/packages/config/src/validateSettings.ts
@@ -4,7 +4,7 @@
 import type { SettingsResult } from "./SettingsResult.js";
 import { settingsSchema } from "./settingsSchema.js";
 
-/** Checks the settings of the file with the flags laid over them, and fills in the defaults. */
+/** Overrides settings from the file with `flags`, validates the result and fills in the defaults. */
 export function validateSettings(json: unknown, flags: Record<string, string> = {}): SettingsResult {
     const merged = applyFlags(json, flags);
     const faults = [...listFaults(settingsSchema, merged), ...checkRole(merged)];
