--- a/packages/cli/src/CliIo.ts
+++ b/packages/cli/src/CliIo.ts
@@ -1,11 +1,11 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { OperatorClient } from "./OperatorClient.js";
 
-/** What the command line needs of its surroundings. */
+/** The input and output of the command line: streams, files, environment, clock and network. */
 export interface CliIo {
     writeOut(text: string): void;
     writeError(text: string): void;
-    /** True if errors and progress go to a terminal. */
+    /** Whether the error stream, which also shows progress, is a terminal. */
     isTerminal: boolean;
     readFile(path: string): Promise<string>;
     readEnv(name: string): string | undefined;
--- a/packages/cli/src/CommandOutput.ts
+++ b/packages/cli/src/CommandOutput.ts
@@ -1,4 +1,4 @@
-/** What a command has to say: `json` with `--json`, else `lines`. */
+/** Result of a command: `json` is printed with `--json`, otherwise `lines`. */
 export interface CommandOutput {
     exitCode: number;
     json: unknown;
--- a/packages/cli/src/LoadRow.ts
+++ b/packages/cli/src/LoadRow.ts
@@ -1,14 +1,16 @@
-/** What the logs tell of the loads of one policy. */
+/** Weight loads of one policy, summarized from logs. */
 export interface LoadRow {
     policy: string;
     loads: number;
     failed: number;
-    /** Samplers that loaded it. */
+    /** Number of samplers that loaded the policy. */
     samplers: number;
-    /** Loads on a sampler whose load before was of another policy; undefined loads before count as none. */
+    /**
+     * Loads on a sampler whose previous load in the logs was of another policy; a sampler's first load does not count.
+     */
     changed: number;
-    /** Mean time of those that were done; undefined if none was. */
+    /** Mean duration of the loads that succeeded; undefined if none did. */
     meanMs: number | undefined;
-    /** Time that samplers spent on them together. */
+    /** Total duration of all loads, including failed ones. */
     totalMs: number;
 }
--- a/packages/cli/src/LogLine.ts
+++ b/packages/cli/src/LogLine.ts
@@ -1,4 +1,4 @@
-/** One `key=value` line of a process, without what a collector put before it. */
+/** One `key=value` log line of a process, without a prefix added by a log collector. */
 export interface LogLine {
     atMs: number;
     /** ISO 8601. */
--- a/packages/cli/src/OperatorClient.ts
+++ b/packages/cli/src/OperatorClient.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' interface of an entry. Calls reject with an `OperatorFailure`: one that carries the entry's
- * error, or code `peerUnreachable` if the entry gave no answer.
+ * Client of an entry's operator API. Calls reject with an `OperatorFailure` that carries the entry's error, or the code
+ * `peerUnreachable` if the entry did not answer.
  */
 export interface OperatorClient {
     get(path: string): Promise<unknown>;
--- a/packages/cli/src/OperatorFailure.ts
+++ b/packages/cli/src/OperatorFailure.ts
@@ -1,6 +1,6 @@
 import type { OperatorError } from "@auburnarch/types/OperatorError";
 
-/** An answer of an entry that is not a success, or the lack of one. */
+/** An error returned by an entry, or the failure to get a valid answer from it. */
 export class OperatorFailure extends Error {
     readonly error: OperatorError;
 
--- a/packages/cli/src/StepRow.ts
+++ b/packages/cli/src/StepRow.ts
@@ -1,4 +1,4 @@
-/** What the logs tell of one batch job; times in milliseconds from its acceptance, undefined where no line tells. */
+/** One batch job, summarized from logs. Times are in milliseconds since it was accepted; undefined if not logged. */
 export interface StepRow {
     lot: string;
     policy: string;
@@ -7,20 +7,20 @@
     neededGroups: number | undefined;
     /** ISO 8601. */
     acceptedAt: string;
-    /** How far its trainer was behind its own rhythm when it asked for it; undefined for its first step. */
+    /** Delay of the batch job against the trainer's shortest step interval; undefined for the first step. */
     lateMs: number | undefined;
     firstSentMs: number | undefined;
-    /** When half of the items, nine tenths and all were recorded. */
+    /** When 50%, 90% and 100% of the items were recorded. */
     halfMs: number | undefined;
     mostMs: number | undefined;
     allMs: number | undefined;
-    /** When its client ended it: it has all it waits for, or gave up. */
+    /** When the client ended the batch job, because it has all results that it needs or stopped waiting for them. */
     endedMs: number | undefined;
     records: number;
     sends: number;
     refused: number;
     moved: number;
     retried: number;
-    /** Runners that took it, in order. */
+    /** Runners that took over the batch job, in order. */
     runners: string[];
 }
--- a/packages/cli/src/checkArguments.ts
+++ b/packages/cli/src/checkArguments.ts
@@ -2,8 +2,8 @@
 import type { ArgsDef } from "citty";
 
 /**
- * What is wrong with the arguments of a command, or undefined. The library passes unknown flags over, so that a
- * misspelt `--dry-rum` would publish.
+ * Returns a message about the first invalid argument of a command, or undefined. The library ignores unknown flags, so
+ * that a misspelt `--dry-rum` would publish the manifest.
  */
 export function checkArguments(definition: ArgsDef, args: string[]): string | undefined {
     const flags = Object.keys(definition).filter(name => definition[name]!.type !== "positional");
--- a/packages/cli/src/commonArgs.ts
+++ b/packages/cli/src/commonArgs.ts
@@ -1,6 +1,6 @@
 import type { ArgsDef } from "citty";
 
-/** Flags of every command that talks to an entry. */
+/** Flags of every command that calls an entry. */
 export const commonArgs = {
     "entry": {
         type: "string",
--- a/packages/cli/src/connect.ts
+++ b/packages/cli/src/connect.ts
@@ -6,7 +6,7 @@
 
 const defaultEntryUrl = "http://127.0.0.1:7400";
 
-/** The flags that say which entry to ask and how to prove oneself. */
+/** The flags that select the entry and the operator token. */
 interface ConnectArgs {
     "entry"?: string | undefined;
     "token-file"?: string | undefined;
@@ -22,7 +22,7 @@
     });
 }
 
-/** A client of the entry that the flags or the environment name. */
+/** Creates a client of the entry that the flags or the environment variables name. */
 export async function connect(io: CliIo, args: ConnectArgs): Promise<OperatorClient> {
     const url = args.entry ?? io.readEnv("AUBURNARCH_ENTRY") ?? defaultEntryUrl;
     if (!/^https?:\/\//u.test(url) || !URL.canParse(url)) {
--- a/packages/cli/src/createApplyCommand.ts
+++ b/packages/cli/src/createApplyCommand.ts
@@ -19,12 +19,12 @@
 import { readInput } from "./readInput.js";
 import { waitUntil } from "./waitUntil.js";
 
-/** Output of a publication, with the version that is to come into force. */
+/** Output of a publication, with the version that is to become active. */
 interface ApplyOutput extends CommandOutput {
     version: number;
 }
 
-/** The published manifest with its defaults filled in, so that they do not show up as differences. */
+/** Reads the published manifest and fills in its defaults, so that they do not show up as differences. */
 async function readPublished(client: OperatorClient): Promise<OperatorManifest> {
     const published = await client.get("/operator/manifest") as OperatorManifest;
     const result = validateManifest(published.manifest);
@@ -113,7 +113,7 @@
     };
 }
 
-/** `apply FILE`: publishes a manifest if nobody else changed it meanwhile. */
+/** `apply FILE`: publishes a manifest unless another client has published one in the meantime. */
 export function createApplyCommand(io: CliIo): CommandDef {
     return defineCommand({
         meta: { name: "apply", description: "Publish a manifest; it is in force everywhere within seconds" },
--- a/packages/cli/src/createDrainCommand.ts
+++ b/packages/cli/src/createDrainCommand.ts
@@ -17,7 +17,7 @@
     return view === undefined ? 0 : view.report.running + view.report.waiting;
 }
 
-/** `drain SAMPLER`: no new work goes there; what runs goes on. */
+/** `drain SAMPLER`: stops sending new work to a sampler; running attempts continue. */
 export function createDrainCommand(io: CliIo): CommandDef {
     return defineCommand({
         meta: { name: "drain", description: "Give a sampler no new work and let what runs finish" },
--- a/packages/cli/src/createExplainCommand.ts
+++ b/packages/cli/src/createExplainCommand.ts
@@ -31,7 +31,7 @@
     };
 }
 
-/** `explain ID`: why a sample or request went where it did. */
+/** `explain ID`: shows the routing decisions for a sample or request. */
 export function createExplainCommand(io: CliIo): CommandDef {
     return defineCommand({
         meta: { name: "explain", description: "Show why a sample or request went where it did" },
--- a/packages/cli/src/createJobsCommand.ts
+++ b/packages/cli/src/createJobsCommand.ts
@@ -23,7 +23,7 @@
     job.needInMs === undefined ? absent : Math.round(job.needInMs / 1_000),
 ];
 
-/** `jobs`: owner and progress of each job. */
+/** `jobs`: shows the owner and progress of each job. */
 export function createJobsCommand(io: CliIo): CommandDef {
     return defineCommand({
         meta: { name: "jobs", description: "Show owner, open step and progress of each job" },
--- a/packages/cli/src/createLoadsCommand.ts
+++ b/packages/cli/src/createLoadsCommand.ts
@@ -16,7 +16,7 @@
     row.totalMs,
 ];
 
-/** `loads`: what loads of weights cost, from log files. */
+/** `loads`: summarizes the cost of weight loads from log files. */
 export function createLoadsCommand(io: CliIo): CommandDef {
     return createLogsCommand(io, {
         name: "loads",
--- a/packages/cli/src/createLogsCommand.ts
+++ b/packages/cli/src/createLogsCommand.ts
@@ -9,16 +9,16 @@
 interface LogsCommandOptions<Row> {
     name: string;
     description: string;
-    /** Whose logs are needed. */
+    /** Roles of the processes whose logs are needed. */
     writers: string;
     headings: string[];
     summarize: (logs: string[]) => Row[];
     toCells: (row: Row) => (string | number)[];
-    /** What no line tells of, and the lines that would. */
+    /** What an empty result lacks, and the processes and log events that would show it. */
     missing: { subject: string; lines: string; };
 }
 
-/** A command that shows a table of what log files tell. */
+/** Creates a command that summarizes log files in a table. */
 export function createLogsCommand<Row>(io: CliIo, options: LogsCommandOptions<Row>): CommandDef {
     const { name, description, writers, headings, missing } = options;
     return defineCommand({
--- a/packages/cli/src/createMainCommand.ts
+++ b/packages/cli/src/createMainCommand.ts
@@ -12,7 +12,7 @@
 import { createUsageCommand } from "./createUsageCommand.js";
 import { createValidateCommand } from "./createValidateCommand.js";
 
-/** Makes the tree of commands. */
+/** Creates the main command with all subcommands. */
 export function createMainCommand(io: CliIo): CommandDef {
     return defineCommand({
         meta: { name: "auburnarch", description: "Operate a rollout service" },
--- a/packages/cli/src/createOperatorClient.ts
+++ b/packages/cli/src/createOperatorClient.ts
@@ -34,14 +34,14 @@
         bytes += (part as Buffer).length;
         if (bytes > maxAnswerBytes) {
             response.destroy();
-            throw new Error("the answer is too large");
+            throw new Error(`the answer exceeds ${maxAnswerBytes} bytes`);
         }
         parts.push(part as Buffer);
     }
     return Buffer.concat(parts).toString("utf8");
 }
 
-/** Makes a client of the operators' interface at `entryUrl`, proving itself with `token`. */
+/** Creates a client of the operator API at `entryUrl`; it authenticates with `token`. */
 export function createOperatorClient(entryUrl: string, token: string): OperatorClient {
     const startRequest = entryUrl.startsWith("https:") ? httpsRequest : httpRequest;
 
@@ -57,7 +57,7 @@
             const request = startRequest(new URL(path, entryUrl), { method, headers, timeout: timeoutMs });
             request.on("response", resolve);
             request.on("error", reject);
-            request.on("timeout", () => request.destroy(new Error("no answer in time")));
+            request.on("timeout", () => request.destroy(new Error(`no answer within ${timeoutMs} ms`)));
             request.end(bytes);
         });
     }
--- a/packages/cli/src/createProgress.ts
+++ b/packages/cli/src/createProgress.ts
@@ -1,15 +1,15 @@
 import type { CliIo } from "./CliIo.js";
 
-/** Progress of something that takes long. */
+/** Progress display of a long operation. */
 interface Progress {
-    /** Shows how far it is; says nothing if that has not changed. */
+    /** Shows the current progress; prints nothing if the text has not changed. */
     show(text: string): void;
     finish(): void;
 }
 
 const clearLine = "\r\u001b[K";
 
-/** Makes a progress display on the error stream: one line that changes on a terminal, else a line a change. */
+/** Creates a progress display on the error stream: one updated line on a terminal, otherwise one line per change. */
 export function createProgress(io: CliIo): Progress {
     let last = "";
     return {
--- a/packages/cli/src/createQuarantineCommand.ts
+++ b/packages/cli/src/createQuarantineCommand.ts
@@ -11,7 +11,7 @@
 import { exitCodes } from "./exitCodes.js";
 import { formatTable } from "./formatTable.js";
 
-/** The answer holds only records that have not expired by the entry's clock. */
+/** The entry returns only records that have not expired by its own clock, so expiry is not checked again here. */
 const anyTimeMs = 0;
 
 function toRow(record: QuarantineRecord, records: readonly QuarantineRecord[]): (string | number)[] {
@@ -62,7 +62,7 @@
     }) as CommandDef;
 }
 
-/** `quarantine list` and `quarantine lift DIGEST`. */
+/** `quarantine list` and `quarantine lift DIGEST`: shows and lifts the quarantine of crash-inducing requests. */
 export function createQuarantineCommand(io: CliIo): CommandDef {
     return defineCommand({
         meta: { name: "quarantine", description: "Show or lift the refusal of contents that killed servers" },
--- a/packages/cli/src/createSamplersCommand.ts
+++ b/packages/cli/src/createSamplersCommand.ts
@@ -32,7 +32,7 @@
     Math.round(reportAgeMs),
 ];
 
-/** `samplers`: state and load of the samplers that report to the entry asked. */
+/** `samplers`: shows state and load of the samplers that report to the called entry. */
 export function createSamplersCommand(io: CliIo): CommandDef {
     return defineCommand({
         meta: {
--- a/packages/cli/src/createStatusCommand.ts
+++ b/packages/cli/src/createStatusCommand.ts
@@ -31,7 +31,7 @@
     ];
 }
 
-/** `status`: the configuration in force, where, and who is there. */
+/** `status`: shows the active configuration, the processes that have it, and the state of all known processes. */
 export function createStatusCommand(io: CliIo): CommandDef {
     return defineCommand({
         meta: { name: "status", description: "Show the configuration in force, where, and the processes" },
--- a/packages/cli/src/createStepsCommand.ts
+++ b/packages/cli/src/createStepsCommand.ts
@@ -40,7 +40,7 @@
     row.runners.join(" "),
 ];
 
-/** `steps`: how each step of the trainers went, from log files. */
+/** `steps`: summarizes each training step from log files. */
 export function createStepsCommand(io: CliIo): CommandDef {
     return createLogsCommand(io, {
         name: "steps",
--- a/packages/cli/src/createSystemIo.ts
+++ b/packages/cli/src/createSystemIo.ts
@@ -3,7 +3,7 @@
 import type { CliIo } from "./CliIo.js";
 import { createOperatorClient } from "./createOperatorClient.js";
 
-/** Surroundings of the command line in a real process. */
+/** Input and output of the command line in a real process. */
 export function createSystemIo(): CliIo {
     return {
         writeOut: text => void process.stdout.write(text),
--- a/packages/cli/src/createUsageCommand.ts
+++ b/packages/cli/src/createUsageCommand.ts
@@ -32,7 +32,7 @@
     usage.interactiveRequests,
 ];
 
-/** `usage`: engine time and samples of each team; teams do not pay for the overhead. */
+/** `usage`: shows engine time and samples of each team; overhead is not charged to teams. */
 export function createUsageCommand(io: CliIo): CommandDef {
     return defineCommand({
         meta: { name: "usage", description: "Show engine time and samples of each team" },
--- a/packages/cli/src/createValidateCommand.ts
+++ b/packages/cli/src/createValidateCommand.ts
@@ -19,7 +19,7 @@
     return result.kind === "valid" ? [] : result.faults;
 }
 
-/** `validate FILE`: names every fault of a manifest or of settings, without an entry. */
+/** `validate FILE`: reports all faults of a manifest or a settings file without calling an entry. */
 export function createValidateCommand(io: CliIo): CommandDef {
     return defineCommand({
         meta: { name: "validate", description: "Check a manifest file and name every fault" },
--- a/packages/cli/src/failureOutput.ts
+++ b/packages/cli/src/failureOutput.ts
@@ -25,7 +25,7 @@
     return retryable.includes(error.code) ? exitCodes.unreachable : exitCodes.refused;
 }
 
-/** What is said of a failure: its number, what happened, what to do next. */
+/** Formats an error as output: its number and name, what happened, and what the operator can do. */
 export function failureOutput(error: OperatorError): CommandOutput {
     return {
         exitCode: exitCodeOf(error),
--- a/packages/cli/src/findCommand.ts
+++ b/packages/cli/src/findCommand.ts
@@ -1,17 +1,17 @@
 import type { CommandDef } from "citty";
 
-/** A command of the tree with the arguments that are left for it. */
+/** A command of the command tree, with its remaining arguments. */
 interface FoundCommand {
     command: CommandDef;
     parent: CommandDef | undefined;
     rest: string[];
-    /** A word that names no subcommand, where one is needed. */
+    /** The argument that should name a subcommand and does not. */
     unknown: string | undefined;
-    /** Names that would have done. */
+    /** Names of the subcommands that are valid here. */
     names: string[];
 }
 
-/** Follows the leading words of the arguments down the tree of commands. */
+/** Resolves the leading arguments to a command of the command tree. */
 export function findCommand(main: CommandDef, args: string[]): FoundCommand {
     let command = main;
     let parent: CommandDef | undefined;
--- a/packages/cli/src/findLogLines.test.ts
+++ b/packages/cli/src/findLogLines.test.ts
@@ -12,7 +12,7 @@
     "time=2026-01-01T00:00:02.600Z level=info event=samplerPicked process=runner-1 sample=lot-12/i1 sampler=s-1",
 ].join("\n");
 
-test("lines of all processes that name an id come in order of time", () => {
+test("lines of all processes that mention an id are sorted by time", () => {
     const events = (id: string): string[] =>
         findLogLines([gateway, runner], id).map(line => `${line.process} ${line.event}`);
     expect({ lot: events("lot-1"), item: events("i1"), request: events("q-1"), none: events("lot") }).toEqual(
@@ -25,6 +25,6 @@
     );
 });
 
-test("what a collector put before a line is left out", () => {
+test("a prefix added by a log collector is removed", () => {
     expect(findLogLines([gateway], "lot-1")[0]!.text).toMatch(/^time=/u);
 });
--- a/packages/cli/src/findLogLines.ts
+++ b/packages/cli/src/findLogLines.ts
@@ -1,10 +1,10 @@
-/** A log line that concerns the id asked for. */
+/** A log line that mentions the requested id. */
 interface FoundLine {
-    /** ISO 8601; lines of several processes are put in order by it. */
+    /** ISO 8601; lines of several processes are sorted by it. */
     time: string;
     process: string;
     event: string;
-    /** The line from its time on, without what a collector put before it. */
+    /** The line without a prefix added by a log collector. */
     text: string;
 }
 
@@ -13,14 +13,14 @@
 const valuePattern = /=("[^"]*"|\S+)/gu;
 const eventPattern = /event=(\S+)/u;
 
-/** True where the id stands as a whole: as a value, or as a part of one between `/`, `,` or `:`. */
+/** Whether the id is a whole value of the line, or a whole part of a value that is split at `/`, `,` or `:`. */
 function mentionsId(line: string, id: string): boolean {
     const values = [...line.matchAll(valuePattern)].map(found => found[1]!);
     return values.some(value => value === id || value.split(/["/,:\s]+/u).includes(id));
 }
 
 /**
- * Lines of logs that name an id, in order of time. Runs of an item are named `job/item`, so that asking for either
+ * Returns the log lines that mention an id, sorted by time. Runs of an item are logged as `job/item`, so that either id
  * finds them.
  */
 export function findLogLines(logs: string[], id: string): FoundLine[] {
--- a/packages/cli/src/formatFaults.ts
+++ b/packages/cli/src/formatFaults.ts
@@ -1,6 +1,6 @@
 import type { ConfigFault } from "@auburnarch/types/ConfigFault";
 
-/** One line for each fault, its path first. */
+/** Formats each fault as one line that starts with its path. */
 export function formatFaults(faults: ConfigFault[]): string[] {
     return faults.map(({ path, message }) => path === "" ? message : `${path}: ${message}`);
 }
--- a/packages/cli/src/formatTable.ts
+++ b/packages/cli/src/formatTable.ts
@@ -1,4 +1,4 @@
-/** Lays rows out in columns under `headings`; numbers to the right. */
+/** Aligns rows in columns under `headings`; numbers are right-aligned. */
 export function formatTable(headings: string[], rows: (string | number)[][]): string[] {
     const widths = headings.map((heading, column) =>
         Math.max(heading.length, ...rows.map(row => String(row[column]).length))
--- a/packages/cli/src/parseSeconds.ts
+++ b/packages/cli/src/parseSeconds.ts
@@ -3,7 +3,7 @@
 
 const maxSeconds = 86_400;
 
-/** Milliseconds of a flag given in seconds. Throws an `OperatorFailure` where it is no number in range. */
+/** Converts the value of a flag from seconds to milliseconds; throws an `OperatorFailure` if it is out of range. */
 export function parseSeconds(flag: string, text: string): number {
     const seconds = Number(text);
     if (text.trim() === "" || !(seconds >= 0 && seconds <= maxSeconds)) {
--- a/packages/cli/src/publishManifest.ts
+++ b/packages/cli/src/publishManifest.ts
@@ -6,12 +6,12 @@
 import type { OperatorClient } from "./OperatorClient.js";
 import { OperatorFailure } from "./OperatorFailure.js";
 
-/** Answers after which the change may or may not have been published. */
+/** Error codes after which the manifest may or may not have been published. */
 const ambiguousCodes: number[] = [resultCodes.peerUnreachable.number, resultCodes.storeUnavailable.number];
 
 /**
- * Publishes a manifest against the version it was compared with. If the answer is lost, what stands published is
- * read back first: repeating blindly would report a race with oneself.
+ * Publishes a manifest if the published version is still `expectedVersion`. If the answer is lost, the published
+ * manifest is read back: a blind retry would report a conflict with the client's own first attempt.
  */
 export async function publishManifest(
     client: OperatorClient,
--- a/packages/cli/src/readInput.ts
+++ b/packages/cli/src/readInput.ts
@@ -2,7 +2,7 @@
 import type { CliIo } from "./CliIo.js";
 import { OperatorFailure } from "./OperatorFailure.js";
 
-/** Text of a file named on the command line. Rejects with an `OperatorFailure` that says why it can't be read. */
+/** Reads a file named on the command line; rejects with an `OperatorFailure` that contains the reason if that fails. */
 export async function readInput(io: CliIo, path: string): Promise<string> {
     try {
         return await io.readFile(path);
--- a/packages/cli/src/readLogLines.ts
+++ b/packages/cli/src/readLogLines.ts
@@ -15,7 +15,7 @@
     return event === undefined ? undefined : { atMs: Date.parse(time), time, event, fields };
 }
 
-/** The lines of several logs in order of time; what is none of ours is left out. */
+/** Parses the lines of several logs and sorts them by time; lines in other formats are skipped. */
 export function readLogLines(logs: string[]): LogLine[] {
     const lines = logs.flatMap(log => log.split("\n")).flatMap(text => readLine(text) ?? []);
     return lines.sort((a, b) => a.atMs - b.atMs);
--- a/packages/cli/src/runCli.test.ts
+++ b/packages/cli/src/runCli.test.ts
@@ -34,7 +34,7 @@
 type Answer = { status?: number; body: unknown; } | "hangUp";
 type Routes = Record<string, (body: unknown) => Answer>;
 
-/** A small entry that answers the operators' interface by fixed routes. */
+/** Starts a fake entry that answers operator API calls from fixed routes. */
 async function startEntry(routes: Routes): Promise<string> {
     const server = createServer((request, response) => {
         void readJson(request).then(body => {
@@ -68,7 +68,7 @@
         isTerminal: false,
         readFile: path => path in files ? Promise.resolve(files[path]!) : readFile(path, "utf8"),
         readEnv: name => env[name],
-        // Polling waits on the fake clock, which goes on by itself.
+        // A sleep advances the fake clock, so that polling does not block.
         clock: { ...clock, sleep: ms => clock.advance(ms) },
         createClient: createOperatorClient,
     };
@@ -107,7 +107,7 @@
 const readManifest = async (): Promise<Record<string, unknown>> =>
     JSON.parse(await readFile(manifestPath, "utf8")) as Record<string, unknown>;
 
-test("help, commands that don't exist, flags that don't exist", async () => {
+test("help is shown, and unknown commands, unknown flags and invalid arguments are rejected", async () => {
     expect(await run(["--help"])).toMatchSnapshot("main help");
     expect(await run(["apply", "--help"])).toMatchSnapshot("apply help");
     expect(await run(["quarantine", "lift", "--help"])).toMatchSnapshot("lift help");
@@ -121,7 +121,7 @@
     expect(await run(["apply", manifestPath, "--timeout", "soon"])).toMatchSnapshot("no number");
 });
 
-test("docs/cli.md has a row for each exit code and each command", async () => {
+test("docs/cli.md lists each exit code and each command", async () => {
     const page = await readFile(fileURLToPath(new URL("../../../docs/cli.md", import.meta.url)), "utf8");
     const rows = [...page.matchAll(/^\| (\d) \| `(\w+)` \|/gmu)].map(found => [found[2], Number(found[1])]);
     expect(Object.fromEntries(rows)).toEqual(exitCodes);
@@ -131,7 +131,7 @@
     expect(commands).toEqual([...new Set(documented)]);
 });
 
-test("validate names every fault and needs no entry", async () => {
+test("validate reports every fault and needs no entry", async () => {
     expect(await run(["validate", manifestPath])).toMatchSnapshot("valid");
     const bad = { "bad.json": JSON.stringify({ ...await readManifest(), jbos: [], teams: [] }) };
     expect(await run(["validate", "bad.json"], {}, bad)).toMatchSnapshot("faults");
@@ -142,13 +142,13 @@
     expect((await run(["validate", "absent.json"])).exitCode).toBe(2);
 });
 
-test("status shows what is in force where", async () => {
+test("status shows which processes have the active version", async () => {
     const routes = { "GET /operator/status": () => ({ body: statusOf(7, 7, 6) }) };
     expect(await runAgainst(routes, ["status"])).toMatchSnapshot();
     expect(JSON.parse((await runAgainst(routes, ["status", "--json"])).out)).toEqual(statusOf(7, 7, 6));
 });
 
-test("jobs, samplers, usage, explain and quarantine are tables", async () => {
+test("jobs, samplers, usage, explain and quarantine print readable output", async () => {
     const job = {
         job: "plume-train",
         team: "plume-forecast",
@@ -229,7 +229,7 @@
     expect(await runAgainst(routes, ["apply", manifestPath, "--dry-run"])).toMatchSnapshot();
 });
 
-test("apply --wait shows progress until the version is in force everywhere", async () => {
+test("apply --wait shows progress until the version is active on every process", async () => {
     const versions = [[8, 7, 7], [8, 8, 7], [8, 8, 8]];
     const routes: Routes = {
         "GET /operator/manifest": () => ({ body: { version: 0 } }),
@@ -246,8 +246,8 @@
     expect(JSON.parse(late.out)).toMatchObject({ version: 8, everywhere: false, behind: ["entry-2"] });
 });
 
-test("the loser of a race is told what won", async () => {
-    // Guards against: two pipelines publish.
+test("apply shows what the winning version changed when it loses a race", async () => {
+    // Guards against lost updates when two pipelines publish at the same time.
     const before = { ...await readManifest(), limits: { interactiveWaitMs: 10 } };
     const won = structuredClone(before) as { teams: { share: number; }[]; limits: object; };
     won.teams[0]!.share = 0.1;
@@ -259,7 +259,7 @@
     expect(await runAgainst(routes, ["apply", manifestPath])).toMatchSnapshot();
 });
 
-test("when the answer to a publication is lost, what stands is read back before anything is said", async () => {
+test("apply reads the published manifest back when the answer to its publication is lost", async () => {
     let published: { version: number; manifest?: unknown; } = { version: 0 };
     const routes: Routes = {
         "GET /operator/manifest": () => ({ body: published }),
@@ -276,7 +276,7 @@
     expect((await runAgainst(routes, ["apply", manifestPath])).exitCode).toBe(5);
 });
 
-test("drain --wait ends when nothing runs on the sampler", async () => {
+test("drain --wait ends when the sampler has no attempts left", async () => {
     const left = [2, 1, 0];
     const routes: Routes = {
         "POST /operator/drain": () => ({ body: { sampler: "rollout-1", running: 2 } }),
@@ -290,7 +290,7 @@
     expect(await runAgainst(routes, ["drain", "rollout-1", "--wait"])).toMatchSnapshot("waiting");
 });
 
-test("a refusal names its number and what to do next", async () => {
+test("errors are printed with their number and an action", async () => {
     const entry = await startEntry({});
     const env = { AUBURNARCH_ENTRY: entry, AUBURNARCH_OPERATOR_TOKEN: "wrong" };
     expect(await run(["status"], env)).toMatchSnapshot("wrong token");
--- a/packages/cli/src/runCli.ts
+++ b/packages/cli/src/runCli.ts
@@ -54,7 +54,7 @@
     return exitCodes.wrongUsage;
 }
 
-/** Runs one command line and resolves with its exit code. */
+/** Runs one command line and resolves to its exit code. */
 export async function runCli(args: string[], io: CliIo): Promise<number> {
     const { command, parent, rest, unknown, names } = findCommand(createMainCommand(io), args);
     if (wantsHelp(rest)) {
--- a/packages/cli/src/summarizeLoads.test.ts
+++ b/packages/cli/src/summarizeLoads.test.ts
@@ -6,7 +6,7 @@
         second.toFixed(3)
     }Z level=info event=${event} process=r1 ${rest}`;
 
-test("loads are told by policy, with samplers that another policy had before", () => {
+test("loads are summarized by policy, including loads that replaced another policy", () => {
     const log = [
         line(1, "loadDone", "sampler=a policy=plume version=2 tookMs=900"),
         line(2, "loadDone", "sampler=b policy=ridge version=2 tookMs=1000"),
@@ -21,6 +21,6 @@
     ]);
 });
 
-test("logs without a load tell of none", () => {
+test("logs without a finished load give no rows", () => {
     expect(summarizeLoads([line(1, "loadOrdered", "sampler=a policy=plume"), ""])).toEqual([]);
 });
--- a/packages/cli/src/summarizeLoads.ts
+++ b/packages/cli/src/summarizeLoads.ts
@@ -25,7 +25,7 @@
     return { policy, ...counts, samplers: samplers.size, meanMs };
 }
 
-/** Tells from the logs of runners what the loads of weights cost, by policy. */
+/** Summarizes the cost of weight loads by policy from the logs of runners. */
 export function summarizeLoads(logs: string[]): LoadRow[] {
     const tallies = new Map<string, Tally>();
     const lastPolicy = new Map<string, string>();
--- a/packages/cli/src/summarizeSteps.test.ts
+++ b/packages/cli/src/summarizeSteps.test.ts
@@ -21,10 +21,10 @@
     "not a log line",
 ].join("\n");
 
-test("a step's way is told from the lines of all processes, whatever their order", () => {
+test("steps are summarized from the lines of all processes in any order", () => {
     expect(summarizeSteps([runner, gateway])).toMatchSnapshot();
 });
 
-test("logs without an accepted job tell of no step", () => {
+test("logs without an accepted batch job give no rows", () => {
     expect(summarizeSteps([runner, ""])).toEqual([]);
 });
--- a/packages/cli/src/summarizeSteps.ts
+++ b/packages/cli/src/summarizeSteps.ts
@@ -56,8 +56,9 @@
 };
 
 /**
- * A trainer asks for its steps in a rhythm, or later where it waits for a version; so the rhythm is the shortest time
- * from its first step to any other, a step.
+ * Sets the delay of each step against the trainer's step interval. A trainer submits steps at a constant interval, or
+ * later if it waits for a version, so the interval is the minimum over all steps of the mean time per step since the
+ * first one.
  */
 function setLateness(rows: StepRow[]): void {
     const [first, ...others] = rows;
@@ -74,11 +75,11 @@
     }
 }
 
-/** Lines of items name them `job/item`. */
+/** Log lines of items identify them as `job/item`. */
 const batchJobIdOf = (fields: Fields): string | undefined =>
     fields.get("lot") ?? fields.get("sample")?.split("/")[0];
 
-/** Tells from the logs of gateways and runners how each batch job went, in order of policy and acceptance. */
+/** Summarizes each batch job from the logs of gateways and runners, sorted by policy and step. */
 export function summarizeSteps(logs: string[]): StepRow[] {
     const rows = new Map<string, StepRow>();
     for (const line of readLogLines(logs)) {
--- a/packages/cli/src/waitUntil.ts
+++ b/packages/cli/src/waitUntil.ts
@@ -4,13 +4,13 @@
 
 const pollMs = 500;
 
-/** State of a wait: finished, or what is shown meanwhile. */
+/** State of a wait: whether it is finished, and the progress to show until then. */
 interface Observed {
     done: boolean;
     progress: string;
 }
 
-/** Asks every half second until done; false once `limitMs` have passed. An entry that does not answer is asked on. */
+/** Polls every half second until done; false after `limitMs`. Errors returned by the entry do not end the wait. */
 export async function waitUntil(
     io: CliIo,
     limitMs: number,
