--- a/packages/daemon/src/DemoSummary.ts
+++ b/packages/daemon/src/DemoSummary.ts
@@ -1,4 +1,4 @@
-/** What the demo's trainers and callers received, by their own count. */
+/** Results of the demo, as counted by its trainers and callers. */
 export interface DemoSummary {
     steps: number;
     delivered: number;
@@ -7,7 +7,7 @@
     staleViolations: number;
     stalenessMaxVersions: number;
     trainerIdleRatio: number;
-    /** Version of the changed manifest once every process had it in force. */
+    /** Version of the changed manifest that became active on every process. */
     configVersion: number;
     alerts: number;
     alertsRunTwice: number;
--- a/packages/daemon/src/ExternalFakes.ts
+++ b/packages/daemon/src/ExternalFakes.ts
@@ -5,7 +5,7 @@
 import type { SamplerId } from "@auburnarch/types/SamplerId";
 import type { VmRecord } from "@auburnarch/types/VmRecord";
 
-/** The outside systems as small servers on loopback, with their truths and faults. */
+/** Fakes of the external systems, served on loopback, with their state and controls to inject faults. */
 export interface ExternalFakes {
     objectApiUrl: string;
     vmListUrl: string;
--- a/packages/daemon/src/ExternalFakesPlan.ts
+++ b/packages/daemon/src/ExternalFakesPlan.ts
@@ -1,12 +1,12 @@
 import type { Manifest } from "@auburnarch/types/Manifest";
 
-/** How the embedded stand-ins behave; the defaults are those of `auburnarchd standalone`. */
+/** Behavior of the fakes of the external systems that run in the same process. */
 export interface ExternalFakesPlan {
     manifest: Manifest;
     region: string;
-    /** Entry VMs. */
+    /** Number of entries. */
     entries: number;
-    /** Tokens a second of one generation alone. */
+    /** Tokens per second of a single generation on an idle engine. */
     tokensPerSecond: number;
     swapMs: number;
     plainLatencyMs: number;
--- a/packages/daemon/src/FeedExtras.ts
+++ b/packages/daemon/src/FeedExtras.ts
@@ -3,13 +3,13 @@
 import type { StartCountRegistry } from "@auburnarch/usage/StartCountRegistry";
 import type { StartMeter } from "@auburnarch/usage/StartMeter";
 
-/** What goes along with questions for changes of the store, and with their answers. */
+/** State that is exchanged along with feed queries and their answers. */
 export interface FeedExtras {
-    /** Contents that broke off at samplers. */
+    /** Contents of requests whose attempts broke off at samplers. */
     breaks: BreakRegistry;
     trueTime: TrueTimeEstimate;
-    /** What this process counts and tells a runner; undefined where it counts nothing. */
+    /** Counts requests that start to run, for reports to runners; undefined if this process counts none. */
     meter: StartMeter | undefined;
-    /** What a runner has been told; undefined in a gateway. */
+    /** Start counts that other processes reported; undefined in a gateway. */
     starts: StartCountRegistry | undefined;
 }
--- a/packages/daemon/src/ProcessContext.ts
+++ b/packages/daemon/src/ProcessContext.ts
@@ -1,10 +1,10 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Random } from "@auburnarch/types/Random";
 
-/** What a process of the system gets from the composition root. */
+/** Dependencies that the composition root passes to a process. */
 export interface ProcessContext {
     clock: Clock;
     random: Random;
-    /** Takes finished log lines. */
+    /** Writes a formatted log line. */
     writeLine: (line: string) => void;
 }
--- a/packages/daemon/src/RoleContext.ts
+++ b/packages/daemon/src/RoleContext.ts
@@ -5,11 +5,11 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { Random } from "@auburnarch/types/Random";
 
-/** What the start of a gateway or a runner gets. */
+/** Dependencies for starting a gateway or a runner. */
 export interface RoleContext {
-    /** As they were at the start. */
+    /** Settings as read at the start. */
     settings: RoleSettings;
-    /** As the file says now; what may change in a running process is read from here. */
+    /** Current settings; those that may change in a running process must be read from here. */
     currentSettings: () => RoleSettings;
     clock: Clock;
     random: Random;
--- a/packages/daemon/src/RunningProcess.ts
+++ b/packages/daemon/src/RunningProcess.ts
@@ -1,7 +1,7 @@
-/** A process of the system that has started. */
+/** An entry or a sidecar that has started. */
 export interface RunningProcess {
     name: string;
     address: string;
-    /** Graceful: nothing in flight is cut off before the deadline of the settings. */
+    /** Shuts down gracefully: requests in flight may finish until the deadline in the settings. */
     shutdown(): Promise<void>;
 }
--- a/packages/daemon/src/RunningRole.ts
+++ b/packages/daemon/src/RunningRole.ts
@@ -1,5 +1,5 @@
 /** A gateway or a runner that has started. */
 export interface RunningRole {
-    /** Serves on while others notice, hands over, and resolves when the process may end. */
+    /** Keeps serving while other processes notice, hands over its work, and resolves when the process may exit. */
     shutdown(): Promise<void>;
 }
--- a/packages/daemon/src/Standalone.ts
+++ b/packages/daemon/src/Standalone.ts
@@ -6,7 +6,7 @@
     externalFakes: ExternalFakes;
     entries: RunningProcess[];
     sidecars: RunningProcess[];
-    /** Tokens drawn for this run. */
+    /** Randomly generated for this run, as is `clusterToken`. */
     operatorToken: string;
     clusterToken: string;
     shutdown(): Promise<void>;
--- a/packages/daemon/src/applyDocument.ts
+++ b/packages/daemon/src/applyDocument.ts
@@ -3,7 +3,7 @@
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
 import type { SharedDocument } from "@auburnarch/types/SharedDocument";
 
-/** Hands a shared document to a gate, which takes it only if it is newer. */
+/** Passes a shared document to a sidecar, which applies it only if it is newer than its own version. */
 export function applyDocument(gate: Sidecar, document: SharedDocument): void {
     const { name, version, value } = document;
     const manifest = name === "manifest" ? readManifestDocument(document) : undefined;
--- a/packages/daemon/src/breakReportWindowMs.ts
+++ b/packages/daemon/src/breakReportWindowMs.ts
@@ -1,2 +1,2 @@
-/** What broke off is told for this long: longer than a question for changes waits, and is put off, together. */
+/** Breaks are reported to other processes for this long; longer than the wait plus the retry delay of a feed query. */
 export const breakReportWindowMs = 3_000;
--- a/packages/daemon/src/callEntry.ts
+++ b/packages/daemon/src/callEntry.ts
@@ -35,7 +35,7 @@
     );
 }
 
-/** One JSON call to an entry, as a team's own client makes it; rejects with a `ResultError`. */
+/** Sends one JSON call to an entry, as a team's client does; rejects with a `ResultError`. */
 export function callEntry(call: EntryCall): Promise<unknown> {
     const body = call.body === undefined ? undefined : Buffer.from(JSON.stringify(call.body));
     const headers: Record<string, string> = { ...call.headers, authorization: `Bearer ${call.token}` };
--- a/packages/daemon/src/changeLatency.test.ts
+++ b/packages/daemon/src/changeLatency.test.ts
@@ -5,14 +5,14 @@
 
 const faultsPerSeed = 8;
 const maxFaultsMs = 4_000;
-/** Changes are due at each process that has the store this long after the store took them. */
+/** Time after a write within which each process that reaches the store must see the change. */
 const dueMs = 2_000;
 const stepMs = 20;
 const noFaults: FeedFaults = { isStoreDown: () => false, isReachable: () => true };
 const gateways = 3;
 const watched = `g${gateways - 1}`;
 
-/** The longest time that a change was unseen at one gateway, which always has the store itself. */
+/** Returns the longest time that a change remained unseen at one gateway, which can always reach the store. */
 async function simulateSeed(seed: number): Promise<number> {
     const random = createRandom(seed);
     const { clock, state, put, viewOf } = createFeedFleet(gateways);
@@ -40,8 +40,8 @@
     return longestMs;
 }
 
-test("a process that has the store sees each change in time, whatever runners it loses and these lose", async () => {
-    // Guards against: a request handled by the configuration before, seconds after the new one was acknowledged.
+test("a process that reaches the store sees each change in time when runners fail or lose the store", async () => {
+    // Guards against a request that is handled by the old configuration seconds after the new one was acknowledged.
     const longest = await Promise.all(Array.from({ length: 40 }, (_, seed) => simulateSeed(seed + 1)));
     expect(longest.filter(ms => ms > dueMs)).toEqual([]);
 });
--- a/packages/daemon/src/createFeedExtras.ts
+++ b/packages/daemon/src/createFeedExtras.ts
@@ -6,12 +6,12 @@
 import type { FeedExtras } from "./FeedExtras.js";
 import type { RoleContext } from "./RoleContext.js";
 
-/** How often the clock's distance from true time is shown. */
+/** Interval of the metric for the offset between the local clock and true time. */
 const clockMetricIntervalMs = 1_000;
 
 /**
- * Makes what a process tells and hears along with changes of the store. Gateways count what begins to run and hear the
- * true time; runners agree on it by their clocks and keep the counts.
+ * Creates the state that a process exchanges along with changes of the store. Gateways count starting requests and
+ * receive the true time; runners derive it from their clocks and store the counts.
  */
 export function createFeedExtras({ settings, clock, random, metrics }: RoleContext): FeedExtras {
     const { role, usage } = settings;
--- a/packages/daemon/src/createInternalCallHandler.test.ts
+++ b/packages/daemon/src/createInternalCallHandler.test.ts
@@ -27,7 +27,7 @@
     extras: { breaks, trueTime: createReportedTime(createFakeClock()), meter: undefined, starts: undefined },
 });
 
-test("each call reaches the part that answers it, and no other is answered", async () => {
+test("each call is passed to the part that handles it, and unknown methods are rejected", async () => {
     expect([
         await handleCall(rpcMethods.status, {}),
         await handleCall(rpcMethods.results, { lot: "l", fromChunk: 2, waitMs: 50 }),
@@ -43,7 +43,7 @@
     expect(refused).toBe("badRequest");
 });
 
-test("what broke off at samplers goes on to whoever asks for changes next", async () => {
+test("reports of breaks at samplers are forwarded with the next feed answer", async () => {
     const mark = { content: "c1", breaks: 2, ageMs: 0 };
     const query = { prefix: "lots/", since: 7, waitMs: 100 };
     await handleCall(rpcMethods.feed, { ...query, breaks: [mark] });
--- a/packages/daemon/src/createInternalCallHandler.ts
+++ b/packages/daemon/src/createInternalCallHandler.ts
@@ -12,13 +12,15 @@
 import { rpcMethods } from "./rpcMethods.js";
 
 interface InternalCallHandlerDeps {
-    /** Both are asked for at each call: they are made after the process listens. */
+    /**
+     * The runner and the hub are looked up at each call, because they are created after the process starts to listen.
+     */
     runner: () => Pick<Runner, "status" | "results">;
     hub: () => Pick<FeedHub, "answer">;
     extras: FeedExtras;
 }
 
-/** Answers the calls of gateways and other runners; rejects with `badRequest` for a method that it does not know. */
+/** Handles the calls of gateways and other runners; rejects unknown methods with `badRequest`. */
 export function createInternalCallHandler(
     { runner, hub, extras: { breaks, starts, trueTime } }: InternalCallHandlerDeps,
 ): (method: string, params: unknown) => Promise<unknown> {
--- a/packages/daemon/src/createLineWriter.ts
+++ b/packages/daemon/src/createLineWriter.ts
@@ -2,19 +2,21 @@
 
 interface LineWriter {
     write(line: string): void;
-    /** Writes what waits; resolves once it is out or has failed. */
+    /** Writes the buffered lines; resolves once the write has completed or failed. */
     flush(): Promise<void>;
 }
 
-/** Takes bytes without blocking and calls back once they are written. */
+/** Accepts text without blocking and calls back once it is written. */
 type Sink = (text: string, done: (error?: Error | null) => void) => void;
 
-/** Lines that come close together leave in one write, which costs a system call. */
+/** Lines within this time share one write, because each write costs a system call. */
 const flushIntervalMs = 50;
-/** Beyond this the reader of the log is too slow, and lines are dropped rather than held or waited for. */
+/** If the reader of the log is so slow that this is exceeded, lines are dropped instead of buffered or waited for. */
 const maxBufferedChars = 1_000_000;
 
-/** Makes the writer of log lines. It never blocks: what does not fit is dropped, counted, and told in the next line. */
+/**
+ * Creates the writer of log lines. It never blocks: lines that do not fit are dropped, counted and logged as a number.
+ */
 export function createLineWriter(clock: Clock, sink: Sink): LineWriter {
     let buffer = "";
     let dropped = 0;
--- a/packages/daemon/src/createRunnerClient.ts
+++ b/packages/daemon/src/createRunnerClient.ts
@@ -16,7 +16,7 @@
 import { feedExtrasSchemas } from "./feedExtrasSchemas.js";
 import { rpcMethods } from "./rpcMethods.js";
 
-/** Calls to a runner; each rejects if it does not answer in time. */
+/** Client for calls to runners; each call rejects if the runner does not answer in time. */
 interface RunnerClient {
     status(address: RunnerAddress, timeoutMs: number, query: StatusQuery): Promise<RunnerStatus>;
     results(
@@ -27,12 +27,13 @@
     feed(address: RunnerAddress, query: FeedQuery, timeoutMs: number): Promise<FeedAnswer>;
 }
 
-/** Counts go along with one kind only: what they say does not change faster. */
+/** Start counts are sent with queries for this kind only, which is often enough for them. */
 const configurationPrefix = `${platformKinds.configuration}/`;
 
 /**
- * Makes the calls of one process to runners, over connections that are kept. Questions for changes of the store carry
- * what broke off at samplers and what began to run here, and their answers what broke off elsewhere and the true time.
+ * Creates the client with which one process calls runners over keep-alive connections. Feed queries also carry this
+ * process's reports of breaks at samplers and its start counts; their answers carry break reports of other processes
+ * and the true time.
  */
 export function createRunnerClient(clock: Clock, extras: FeedExtras): RunnerClient {
     const { breaks, trueTime, meter } = extras;
--- a/packages/daemon/src/createSettingsFile.test.ts
+++ b/packages/daemon/src/createSettingsFile.test.ts
@@ -26,7 +26,7 @@
     return { state, lines, logger, open: () => createSettingsFile(async () => state.text) };
 }
 
-test("faults are all named, with the nearest name for an unknown key", async () => {
+test("all faults are reported, with the nearest name for an unknown key", async () => {
     const { state, open } = createFixture();
     const { storeAddress: _gone, ...rest } = valid;
     state.text = JSON.stringify({ ...rest, storeAdress: "x", gracePeriodMs: -1 });
@@ -51,7 +51,7 @@
     `);
 });
 
-test("a gateway needs its addresses", async () => {
+test("the settings of a gateway without its addresses are rejected", async () => {
     const { state, open } = createFixture();
     state.text = JSON.stringify({ ...valid, readyAddress: undefined });
     expect(await open()).toEqual({
@@ -60,8 +60,8 @@
     });
 });
 
-test("a reload takes what is valid, and keeps the settings before it where it is not", async () => {
-    // Guards against: a process lost the store after its settings were written anew.
+test("a reload applies valid settings and keeps the previous ones if the file is invalid", async () => {
+    // Guards against a process that loses the store while its settings file is being rewritten.
     const { state, lines, logger, open } = createFixture();
     const opened = await open();
     if (opened.kind !== "opened") {
--- a/packages/daemon/src/createSettingsFile.ts
+++ b/packages/daemon/src/createSettingsFile.ts
@@ -5,7 +5,7 @@
 
 interface SettingsFile {
     current(): RoleSettings;
-    /** Reads the file again. A file with faults is logged and the settings before it stay. */
+    /** Reads the file again. If it has faults, they are logged and the previous settings stay in effect. */
     reload(logger: Logger): Promise<void>;
 }
 
@@ -20,10 +20,10 @@
     }
 }
 
-/** Keys whose change takes effect in a running process; the others wait for the next start. */
+/** Keys whose changes take effect in a running process; all others take effect at the next start. */
 const liveKeys = new Set<string>(["storeAddress"]);
 
-/** Opens the settings of a gateway or a runner. `readText` reads the file. */
+/** Opens the settings file of a gateway or a runner; `readText` reads it. */
 export async function createSettingsFile(readText: () => Promise<string>): Promise<OpenResult> {
     const first = parse(await readText());
     if (first.kind === "invalid") {
--- a/packages/daemon/src/createStoreHealth.test.ts
+++ b/packages/daemon/src/createStoreHealth.test.ts
@@ -19,7 +19,7 @@
         state.touches++;
         if (state.isDown) {
             await clock.sleep(state.answersAfterMs);
-            throw new ResultError(resultCodes.storeUnavailable, "away");
+            throw new ResultError(resultCodes.storeUnavailable, "store is down");
         }
     };
     const health = createStoreHealth(store, touch, clock, createMetrics(), silent, idleProbeIntervalMs);
@@ -31,8 +31,8 @@
     return { clock, state, health, touchesIn };
 }
 
-test("a process that does not use the store asks it for a sign of life less often", async () => {
-    // Two signs of life a second, used or not, are 40 in 20 s of each process.
+test("a process that does not use the store probes it less often", async () => {
+    // Without the idle interval each process would send 40 probes in 20 s.
     const { clock, health, touchesIn } = createFixture();
     await clock.advance(12_000);
     const idle = await touchesIn(20_000);
@@ -42,7 +42,7 @@
     expect({ idle, used }).toEqual({ idle: 10, used: 10 });
 });
 
-test("a loss of the store is noticed within the idle interval, and its return within a quarter of a second", async () => {
+test("an outage is noticed within the idle interval, and its end within a quarter of a second", async () => {
     const { clock, state, health } = createFixture();
     await clock.advance(20_000);
     state.isDown = true;
@@ -56,7 +56,7 @@
         .toEqual([true, 0, true, false]);
 });
 
-test("the return of a store that leaves calls without an answer is noticed within a quarter of a second too", async () => {
+test("the end of an outage in which calls get no answer is noticed within a quarter of a second", async () => {
     const { clock, state, health } = createFixture();
     await clock.advance(20_000);
     state.answersAfterMs = 1_200;
--- a/packages/daemon/src/createStoreHealth.ts
+++ b/packages/daemon/src/createStoreHealth.ts
@@ -6,38 +6,40 @@
 
 interface StoreHealth {
     store: ObjectStore;
-    /** Milliseconds since the first of the calls that have all failed since; 0 while calls succeed. */
+    /** Milliseconds since the first of the current run of failed calls; 0 while calls succeed. */
     silentMs(): number;
-    /** Milliseconds since it last answered. */
+    /** Milliseconds since the store last answered a call. */
     sinceAnswerMs(): number;
-    /** Resolves once calls succeed, at once where they do, or have failed for long; true if they failed at first. */
+    /**
+     * Resolves at once if calls succeed, otherwise when they do again or after a timeout; true if calls were failing.
+     */
     waitForStore(): Promise<boolean>;
-    /** Milliseconds since calls began to succeed again after failures; infinite if none failed yet. */
+    /** Milliseconds since calls succeeded again after failures; infinite if none has failed yet. */
     regainedMs(): number;
 }
 
 /**
- * Where other calls are rare, a process would not notice that the store turns it away. A runner that hands changes on
- * has a second to notice; the call costs a tenth of others.
+ * Without probes, a process that makes few calls would not notice that the store refuses it. A runner that feeds other
+ * processes must notice within a second. A probe costs a tenth of other calls.
  */
 const probeIntervalMs = 500;
-/** A process that neither read nor wrote for this long is idle, and asks as seldom as its role allows. */
+/** A process without reads and writes for this long is idle and probes at the idle interval of its role. */
 const idleAfterMs = 10_000;
-/** While calls fail. Others wait for the first one that succeeds, so that an outage costs four calls a second. */
+/** Probe interval while calls fail. Lists and watches wait for a probe, so an outage costs four calls per second. */
 const retryProbeIntervalMs = 250;
 /**
- * Longest wait of a list or watch for the store to come back. A sign of life ends it; without one a call would be
- * refused like the others, and charged.
+ * Longest wait of a list or watch for the store to recover. A successful probe ends the wait; without one a call would
+ * be refused like the others, and charged.
  */
 const maxRecoveryWaitMs = 5_000;
 
-/** Every call is charged; this line tells which ones. */
+/** Interval of the log line that counts calls by kind; every call is charged. */
 const reportIntervalMs = 10_000;
 
 /**
- * Counts calls to the store and notes whether it answers; `touch` asks it for a sign of life. Signs of life grow with
- * the number of processes, so one that has no use for the store may ask less often: it loses the store unnoticed for
- * that long, and nobody is refused by it meanwhile.
+ * Wraps the store, counts its calls and tracks whether it answers; `touch` sends a probe. The cost of probes grows with
+ * the number of processes, so a process that does not use the store may probe less often: it notices an outage later,
+ * but refuses nothing in the meantime.
  */
 export function createStoreHealth(
     inner: ObjectStore,
@@ -107,7 +109,7 @@
         clock.startTimer(reportIntervalMs, report);
     }
 
-    /** Without it each copy that is followed would go on asking a store that is away. */
+    /** Without this wait, every watched kind would keep calling an unreachable store. */
     async function waitForStore(): Promise<boolean> {
         const isFailing = failingSinceMs !== undefined;
         if (isFailing) {
@@ -117,10 +119,10 @@
     }
 
     /**
-     * While calls fail a cheap one asks first, and only its answer leads to one at the full price: refused calls are
-     * charged too. A copy may answer where the store does not, so that the cheap answer alone is no sign that calls
-     * succeed again. Each asks without waiting for those before it: a silent store would else be found back only after
-     * the last of them is given up.
+     * While calls fail, a cheap probe is sent first, and one at the full price only if it is answered, because refused
+     * calls are charged too. A replica may answer the cheap probe while the store does not, so its answer alone does
+     * not show that calls succeed again. Probes do not wait for earlier ones: otherwise the recovery of a silent store
+     * would be noticed only after the pending probe has timed out.
      */
     async function probeFailingStore(): Promise<void> {
         counts.set("touch:", (counts.get("touch:") ?? 0) + 1);
@@ -138,7 +140,7 @@
             void probeFailingStore();
         }
         else if (clock.monotonicMs() - answeredAtMs > probeIntervalMs / 2) {
-            // A failure shows in the counts and in `silentMs`.
+            // A failure is visible in the metrics and in `silentMs`.
             await recordCall("touch", "/", () => touch(true)).catch(() => undefined);
         }
         clock.startTimer(nextProbeDelayMs(), () => void probe());
--- a/packages/daemon/src/createTelemetry.ts
+++ b/packages/daemon/src/createTelemetry.ts
@@ -13,7 +13,7 @@
     invariants: Invariants;
 }
 
-/** Makes what every process has: its log, its metrics, and the assertions that feed both. */
+/** Creates the logger, the metrics and the invariant checks of a process; violations are logged and counted. */
 export function createTelemetry(settings: Settings, context: ProcessContext): Telemetry {
     const root = createLogger(context.clock, context.writeLine, settings.logLevel);
     const logger = root.child({ process: settings.name });
--- a/packages/daemon/src/createTrainerClient.ts
+++ b/packages/daemon/src/createTrainerClient.ts
@@ -10,15 +10,15 @@
 
 interface TrainerClientOptions {
     agent: Agent;
-    /** Any entry answers; calls go to them in turn. */
+    /** Addresses of entries; calls are distributed round-robin, because any entry can answer. */
     addresses: string[];
     job: JobId;
     token: string;
 }
 
 /**
- * A trainer's client over HTTP. It keeps the highest fencing number of any answer and drops answers with a lower
- * one, since their sender has lost the job.
+ * Creates a trainer's HTTP client. It tracks the highest fencing number of all answers and rejects answers with a lower
+ * one, because their sender no longer owns the job.
  */
 export function createTrainerClient(options: TrainerClientOptions): TrainerPort {
     const { agent, addresses, job, token } = options;
--- a/packages/daemon/src/createUsageDeps.ts
+++ b/packages/daemon/src/createUsageDeps.ts
@@ -4,7 +4,7 @@
 import type { StartCountRegistry } from "@auburnarch/usage/StartCountRegistry";
 import type { RoleContext } from "./RoleContext.js";
 
-/** What a runner needs to report the use of teams; undefined where that is not asked for. */
+/** Creates the dependencies for reporting the usage of teams; undefined if the settings do not ask for reports. */
 export function createUsageDeps(
     { settings, currentSettings, clock }: RoleContext,
     starts: StartCountRegistry | undefined,
--- a/packages/daemon/src/demoManifest.ts
+++ b/packages/daemon/src/demoManifest.ts
@@ -11,7 +11,7 @@
         failureDomain: failureDomains[index % failureDomains.length]!,
     }));
 
-/** The manifest that `standalone` runs without a file: two jobs share six engines beside a smoke-map tile service. */
+/** Default manifest of `standalone`: two jobs share six engines, and a plain service serves smoke-map tiles. */
 export function demoManifest(tokens: { plume: string; ridge: string; }): unknown {
     return {
         name: "demo",
--- a/packages/daemon/src/digestClusterTokens.ts
+++ b/packages/daemon/src/digestClusterTokens.ts
@@ -6,7 +6,7 @@
     previousClusterTokenDigest: string | undefined;
 }
 
-/** Digests of the tokens by which a process lets others of the system in. */
+/** Digests of the tokens that a process accepts from other processes of the system. */
 export function digestClusterTokens({ clusterToken, previousClusterToken }: Settings): ClusterTokenDigests {
     return {
         clusterTokenDigest: digestToken(clusterToken),
--- a/packages/daemon/src/digestToken.ts
+++ b/packages/daemon/src/digestToken.ts
@@ -1,6 +1,6 @@
 import { createHash } from "node:crypto";
 
-/** SHA-256 of a token in hex, as settings and manifests keep it. */
+/** SHA-256 digest of a token in hex, as used in manifests and for comparing tokens. */
 export function digestToken(token: string): string {
     return createHash("sha256").update(token).digest("hex");
 }
--- a/packages/daemon/src/keys.test.ts
+++ b/packages/daemon/src/keys.test.ts
@@ -116,7 +116,7 @@
     ): Promise<RunningProcess> {
         const before = running.get(role);
         await before?.shutdown();
-        // The same port again, as on a VM whose process restarts.
+        // Reuses the port, as a process that restarts on the same VM does.
         const listenPort = before === undefined ? 0 : Number(new URL(before.address).port);
         const common = { role, listenPort, shutdownDeadlineMs: 1_000, ...tokens, tls };
         const seeds = [running.get("entry")?.address].filter(Boolean);
@@ -149,7 +149,7 @@
         return callEntry({ agent: via, address, method, path, token, body, timeoutMs: 5_000 });
     }
 
-    /** Waits until a caller's request goes the whole way again. */
+    /** Waits until a request of a caller succeeds end to end. */
     async function waitUntilServed(): Promise<void> {
         for (;;) {
             const served = await call("GET", "/v1/services/tiles/tiles/1", keys.team).then(
@@ -204,8 +204,8 @@
     await bed.close();
 });
 
-test("an order to a sidecar from outside the cluster is refused and changes nothing", async () => {
-    // Guards against: a sampler serves weights that nobody published.
+test("an order to a sidecar from outside the cluster is rejected and changes nothing", async () => {
+    // Guards against a sampler that serves weights that no trainer published.
     await bed.restart("entry", { clusterToken: keys.first, previousClusterToken: undefined });
     const { address } = await bed.restart("sidecar", {
         clusterToken: keys.first,
@@ -228,8 +228,8 @@
     await bed.untilServed();
 });
 
-test("a new cluster token is rolled out in three rounds, and no process refuses another", async () => {
-    // Guards against: samplers vanish from half of the entries during a rotation.
+test("no process rejects another while a new cluster token is rolled out in three rounds", async () => {
+    // Guards against samplers that become unreachable for half of the entries during a token rotation.
     const rounds: ClusterTokens[] = [
         { clusterToken: keys.first, previousClusterToken: undefined },
         { clusterToken: keys.first, previousClusterToken: keys.second },
@@ -252,7 +252,7 @@
 });
 
 test("operators drain a sampler through its entry", async () => {
-    // Guards against: `auburnarch drain` answers with a fault.
+    // Guards against `auburnarch drain` failing with an error.
     await bed.restart("entry", { clusterToken: keys.first, previousClusterToken: undefined });
     await bed.restart("sidecar", { clusterToken: keys.first, previousClusterToken: undefined });
     await bed.untilServed();
@@ -268,8 +268,8 @@
     sidecar.close();
 });
 
-test("with certificates the token alone opens nothing between processes, and callers need none", async () => {
-    // Guards against: a token read from a file on one VM orders samplers all over the fleet.
+test("with TLS, processes reject a valid token without a certificate, and callers need no certificate", async () => {
+    // Guards against a token stolen from one VM being enough to control all samplers of the fleet.
     const tokens = { clusterToken: keys.first, previousClusterToken: undefined };
     const entry = await bed.restart("entry", tokens, tlsOf("first"));
     const sidecar = await bed.restart("sidecar", tokens, tlsOf("second"));
@@ -296,7 +296,7 @@
     }
     stranger.stop();
 
-    // A handshake that fails sent nothing: the request truly did not run.
+    // Nothing is sent when the handshake fails, so the request is known not to have run.
     const files = { ...tlsOf("first"), caPath: pem("otherAuthority.cert") };
     const distrustful = await createTrust(files, { clock: context.clock, logger });
     const port = createHttpSidecar({
--- a/packages/daemon/src/leaving.test.ts
+++ b/packages/daemon/src/leaving.test.ts
@@ -25,14 +25,14 @@
     return checked.manifest;
 }
 
-test("a leaving VM's sidecar refuses new work within 3 s of its mark in the list", async () => {
-    // Guards against: requests break off when a VM is taken away.
+test("the sidecar of a leaving VM refuses new work within 3 s after the VM list marks it", async () => {
+    // Guards against requests that break off when a VM is removed.
     const manifest = makeManifest();
     const system = createMemorySystem(manifest, () => JSON.stringify(manifest), 5);
     await system.clock.advance(8_000);
     const late: string[] = [];
     for (const { sampler } of manifest.samplers.slice(0, 20)) {
-        // At another place in everyone's intervals each time.
+        // Varies the phase relative to the polling intervals of all processes.
         await system.clock.advance(730);
         system.vms.markLeaving(`vm-sidecar-${sampler}` as VmId);
         system.clock.startTimer(listLagMs + maxNoticeMs, () => {
--- a/packages/daemon/src/openStartSnapshot.ts
+++ b/packages/daemon/src/openStartSnapshot.ts
@@ -14,7 +14,7 @@
     save: ((snapshot: StartSnapshot) => Promise<void>) | undefined;
 }
 
-/** Opens the snapshot for a quick start in a data folder; without a folder there is none. */
+/** Opens the snapshot that speeds up the next start; there is none without a data folder. */
 export async function openStartSnapshot(
     dataFolder: string | undefined,
     logger: Logger,
--- a/packages/daemon/src/openTextCache.ts
+++ b/packages/daemon/src/openTextCache.ts
@@ -6,14 +6,14 @@
 
 interface OpenedTextCache {
     textCache: TextCache;
-    /** Puts what waits on the disk, unless the disk takes too long. */
+    /** Writes pending texts to disk, unless the disk takes too long. */
     flush(): Promise<void>;
 }
 
-/** A disk may hang for seconds; starting without the texts of before costs less than waiting for them. */
+/** A disk may hang for seconds; starting without the stored texts costs less than waiting for them. */
 const maxDiskWaitMs = 800;
 
-/** Opens the shelf of unfinished texts, on the disk of the VM if there is one. */
+/** Opens the cache of unfinished texts, persisted in the data folder if there is one. */
 export async function openTextCache({ settings, clock, logger }: RoleContext): Promise<OpenedTextCache> {
     const { dataFolder } = settings;
     if (dataFolder === undefined) {
--- a/packages/daemon/src/openTrust.ts
+++ b/packages/daemon/src/openTrust.ts
@@ -4,7 +4,7 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
 
-/** Loads the certificates that the settings name; undefined where processes talk without TLS. */
+/** Loads the certificates named in the settings; undefined if processes communicate without TLS. */
 export async function openTrust(
     { tls }: Settings,
     deps: { clock: Clock; logger: Logger; },
--- a/packages/daemon/src/platform.test.ts
+++ b/packages/daemon/src/platform.test.ts
@@ -98,7 +98,7 @@
 const textOf = (item: string, events: number): string =>
     Array.from({ length: events }, (_, index) => `${item}-${index + 1}`).join("\n");
 
-test("plain requests are routed, and a change of the configuration is in force without a restart", async () => {
+test("plain requests are routed, and a configuration change becomes active without a restart", async () => {
     const tiles = await bed.addSampler({ id: "t-1", service: "tiles" });
     await ready();
     const answer = await bed.call(gateway.port, "POST", "/tiles/7", { "auburnarch-request-id": "q-1" }, "x");
@@ -126,7 +126,7 @@
     expect(tiles.runs().map(run => run.id)).toEqual(["q-1", "q-3"]);
 });
 
-test("a batch job is accepted once, run, scored, listed and ended", async () => {
+test("a batch job is accepted once, run, scored, returned and ended", async () => {
     await bed.addSampler({ id: "t-1", service: "tiles" });
     const engine = await bed.addSampler({ id: "e-1", service: "llm", models: [model] });
     await bed.startRunnerAt("runner-1");
@@ -149,8 +149,8 @@
     expect((await bed.call(gateway.port, "DELETE", "/v1/lots/lot-9")).status).toBe(404);
 });
 
-test("a run that breaks off goes on at another sampler behind its last event", async () => {
-    // Guards against: a text with an event twice or missing.
+test("an interrupted run resumes at another sampler after its last event", async () => {
+    // Guards against duplicate or missing events in a text.
     await bed.addSampler({ id: "t-1", service: "tiles" });
     const engines = await Promise.all(
         ["e-1", "e-2"].map(id =>
@@ -169,7 +169,7 @@
     expect(runs.some(run => run.after > 0)).toBe(true);
 });
 
-test("a step waits for samplers that serve its version, which are ordered to load it", async () => {
+test("a step waits until samplers serve its version, which they are ordered to load", async () => {
     await bed.addSampler({ id: "t-1", service: "tiles" });
     const engine = await bed.addSampler({ id: "e-1", service: "llm", models: [model] });
     await bed.startRunnerAt("runner-1");
@@ -181,8 +181,8 @@
     expect(engine.orders()).toMatchObject([{ model, version: 2, holder: "runner-1" }]);
 });
 
-test("another runner goes on when the first one leaves, and one that starts again has the texts of its disk", async () => {
-    // Guards against: items that had run for seconds began anew after a restart.
+test("a restarted runner resumes items from the texts stored on its disk", async () => {
+    // Guards against items that start from the beginning after a restart although they had run for seconds.
     const folder = await mkdtemp(join(tmpdir(), "texts-"));
     await bed.addSampler({ id: "t-1", service: "tiles" });
     const engine = await bed.addSampler({
@@ -205,7 +205,7 @@
     await rm(folder, { recursive: true });
 });
 
-test("while the store is away a job is refused with a promise, and results made meanwhile come after it", async () => {
+test("during a store outage batch jobs are refused with retry-after, and results are delivered later", async () => {
     await bed.addSampler({ id: "t-1", service: "tiles" });
     await bed.addSampler({ id: "e-1", service: "llm", models: [model], events: 20, eventIntervalMs: 15 });
     await bed.startRunnerAt("runner-1");
@@ -220,7 +220,7 @@
     expect((await readAll("lot-1", 1)).results[0]!.output).toBe(textOf("i1", 20));
 });
 
-test("a gateway that leaves is not ready at once, serves on, and ends its connections", async () => {
+test("a leaving gateway is not ready at once, keeps serving, and closes its connections", async () => {
     await bed.addSampler({ id: "t-1", service: "tiles" });
     await ready();
     const leaving = gateway.role.shutdown();
--- a/packages/daemon/src/processes.test.ts
+++ b/packages/daemon/src/processes.test.ts
@@ -109,8 +109,8 @@
     }
 }
 
-test("the owner's process is killed in the middle of a step", async () => {
-    // Guards against: the trainer stalls, or gets groups twice.
+test("a step completes without loss or duplicates when the owner's process is killed", async () => {
+    // Guards against a trainer that stalls or receives groups twice.
     const entries = [await bed.startEntry("entry-1"), await bed.startEntry("entry-2")];
     await Promise.all(manifest.samplers.map(bed.startSidecar));
     const addresses = entries.map(each => each.address);
@@ -135,8 +135,8 @@
     expect(await findOwner(survivor.address)).toBe(survivor.name);
 });
 
-test("a sidecar's process is killed with requests that must not run twice in flight", async () => {
-    // Guards against: a shepherds' cooperative gets two alerts.
+test("non-idempotent requests run at most once when a sidecar's process is killed", async () => {
+    // Guards against duplicate alerts.
     const entries = [await bed.startEntry("entry-1"), await bed.startEntry("entry-2")];
     const sidecars = await Promise.all(manifest.samplers.map(bed.startSidecar));
     const killed = sidecars.find(each => each.name === "sidecar-tile-1")!;
@@ -175,8 +175,8 @@
     expect([...outcomes.values()].filter(name => name === "ran").length).toBeGreaterThan(0);
 });
 
-test("SIGTERM in the middle of a step hands the job over and loses nothing", async () => {
-    // Guards against: samples are made again after each planned restart.
+test("SIGTERM in the middle of a step hands the job over without loss", async () => {
+    // Guards against samples that are generated again after each planned restart.
     const entries = [await bed.startEntry("entry-1"), await bed.startEntry("entry-2")];
     await Promise.all(manifest.samplers.map(bed.startSidecar));
     const addresses = entries.map(each => each.address);
--- a/packages/daemon/src/reconnect.test.ts
+++ b/packages/daemon/src/reconnect.test.ts
@@ -11,18 +11,18 @@
 const processes = [["a gateway", "g0"], ["a runner", "r1"]] as const;
 const runnerNames = ["r1", "r2", "r3", "r4"];
 const seeds = [...Array.from({ length: 40 }, (_, at) => at + 1), 46, 85, 125, 150, 159];
-/** One leaves in each cut. */
+/** One sampler leaves in each network cut. */
 const samplerNames = ["a", "b", "c", "d"];
 const cutsPerSeed = samplerNames.length;
 const maxCutMs = 12_000;
-/** A process counts as in touch again this long after the end of its trouble, on the tightest deployment. */
+/** Time from the end of the faults until a process must be up to date, in the deployment with the tightest limits. */
 const reconnectedAfterMs = 3_000;
-/** Samplers whose entries lapsed are registered again this long after the return of the store. */
+/** Samplers whose entries expired are registered again within this time after the store recovers. */
 const maxReregistrationMs = 2_000;
 const stepMs = 20;
 const noFaults: FeedFaults = { isStoreDown: () => false, isReachable: () => true };
 
-/** The watched process reaches nobody; each runner may have lost the store, or everybody, and stays so for a while. */
+/** The watched process is isolated; each runner may lose the store or all processes, also beyond the end of the cut. */
 function drawCut(watched: string, random: Random): { during: FeedFaults; after: FeedFaults; } {
     const hasRunnerFaults = random.nextUnit() < 0.5;
     const others = runnerNames.filter(name => name !== watched);
@@ -39,7 +39,7 @@
     return { during, after };
 }
 
-/** Cuts a process off again and again; `change` happens in each cut, `look` once the process is in touch. */
+/** Isolates a process repeatedly; calls `change` during each cut and `check` once the process must be up to date. */
 async function simulateCuts(
     watched: string,
     seed: number,
@@ -75,7 +75,7 @@
 }
 
 test.each(processes)(
-    "a sampler that left while %s was cut off gets nothing from it after its return",
+    "after %s reconnects, it does not send to samplers that left while it was isolated",
     async (_, watched) => {
         const sent = new Set<string>();
         await Promise.all(seeds.map(seed =>
@@ -102,7 +102,7 @@
 );
 
 test.each(processes)(
-    "what changed of any kind while %s was cut off is in force there once it is in touch",
+    "after %s reconnects, changes of every kind that it missed are active",
     async (_, watched) => {
         const late = new Set<string>();
         const written = new Map<number, number>();
@@ -139,7 +139,7 @@
 );
 
 test.each(processes)(
-    "samplers whose entries lapse while %s and all others lose the store are served until they are registered again",
+    "%s keeps using samplers whose entries expire during an outage of the store until they register again",
     async (_, watched) => {
         const refused = new Set<number>();
         await Promise.all(seeds.map(async seed => {
--- a/packages/daemon/src/registerRunner.ts
+++ b/packages/daemon/src/registerRunner.ts
@@ -16,7 +16,7 @@
 const absent = 0 as ObjectVersion;
 const retryMs = 300;
 
-/** Writes where this runner is reached, until it stands; a VM's successor may have its name and another address. */
+/** Registers the runner's address, with retries; a replacement VM may have the same name and another address. */
 export function registerRunner(deps: RegisterRunnerDeps): { stop(): void; } {
     const { store, clock, logger, key, address } = deps;
     const stopped = new AbortController();
--- a/packages/daemon/src/roleMain.ts
+++ b/packages/daemon/src/roleMain.ts
@@ -1,9 +1,9 @@
 #!/usr/bin/env node
 
 /**
- * Entry of the program. A change of the settings may be signalled at any moment, also while a process that has just
- * started loads its code; without a handler that signal ends it. So nothing else is loaded before there is one. Once
- * the settings are read, `runRole` reloads them at the signal.
+ * Entry point of the program. A change of the settings may be signalled at any time, also while a new process still
+ * loads its code, and the signal ends a process without a handler. Therefore the handler is installed before anything
+ * else is loaded. Once the settings are read, `runRole` adds a handler that reloads them.
  */
 process.on("SIGHUP", () => undefined);
 await import("./runRoleProgram.js");
--- a/packages/daemon/src/rpcMethods.ts
+++ b/packages/daemon/src/rpcMethods.ts
@@ -1,9 +1,9 @@
-/** Calls between gateways and runners, by JSON-RPC. */
+/** Methods of the JSON-RPC calls between gateways and runners. */
 export const rpcMethods = {
-    /** `RunnerStatus` of the called runner. */
+    /** Returns the `RunnerStatus` of the called runner. */
     status: "runner.status",
-    /** `ResultsAnswer` for a job, from a chunk on. */
+    /** Returns the `ResultsAnswer` for a batch job, starting at a chunk. */
     results: "runner.results",
-    /** `FeedAnswer` to a `FeedQuery`. */
+    /** Returns the `FeedAnswer` to a `FeedQuery`. */
     feed: "runner.feed",
 } as const;
--- a/packages/daemon/src/runDemo.ts
+++ b/packages/daemon/src/runDemo.ts
@@ -26,7 +26,7 @@
     /** Bearer token by team. */
     tokens: Map<string, string>;
     manifestPath: string;
-    /** Takes lines of progress for a person. */
+    /** Prints a line of progress for the user. */
     printLine: (line: string) => void;
 }
 
@@ -34,7 +34,7 @@
     return reports.reduce((total, report) => total + pick(report), 0);
 }
 
-/** Runs three steps of two jobs with callers beside them, and changes the manifest in the middle. */
+/** Runs three steps of each job, sends alerts at the same time, and changes the manifest in the middle. */
 export async function runDemo(options: DemoOptions): Promise<DemoSummary> {
     const { system, context, jobs, tokens, printLine } = options;
     const { clock } = context;
@@ -52,7 +52,7 @@
         }) as OperatorStatus;
     }
 
-    /** Resolves with the version once every entry and sidecar has it in force. */
+    /** Resolves with the version once it is active on every entry and sidecar. */
     async function waitUntilActive(minVersion: number): Promise<number> {
         const expected = system.entries.length + system.sidecars.length;
         for (;;) {
--- a/packages/daemon/src/runProcess.ts
+++ b/packages/daemon/src/runProcess.ts
@@ -17,7 +17,7 @@
         .exhaustive();
 }
 
-/** Runs one process from its settings file until a signal, then shuts it down gracefully; resolves with the exit code. */
+/** Runs an entry or a sidecar until a signal, then shuts it down gracefully; resolves with the exit code. */
 export async function runProcess(
     settingsPath: string,
     flags: Record<string, string>,
--- a/packages/daemon/src/runRole.ts
+++ b/packages/daemon/src/runRole.ts
@@ -11,7 +11,7 @@
 
 const settingsExitCode = 2;
 
-/** The code of the other role is not loaded: it costs a fifth of a second at the start. */
+/** Loads only the code of the configured role; loading the other one would delay the start by 200 ms. */
 function start(context: RoleContext): Promise<RunningRole> {
     return match(context.settings.role)
         .with("gateway", async () => (await import("./startGateway.js")).startGateway(context))
@@ -19,7 +19,7 @@
         .exhaustive();
 }
 
-/** Runs a gateway or a runner from its settings file until a signal; resolves with the exit code. */
+/** Runs a gateway or a runner until a signal, then shuts it down; resolves with the exit code. */
 export async function runRole(settingsPath: string, context: ProcessContext): Promise<number> {
     const startedAtMs = context.clock.monotonicMs();
     const opened = await createSettingsFile(() => readFile(settingsPath, "utf8"));
--- a/packages/daemon/src/runRoleProgram.ts
+++ b/packages/daemon/src/runRoleProgram.ts
@@ -5,7 +5,7 @@
 import { createLineWriter } from "./createLineWriter.js";
 import { runRole } from "./runRole.js";
 
-/** Names the variable in which the platform passes the path of the settings. */
+/** Environment variable in which the platform passes the path of the settings file. */
 const settingsVariable = "AUBURNARCH_BOOT";
 const standardOutput = 1;
 const maxSeed = 2 ** 31;
--- a/packages/daemon/src/runStandalone.ts
+++ b/packages/daemon/src/runStandalone.ts
@@ -22,7 +22,7 @@
 interface StandaloneFlags {
     manifestPath: string | undefined;
     port: number;
-    /** Runs the demonstration, then ends by itself. */
+    /** Runs the demo and then exits. */
     demo: boolean;
     logPath: string | undefined;
     context: ProcessContext;
@@ -37,7 +37,7 @@
     return checked.manifest;
 }
 
-/** Runs the whole system on loopback; resolves with the process's exit code. */
+/** Runs the whole system on loopback; resolves with the exit code. */
 export async function runStandalone(flags: StandaloneFlags): Promise<number> {
     const { context, printLine } = flags;
     const { random } = context;
@@ -55,7 +55,7 @@
     const log = logPath === undefined ? undefined : createWriteStream(logPath);
     const writeLine = log === undefined
         ? context.writeLine
-        // Timers of the parts may still write a line while the process ends.
+        // Timers may still write a line after the log file has been closed.
         : (line: string) => void (log.writableEnded || log.write(`${line}\n`));
 
     const system = await startStandalone({
--- a/packages/daemon/src/runnersKind.ts
+++ b/packages/daemon/src/runnersKind.ts
@@ -1,2 +1,2 @@
-/** Kind of the store's objects that hold a `RunnerAddress` by the name of its runner. */
+/** Kind of the stored objects that contain the `RunnerAddress` of each runner, keyed by the runner's name. */
 export const runnersKind = "runners";
--- a/packages/daemon/src/sendAlerts.ts
+++ b/packages/daemon/src/sendAlerts.ts
@@ -7,27 +7,29 @@
 const alertIntervalMs = 250;
 const timeoutMs = 5_000;
 const path = "/v1/services/tiles/alerts";
-/** Result codes from 2000 on say that the request did not run. */
+/** Result codes from 2000 to 2999 mean that the request did not run. */
 const notRunFamily = 2;
 
 interface AlertOptions {
     clock: Clock;
     agent: Agent;
-    /** Any entry answers; calls go to them in turn. */
+    /** Addresses of entries; calls are distributed round-robin, because any entry can answer. */
     addresses: string[];
     token: string;
-    /** Hears the key of each alert that was answered. */
+    /** Called with the key of each alert that was answered. */
     onSent: (key: string) => void;
     printLine: (line: string) => void;
     signal: AbortSignal;
 }
 
-/** Sends alerts that must not go out twice until `signal` is aborted. */
+/** Sends alerts, each of which must run at most once, until `signal` is aborted. */
 export async function sendAlerts(options: AlertOptions): Promise<void> {
     const { clock, agent, addresses, token, printLine, signal } = options;
     let calls = 0;
 
-    /** Sends one alert until its fate is known; sent again, it keeps its key, so that it cannot go out twice. */
+    /**
+     * Sends one alert until its outcome is known. Retries use the same idempotency key, so that it runs at most once.
+     */
     async function sendOne(key: string): Promise<void> {
         const headers = { "idempotency-key": key };
         while (!signal.aborted) {
--- a/packages/daemon/src/serveInternal.ts
+++ b/packages/daemon/src/serveInternal.ts
@@ -10,7 +10,7 @@
 
 const maxRpcBytes = 1_048_576;
 
-/** Serves metrics and the calls of peers at the first of the internal ports, and at the metrics port where one is set. */
+/** Serves metrics and calls of peers on the first internal port, and on the metrics port if one is set. */
 export async function serveInternal(
     { settings, logger, metrics }: RoleContext,
     receive: (method: string, params: unknown) => Promise<unknown>,
@@ -49,7 +49,7 @@
         return server;
     }
 
-    /** Metrics are for people: a port that is taken costs them, and not the process. */
+    /** If the metrics port is in use, the process runs without it, because nothing but monitoring depends on it. */
     async function listenForMetrics(port: number): Promise<Server | undefined> {
         try {
             return await listen(port);
--- a/packages/daemon/src/session.test.ts
+++ b/packages/daemon/src/session.test.ts
@@ -43,7 +43,7 @@
     return parsed.manifest;
 }
 
-/** A trainer at the door of an entry that need not be the owner. */
+/** Creates a trainer port on an entry that need not be the owner of the job. */
 function createTrainerPort(entry: Entry, { job, team }: JobManifest): TrainerPort {
     return {
         openStep: async spec =>
@@ -81,7 +81,7 @@
     return Buffer.concat(chunks).toString();
 }
 
-test("a whole session: manifest, two steps, an interactive request, usage", async () => {
+test("a session runs end to end: manifest, two steps, an interactive request and usage", async () => {
     const manifest = manifestOf(text);
     const system = createMemorySystem(manifest, () => text);
     const { clock } = system;
--- a/packages/daemon/src/slowWaitMs.ts
+++ b/packages/daemon/src/slowWaitMs.ts
@@ -1,5 +1,5 @@
 /**
- * Longest wait of a watch where some seconds more do no harm if a connection falls silent: new runners, and VMs that are
- * to be emptied.
+ * Longest wait of a watch on kinds for which a delay of some seconds after a silent connection failure is harmless: new
+ * runners, and the retirement of VMs.
  */
 export const slowWaitMs = 10_000;
--- a/packages/daemon/src/startCommon.ts
+++ b/packages/daemon/src/startCommon.ts
@@ -29,18 +29,18 @@
 import { watchRunners } from "./watchRunners.js";
 
 interface Common {
-    /** Sets the status of an object of the platform's. */
+    /** Sets the status of a platform object. */
     writeStatus: (key: string, value: unknown) => Promise<void>;
-    /** Lists and watches through the runner that follows the store for all. */
+    /** The store; lists and watches are answered by the runner that follows the store for all processes. */
     store: ObjectStore;
-    /** Every call goes to the store itself. */
+    /** The same store without the feed: every call goes to the store itself. */
     directStore: ObjectStore;
     runners: WatchedKind<RunnerAddress>;
     runnerClient: ReturnType<typeof createRunnerClient>;
     caller: RunnerCaller;
-    /** What is told between processes along with changes of the store. */
+    /** State that is exchanged with other processes along with changes of the store. */
     extras: FeedExtras;
-    /** Contents that broke off at samplers, as told between processes. */
+    /** Contents of requests whose attempts broke off at samplers, as exchanged between processes. */
     breaks: BreakRegistry;
     storeSilentMs: () => number;
     storeHeardMs: () => number;
@@ -53,16 +53,17 @@
 }
 
 /**
- * Changes of samplers close together (each load of weights shows as one) are taken by one answer. Gateways and idle
- * runners only need to know who drains, within two seconds; busy runners wait for the end of loads.
+ * Changes of samplers within this time are read with one call (each load of weights is such a change). Gateways and
+ * idle runners only need to know within two seconds which samplers are draining; busy runners wait for loads to finish.
  */
 const idleGatherMs = 300;
 const busyGatherMs = 50;
 
 /**
- * Starts what gateways and runners share: the store, the configuration, the samplers. `isBusy` is true while runs or
- * loads here depend on what samplers serve; `idleTouchIntervalMs` is how often the store is asked for a sign of life while it
- * is not used, by default as often as always; `feeding` holds the hub of a runner once there is one.
+ * Starts the parts that gateways and runners share: the store, the configuration and the samplers. `isBusy` returns
+ * true while runs or loads of this process depend on the weights that samplers serve. `idleProbeIntervalMs` is the
+ * interval of probes while the store is not used, by default the same as while it is used. `hubHolder` contains the hub
+ * of a runner once it is created.
  */
 export function startCommon(
     context: RoleContext,
@@ -94,7 +95,7 @@
     const runnersHolder: { runners?: WatchedKind<RunnerAddress>; } = {};
     const caller = createRunnerCaller({
         self: context.settings.name,
-        // They are followed through this very caller: until they are known the store itself is asked.
+        // The runners are watched through this caller; until they are known, calls go to the store itself.
         runners: () => runnersHolder.runners?.objects(),
         clock,
         logger,
--- a/packages/daemon/src/startEntry.ts
+++ b/packages/daemon/src/startEntry.ts
@@ -28,8 +28,8 @@
 import type { RunningProcess } from "./RunningProcess.js";
 
 /**
- * Bounds of one entry against a storm of calls, not its steady rate: an entry alone renews 32 key ranges with 10
- * writes a second. What the fleet needs together is on docs/CAPACITY.md.
+ * Limits that protect the store from bursts of one entry, well above its steady rate: a single entry renews 32 key
+ * ranges with 10 writes per second. docs/CAPACITY.md lists the rates of the whole fleet.
  */
 const writesPerSecond = 40;
 const readsPerSecond = 100;
@@ -47,7 +47,7 @@
     return createFileGroupStore(join(settings.dataFolder, "groups"), { clock: context.clock, logger });
 }
 
-/** Starts the entry role from checked settings and resolves once it listens. */
+/** Starts an entry from validated settings and resolves once it listens. */
 export async function startEntry(settings: Settings, context: ProcessContext): Promise<RunningProcess> {
     const { clock, random } = context;
     const { logger, metrics, invariants } = createTelemetry(settings, context);
--- a/packages/daemon/src/startExternalFakes.ts
+++ b/packages/daemon/src/startExternalFakes.ts
@@ -31,7 +31,7 @@
 
 const urlOf = ({ port }: FakeServer): string => `http://127.0.0.1:${port}`;
 
-/** Starts every outside system as a stand-in on loopback, one backend server for each sampler of the manifest. */
+/** Starts fakes of all external systems on loopback, with one backend server for each sampler of the manifest. */
 export async function startExternalFakes(
     plan: ExternalFakesPlan,
     context: ProcessContext,
--- a/packages/daemon/src/startGateway.ts
+++ b/packages/daemon/src/startGateway.ts
@@ -13,17 +13,17 @@
 import { startCommon } from "./startCommon.js";
 
 /**
- * The platform's balancer takes a process out after two missed probes a second apart; until then new connections
- * still arrive and are served.
+ * The platform's load balancer removes a process after two failed probes that are a second apart. Until then new
+ * connections still arrive and must be served.
  */
 const balancerRemovalMs = 2_600;
 const pollMs = 100;
 /**
- * A trainer's calls come to one gateway, by a hash of it, so most gateways use the store never. One that is turned away
- * there answers the first of a trainer's calls with a refusal at the latest, and is then not ready.
+ * The calls of a trainer are hashed to one gateway, so most gateways never use the store. A gateway that the store
+ * refuses notices at the latest at the first call of a trainer, rejects that call, and is not ready from then on.
  */
 const idleProbeIntervalMs = 2_000;
-/** Left at the end of the grace period for the process to end by itself. */
+/** Part of the grace period that is reserved for the process to exit by itself. */
 const exitSlackMs = 700;
 
 /** Starts a gateway and resolves once it listens. */
--- a/packages/daemon/src/startRunner.ts
+++ b/packages/daemon/src/startRunner.ts
@@ -22,14 +22,14 @@
 import { slowWaitMs } from "./slowWaitMs.js";
 import { startCommon } from "./startCommon.js";
 
-/** Each load of weights shows in a sampler's entry; those of one version end close together. */
+/** Each load of weights changes the sampler's entry; loads of the same version finish at about the same time. */
 const samplerGatherMs = 100;
-/** Kinds of which a change may be seen some seconds late if a connection falls silent. */
+/** Kinds whose changes may be noticed some seconds late after a silent connection failure. */
 const slowPrefixes: ReadonlySet<string> = new Set([`${platformKinds.retirements}/`, `${runnersKind}/`]);
-/** Left of the grace period when the hand-over is given up. */
+/** Part of the grace period that remains when the hand-over times out. */
 const exitSlackMs = 1_500;
 
-/** Starts a runner and resolves once its peers can reach it. */
+/** Starts a runner and resolves once it listens for calls of its peers. */
 export async function startRunner(context: RoleContext): Promise<RunningRole> {
     const { settings, clock, random, logger } = context;
     let isBusy = (): boolean => false;
--- a/packages/daemon/src/startSidecar.ts
+++ b/packages/daemon/src/startSidecar.ts
@@ -31,7 +31,7 @@
 import type { RunningProcess } from "./RunningProcess.js";
 import { watchState } from "./watchState.js";
 
-/** A sidecar only reads leases it is ordered under for the first time, and never writes. */
+/** A sidecar reads a lease only when it first receives an order under it, and never writes. */
 const storeCallsPerSecond = 5;
 const reportTimeoutMs = 1_500;
 
@@ -72,7 +72,7 @@
     };
 }
 
-/** Metrics of a sidecar, with its gauges as of now. */
+/** Renders the metrics of a sidecar after updating its gauges. */
 function renderSidecar(gate: Sidecar, metrics: Metrics): Promise<string> {
     const report = gate.report();
     metrics.set("gate_running", {}, report.running);
@@ -84,7 +84,7 @@
     return metrics.render();
 }
 
-/** Starts the sidecar role from checked settings and resolves once it listens and reports. */
+/** Starts a sidecar from validated settings and resolves once it listens and reports to entries. */
 export async function startSidecar(settings: Settings, context: ProcessContext): Promise<RunningProcess> {
     const { clock, random } = context;
     const telemetry = createTelemetry(settings, context);
@@ -102,7 +102,7 @@
         ...digestClusterTokens(settings),
         renderMetrics: () => renderSidecar(gate, telemetry.metrics),
     });
-    // Known only now where the system chose the port; nothing is reported before.
+    // If the system chooses the port, it is known only now; nothing is reported before.
     identity.address = addressOf(settings, served.port);
 
     const { invariants } = telemetry;
--- a/packages/daemon/src/startStandalone.ts
+++ b/packages/daemon/src/startStandalone.ts
@@ -53,7 +53,7 @@
     };
 }
 
-/** Starts stand-ins, entries and sidecars in this one process, each part with settings of its own over real HTTP. */
+/** Starts fakes, entries and sidecars in this process; each has its own settings and they communicate over HTTP. */
 export async function startStandalone(options: StandaloneOptions): Promise<Standalone> {
     const { plan, context } = options;
     const { random } = context;
--- a/packages/daemon/src/storeCallsUnderFaults.test.ts
+++ b/packages/daemon/src/storeCallsUnderFaults.test.ts
@@ -5,7 +5,7 @@
 const gateways = 40;
 const noFaults: FeedFaults = { isStoreDown: () => false, isReachable: () => true };
 
-/** Calls, without signs of life, of three seconds of calm, so long of trouble, and ten seconds after it. */
+/** Counts calls, except probes, during three seconds without faults, `faultsMs` with faults, and ten seconds after. */
 async function countCalls(
     faults: FeedFaults,
     faultsMs: number,
@@ -41,8 +41,8 @@
     },
 };
 
-test("calls to the store stay few whatever keeps processes from the runner that feeds", async () => {
-    // Guards against: calls rose three- to fourfold on days of trouble, with the number of processes.
+test("the number of calls to the store stays low when processes can't use the feeding runner", async () => {
+    // Guards against calls that grow with the number of processes: they rose three- to fourfold on days with faults.
     const counted: Record<string, number> = {};
     for (const [name, faults] of Object.entries(faultCases)) {
         const { startCalls, calls } = await countCalls(faults, 6_000);
--- a/packages/daemon/src/teams.test.ts
+++ b/packages/daemon/src/teams.test.ts
@@ -91,7 +91,7 @@
         return results.length > 0 ? results.length : undefined;
     });
 
-test("samplers hear the team of the key, whatever the client says, and reward calls name none", async () => {
+test("samplers receive the team of the key, not one that a client claims, and reward calls carry none", async () => {
     await bed.startRunnerAt("runner-1");
     expect((await plain("q-1", firstKey)).status).toBe(200);
     expect((await submit("lot-1", secondKey)).status).toBe(202);
@@ -100,7 +100,7 @@
     expect(listRunTeams(tiles)).toEqual([["q-1", "hule", undefined], ["score-lot-1", undefined, undefined]]);
 });
 
-test("an item goes on for its team after its runner is gone and its key is taken away", async () => {
+test("an item continues for its team after its runner has left and its key has been revoked", async () => {
     const first = await bed.startRunnerAt("runner-1");
     await submit("lot-1", firstKey);
     await bed.until(() => engine.runs().length > 0 ? true : undefined);
@@ -111,7 +111,7 @@
     expect(new Set(engine.runs().map(run => run.team))).toEqual(new Set(["hule"]));
 });
 
-test("a key that was taken away is refused on connections that are open, and no sampler runs its requests", async () => {
+test("a revoked key is rejected on open connections, and no sampler runs its requests", async () => {
     expect((await plain("q-1", firstKey)).status).toBe(200);
     bed.store.put("config", "main", config(4, [secondKey]));
     await bed.until(async () => (await plain("q-2", firstKey)).status === 401 ? true : undefined);
@@ -125,7 +125,7 @@
     expect(tiles.runs().length).toBe(runs + 1);
 });
 
-test("no key is in any log line, metric, answer to a peer, or object of ours", async () => {
+test("no key appears in log lines, metrics, answers to peers or stored objects", async () => {
     const runner = await bed.startRunnerAt("runner-1");
     await submit("lot-1", firstKey);
     await plain("q-1", "unknown-s3cret");
--- a/packages/daemon/src/testing/FeedFaults.ts
+++ b/packages/daemon/src/testing/FeedFaults.ts
@@ -1,4 +1,4 @@
-/** What is wrong, as each process meets it. */
+/** Simulated faults, as seen by each process. */
 export interface FeedFaults {
     isStoreDown: (process: string) => boolean;
     isReachable: (from: string, to: string) => boolean;
--- a/packages/daemon/src/testing/createFeedFleet.ts
+++ b/packages/daemon/src/testing/createFeedFleet.ts
@@ -26,17 +26,19 @@
 
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 const runnerNames = ["r1", "r2", "r3", "r4"];
-/** Peers take a runner for dead after this time without an answer. */
+/** Peers consider a runner crashed after this time without an answer. */
 const peerTimeoutMs = 1_300;
 const storeLatencyMs = 4;
-/** Processes that start together know of no runner until then. */
+/** Processes that start together know no runners until this time. */
 const registeredAtMs = 300;
-/** A call to a store that is silent is given up after this time. */
+/** A call to a silent store times out after this time. */
 const storeTimeoutMs = 1_000;
 
 const noFaults: FeedFaults = { isStoreDown: () => false, isReachable: () => true };
 
-/** Runners r1 to r4 and gateways from g0 on that follow three kinds, each through its own view of one store. */
+/**
+ * Creates runners r1 to r4 and gateways g0, g1, … that watch three kinds, each with its own faults towards one store.
+ */
 export function createFeedFleet(gateways: number) {
     const clock = createFakeClock();
     const { store } = createFakeObjectStore({ clock, random: createRandom(4), latencyMs: storeLatencyMs });
@@ -45,7 +47,7 @@
     const hubs = new Map<string, FeedHub>();
     const addresses = new Map(runnerNames.map((host): [string, RunnerAddress] => [host, { host, port: 1 }]));
 
-    /** What was asked before a process lost the store is answered no more either. */
+    /** Calls that were pending when a process lost the store get no answer either. */
     async function callWithFaults<T>(process: string, call: () => Promise<T>): Promise<T> {
         const found = state.faults.isStoreDown(process) ? undefined : { value: await call() };
         if (found === undefined || state.faults.isStoreDown(process)) {
@@ -163,7 +165,7 @@
         return current?.version ?? 0 as ObjectVersion;
     }
 
-    /** Writes the time, or what is given; resolves to the time at which the store has it. */
+    /** Writes `value`, by default the current time; resolves to the time after the store has accepted it. */
     async function put(key = "config/main", value: unknown = clock.monotonicMs()): Promise<number> {
         const version = await readVersion(key);
         await Promise.all([store.write(key, value, version), clock.advance(10)]);
--- a/packages/daemon/src/testing/createMemorySystem.ts
+++ b/packages/daemon/src/testing/createMemorySystem.ts
@@ -55,12 +55,12 @@
     store: ObjectStore;
     storeControl: FakeStoreControl;
     vms: ReturnType<typeof createFakeVmList>["control"];
-    /** Log lines of all processes, in order. */
+    /** Log lines of all processes in order. */
     lines: string[];
     violations: string[];
 }
 
-/** The real entries and sidecars with small fakes at their ports, joined in memory under one fake clock. */
+/** Runs real entries and sidecars with fakes of the external systems, connected in memory, on one fake clock. */
 export function createMemorySystem(
     manifest: Manifest,
     readManifestFile: () => string,
@@ -91,7 +91,7 @@
         if (entry === undefined) {
             throw new ResultError(resultCodes.peerUnreachable, address);
         }
-        // As on a wire, what is passed on is a copy.
+        // Params and answers are copied, as they are when sent over a network.
         return structuredClone(await entry.receive(method, JSON.parse(JSON.stringify(params))));
     };
 
--- a/packages/daemon/src/testing/createPlatformBed.ts
+++ b/packages/daemon/src/testing/createPlatformBed.ts
@@ -21,7 +21,7 @@
 
 const sleep = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms));
 
-/** Gateways and runners as they run in production, on stand-ins of the platform that speak its protocol over HTTP. */
+/** Runs gateways and runners as in production, against fakes of the platform that implement its protocol over HTTP. */
 export async function createPlatformBed() {
     const clock = createSystemClock(true);
     const store = await servePlatformStore();
@@ -120,14 +120,14 @@
         });
     }
 
-    /** What a peer gets as the answer of a call, as text. */
+    /** Calls a process as a peer does and returns the answer as text. */
     async function callInternal(name: string, method: string, params: unknown): Promise<string> {
         const port = contexts.get(name)!.settings.internalPorts[0];
         const sent = JSON.stringify({ jsonrpc: "2.0", id: 1, method, params });
         return (await call(port, "POST", "/rpc", {}, sent)).body;
     }
 
-    /** Waits until `probe` gives a value; the test's own time limit is the only one. */
+    /** Waits until `probe` returns a value; only the timeout of the test limits the wait. */
     async function waitFor<T>(probe: () => Promise<T | undefined> | T | undefined): Promise<T> {
         for (;;) {
             const value = await probe();
--- a/packages/daemon/src/testing/createProcessBed.ts
+++ b/packages/daemon/src/testing/createProcessBed.ts
@@ -15,7 +15,7 @@
 
 const binary = fileURLToPath(new URL("../../dist/auburnarchd.js", import.meta.url));
 const token = "a token of the process tests, long enough";
-/** A process that is still there after this is ended, whatever became of its test. */
+/** A process that still runs after this time is killed, even if its test did not clean up. */
 const maxLifetimeMs = 240_000;
 const bedFailureDomain = "Lugo" as FailureDomain;
 
@@ -23,7 +23,7 @@
     name: string;
     address: string;
     child: ChildProcess;
-    /** Resolves with the exit code, or the signal's name. */
+    /** Resolves with the exit code or the name of the signal. */
     ended: Promise<number | string>;
 }
 
@@ -32,11 +32,11 @@
     operatorToken: string;
     startEntry(name: string): Promise<BedProcess>;
     startSidecar(sampler: SamplerManifest): Promise<BedProcess>;
-    /** Ends what still runs and removes the folder. */
+    /** Kills the remaining processes and removes their folder. */
     close(): Promise<void>;
 }
 
-/** Real processes of the system on loopback, with the stand-ins in the test's own process. */
+/** Runs entries and sidecars as separate processes on loopback; the fakes run in the process of the test. */
 export async function createProcessBed(manifest: Manifest, context: ProcessContext): Promise<ProcessBed> {
     const folder = await mkdtemp(join(tmpdir(), "auburnarch-bed-"));
     const externalFakes = await startExternalFakes(
@@ -122,7 +122,7 @@
     };
 }
 
-/** The address that a process prints once it listens; rejects with what it printed if it ends first. */
+/** Reads the address that a process prints once it listens; rejects with the output if it exits first. */
 function readAddress(child: ChildProcess, ended: Promise<unknown>): Promise<string> {
     const printed: string[] = [];
     return new Promise((resolve, reject) => {
@@ -133,6 +133,8 @@
                 resolve(found);
             }
         });
-        void ended.then(end => reject(new Error(`ended with ${String(end)}: ${printed.join(" | ")}`)));
+        void ended.then(end =>
+            reject(new Error(`process exited with ${String(end)} before it listened: ${printed.join(" | ")}`))
+        );
     });
 }
--- a/packages/daemon/src/usage.test.ts
+++ b/packages/daemon/src/usage.test.ts
@@ -14,7 +14,7 @@
     tenants: [{ "name": "hule", "api-keys": [key] }],
 });
 
-test("what teams' requests began to run is reported, each window once, by one holder, through refusals", async () => {
+test("started requests of teams are reported once per window by one holder despite rejected reports", async () => {
     const bed = await createPlatformBed();
     const reports = await serveUsageReports();
     bed.store.put("config", "main", config);
--- a/packages/daemon/src/waitForSignal.ts
+++ b/packages/daemon/src/waitForSignal.ts
@@ -1,4 +1,4 @@
-/** Resolves at the first SIGTERM or SIGINT; a second one ends the process at once, as the default action does. */
+/** Resolves at the first SIGTERM or SIGINT; a second one ends the process at once by the default action. */
 export function waitForSignal(): Promise<void> {
     return new Promise(resolve => {
         const onSignal = (): void => {
--- a/packages/daemon/src/watchRunners.ts
+++ b/packages/daemon/src/watchRunners.ts
@@ -11,7 +11,7 @@
 
 const addressSchema = z.object({ host: z.string(), port: z.number() });
 
-/** Follows where the runners are. */
+/** Watches the registered addresses of the runners. */
 export function watchRunners(
     watched: { store: ObjectStore; clock: Clock; logger: Logger; },
 ): WatchedKind<RunnerAddress> {
--- a/packages/daemon/src/watchState.ts
+++ b/packages/daemon/src/watchState.ts
@@ -4,8 +4,9 @@
 const pollIntervalMs = 250;
 
 /**
- * Calls `onChange` soon after a gate's state, or what its engine serves, has changed: entries that heard of it only
- * with the next usual report would send it work for seconds that it refuses. The returned function ends that.
+ * Calls `onChange` soon after a sidecar's state or the served versions have changed. If entries received the change
+ * only with the next regular report, they would send work for seconds that the sidecar refuses. The returned function
+ * stops the watch.
  */
 export function watchState(gate: Sidecar, clock: Clock, onChange: () => void): () => void {
     const stopped = new AbortController();
