--- a/packages/sidecar/src/createAdaptiveLimit.test.ts
+++ b/packages/sidecar/src/createAdaptiveLimit.test.ts
@@ -28,7 +28,7 @@
     expect(Math.max(...slow.slice(100))).toBeLessThan(16);
     expect(slow.at(-1)).toBe(1);
     expect(run(10, full, 500).at(-1)).toBe(16);
-    // Below half of the limit in use, speed says nothing about the backend server.
+    // With less than half of the limit in use, speed does not show whether the limit is too high.
     expect(run(400, () => 1, 200).at(-1)).toBe(16);
 });
 
--- a/packages/sidecar/src/watchBody.ts
+++ b/packages/sidecar/src/watchBody.ts
@@ -2,8 +2,9 @@
 import { ResultError } from "@auburnarch/errors/ResultError";
 
 /**
- * Passes a body on and calls `onEnd` when it is read to its end, fails, is abandoned, or `signal` is aborted. An
- * aborted body rejects, so that a partial body is never taken for a complete one.
+ * Passes a body on and calls `onEnd` when it is read to its end, fails, is abandoned, or `signal` is aborted. If more
+ * than one of these happens, `onEnd` may be called again. An aborted body rejects, so that a partial body is never
+ * taken for a complete one.
  */
 export function watchBody(
     body: AsyncIterable<Uint8Array>,
