--- a/packages/runner/src/duties/createDutyHolder.ts
+++ b/packages/runner/src/duties/createDutyHolder.ts
@@ -32,9 +32,9 @@
 const tickMs = 150;
 
 /**
- * Creates the holder. One lease covers all duties: separate leases would cost more renewals, and a process that loses
- * one loses all. Two holders that order the same sampler could revert it to older weights, and two that report the
- * same window could report different counts.
+ * Creates the holder. One lease covers all duties: separate leases would each cost renewals, although a process that
+ * loses one would lose all. Two holders that order the same sampler could revert it to older weights, and two that
+ * report the same window could report different counts.
  */
 export function createDutyHolder(deps: DutyHolderDeps): DutyHolder {
     const { clock, logger } = deps;
--- a/packages/runner/src/items/createScoreItem.ts
+++ b/packages/runner/src/items/createScoreItem.ts
@@ -29,7 +29,7 @@
 
 /**
  * Creates the client of the scoring services. A reward call may be repeated; only responses with status 500 count
- * towards abandoning it, since other failures are not caused by the item.
+ * towards abandoning it, since other failures say nothing about the item.
  */
 export function createScoreItem(deps: ScoreItemDeps): ScoreItem {
     return async (call, headers, attempts, signal) => {
--- a/packages/runner/src/weights/EngineOrders.ts
+++ b/packages/runner/src/weights/EngineOrders.ts
@@ -13,7 +13,7 @@
     runs: "preserved" | "finishedFirst";
     holder: string;
     fencing: FencingNumber;
-    /** The order is void if the sampler has accepted another one in the meantime, even if this one arrives late. */
+    /** The order is void if the sampler has accepted another one meanwhile, even if this one is carried out late. */
     expectedOrders: number;
 }
 
--- a/packages/runner/src/weights/loadUrgency.ts
+++ b/packages/runner/src/weights/loadUrgency.ts
@@ -2,7 +2,7 @@
 export const loadUrgency = {
     /** The policy cannot use the sampler until it is loaded. */
     unusable: 3,
-    /** The load delays nobody: no batch job of the policy is open. */
+    /** The load delays no step: no batch job of the policy is open. */
     quiet: 2,
     /** A batch job is open, but the version was named long ago: loaded on some of the samplers at a time. */
     overdue: 1,
--- a/packages/runner/src/weights/planLoads.test.ts
+++ b/packages/runner/src/weights/planLoads.test.ts
@@ -64,7 +64,7 @@
     expect(plan({ needs: needs(2, true) })).toHaveLength(6);
 });
 
-test("a batch job that stays open delays a load for a limited time, after which samplers are loaded one per policy at a time", () => {
+test("an open batch job delays loads for a limited time, then one sampler of each policy is loaded at a time", () => {
     const plan = createPlan();
     expect(plan({ needs: needs(2, false, 3_000) })).toHaveLength(3);
 });
