--- a/packages/membership/src/MembershipTiming.ts
+++ b/packages/membership/src/MembershipTiming.ts
@@ -1,4 +1,4 @@
-/** Intervals and limits of membership. Not operator settings; tests and benches override them. */
+/** Intervals and limits of membership. None of them needs tuning; tests and benches vary them. */
 export interface MembershipTiming {
     /** Time between two probes that an entry starts. */
     gossipIntervalMs: number;
--- a/packages/membership/src/createReportPacer.ts
+++ b/packages/membership/src/createReportPacer.ts
@@ -12,7 +12,10 @@
 const envelopeBytes = 500;
 const reportsPerMeasurement = 32;
 
-/** Creates the pacing of reports: the interval grows with the number of reporters, to bound the bandwidth. */
+/**
+ * Creates the pacing of reports. The interval is `minReportIntervalMs` (a second by default) for a few reporters and
+ * grows with their number, to bound the bandwidth.
+ */
 export function createReportPacer(timing: MembershipTiming): ReportPacer {
     let seen = 0;
     let messageBytes = initialReportBytes;
