--- a/packages/documents/src/DocumentSyncTiming.ts
+++ b/packages/documents/src/DocumentSyncTiming.ts
@@ -1,4 +1,4 @@
-/** Intervals and limits of document synchronization. Not operator settings; tests and benches override them. */
+/** Intervals and limits of document synchronization. None of them needs tuning; tests and benches vary them. */
 export interface DocumentSyncTiming {
     /** Mean interval between exchanges that a process starts. */
     exchangeIntervalMs: number;
