--- a/packages/admission/src/Quarantine.ts
+++ b/packages/admission/src/Quarantine.ts
@@ -14,7 +14,7 @@
     recordCrash(vm: VmId, bootId: string, digests: ContentDigest[]): void;
     /** Clears a suspect, even a refused one, after a clean finish: a crash-inducing content crashes any sampler. */
     recordCleanFinish(digest: ContentDigest): void;
-    /** True for convicted content, which must not run on any sampler. */
+    /** True for quarantined content, which must not run on any sampler. */
     isRefused(digest: ContentDigest): boolean;
     /**
      * Requests a trial, the one run that a refused content may have now, alone on a sampler; undefined while it may
--- a/packages/admission/src/createQuarantine.test.ts
+++ b/packages/admission/src/createQuarantine.test.ts
@@ -133,7 +133,7 @@
     expect(entries.every(one => one.list().length === 4)).toBe(true);
 });
 
-test("the list is bounded, and convicted content is not evicted", () => {
+test("the list is bounded, and quarantined content is not evicted", () => {
     const { clock, store } = createFixture();
     const quarantine = createQuarantine({
         store,
--- a/packages/admission/src/createTrials.test.ts
+++ b/packages/admission/src/createTrials.test.ts
@@ -65,7 +65,7 @@
     expect([first!, second!].map(entry => entry.isRefused(innocent))).toEqual([false, false]);
 });
 
-test("a content that is cleared later still counts as company at earlier crashes", async () => {
+test("a content that is cleared later still counts as in flight at its earlier crashes", async () => {
     // Guards against a harmless content that counts as confirmed crash-inducing.
     const { clock, entries: [entry], die } = createFixture(1);
     die("vm-1", innocent, digestOf("beside"));
--- a/packages/admission/src/trialDueAtMs.ts
+++ b/packages/admission/src/trialDueAtMs.ts
@@ -56,7 +56,7 @@
     const others = records.filter(other => other.digest !== record.digest);
     const isAlone = (crash: QuarantineRecord["deaths"][number]): boolean =>
         crash.contents === 1
-        // Contents that were cleared since then count as company too: the crash remains unexplained.
+        // Contents that were cleared since then still count as in flight at the crash, which remains unexplained.
         && !others.some(other => other.deaths.some(each => isSameCrash(each, crash)));
     const vmsAlone = new Set(crashes.filter(isAlone).map(crash => crash.vm)).size;
     const crashed = trials.filter(trial => crashes.some(crash => crash.atMs >= trial.atMs)).length;
