--- a/packages/forwarding/src/startForwarding.ts
+++ b/packages/forwarding/src/startForwarding.ts
@@ -18,7 +18,10 @@
 const defaultTargetMs = 200;
 /** With less time left no attempt is started, since no sampler answers that fast. */
 const minBudgetMs = 5;
-/** An attempt whose answer is no longer needed is cancelled after this time; until then its connection stays useful. */
+/**
+ * An attempt whose answer is no longer needed is cancelled only after this time. If it completes earlier, its
+ * connection can be reused.
+ */
 const unusedAttemptGraceMs = 250;
 /** Suggested retry delay for a refused caller; about the time in which a queued request completes. */
 const retryAfterMs = 100;
