--- a/packages/transport/src/createPlainCaller.ts
+++ b/packages/transport/src/createPlainCaller.ts
@@ -79,7 +79,7 @@
     return timedOut ? resultCodes.deadlineWhileRunning : resultCodes.connectionBroken;
 }
 
-/** Undefined where the sidecar has to be queried for the state of the attempt. */
+/** Returns undefined if the sidecar has to be queried for the state of the attempt. */
 function readOutcome(transport: SidecarTransport, exchange: HttpExchange): Outcome | undefined {
     if (exchange.kind === "broken") {
         return undefined;
@@ -105,7 +105,7 @@
         case "unknown":
             return { kind: "unknown", code };
         default:
-            // The HTTP server answered, not the sidecar's gate, so it is not known whether the gate saw the attempt.
+            // Only the HTTP server answered, so it is unknown whether the sidecar's handler received the attempt.
             return undefined;
     }
 }
--- a/packages/transport/src/createSampleCaller.ts
+++ b/packages/transport/src/createSampleCaller.ts
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Undefined where the connection broke and the sidecar has to be queried. */
+    /** Returns undefined if the connection broke and the sidecar has to be queried. */
     async function exchange(
         attempt: SampleAttempt,
         onSpan: (span: TokenSpan) => void,
--- a/packages/transport/src/sidecarHeaders.ts
+++ b/packages/transport/src/sidecarHeaders.ts
@@ -8,7 +8,7 @@
     digest: "x-auburnarch-digest",
     /** `1` for the trial run of a quarantined content. */
     trial: "x-auburnarch-trial",
-    /** `ran`, `notRun` or `unknown`; a response without it does not come from a sidecar's gate. */
+    /** `ran`, `notRun` or `unknown`; a response without it does not come from the sidecar's handler. */
     outcome: "x-auburnarch-outcome",
     code: "x-auburnarch-code",
     retryAfterMs: "x-auburnarch-retry-after-ms",
