--- a/packages/feeds/src/createFeedHub.test.ts
+++ b/packages/feeds/src/createFeedHub.test.ts
@@ -111,7 +111,8 @@
 }
 
 test("a fed process sees every change without calling the store", async () => {
-    // Without a feed, 3,000 of 5,754 calls of a calm day with 34 processes were lists and watches, one each per change.
+    // Without a feed, 3,000 of 5,754 store calls in a day without faults with 34 processes were lists and watches,
+    // one each per change.
     const { clock, state, hub, follow, put, remove } = createFixture();
     await put("servers/a");
     const { watch, names } = follow();
--- a/packages/feeds/src/createFeedHub.ts
+++ b/packages/feeds/src/createFeedHub.ts
@@ -9,7 +9,7 @@
 
 interface FeedHubDeps {
     self: string;
-    /** The runner that this one believes to feed processes that can't use the `avoided` ones; undefined without one. */
+    /** The runner that, as seen here, feeds processes that cannot use the `avoided` ones; undefined without one. */
     feeder: (avoided?: readonly string[]) => string | undefined;
     store: Pick<ObjectStore, "list" | "watch">;
     /** Delay after a change of a kind, so that changes close together cost one call to the store. */
