--- a/packages/selection/src/estimateFinishMs.ts
+++ b/packages/selection/src/estimateFinishMs.ts
@@ -6,7 +6,7 @@
 /** Prefill speed as a multiple of the generation speed. */
 const prefillSpeedup = 30;
 
-/** Mean remaining tokens of this dispatcher's attempts there; that of the request itself if there are none. */
+/** Mean remaining tokens of this dispatcher's attempts at the candidate; those of the request if there are none. */
 const meanRemainingTokens = (candidate: Candidate, request: PickRequest): number =>
     candidate.outstanding === 0
         ? request.expectedTokens
