--- a/packages/persistence/src/createFileGroupStore.ts
+++ b/packages/persistence/src/createFileGroupStore.ts
@@ -24,7 +24,7 @@
 
 /**
  * Creates a group store in a data folder, with one append-only file for each step. Appends are not synced one by one: a
- * machine that loses power may lose the last groups, which then have to be made again; no guarantee is broken. A full
+ * machine that loses power may lose the last groups, which are then generated again; no guarantee is broken. A full
  * disk does not reject either: it is logged with code `diskFull`, and the group exists only in its owner's memory.
  */
 export async function createFileGroupStore(
--- a/packages/persistence/src/createTextJournal.ts
+++ b/packages/persistence/src/createTextJournal.ts
@@ -74,7 +74,7 @@
 
 /**
  * Creates the journal in a data folder. It writes to two files alternately, so that old texts are removed without being
- * read again. The journal only saves work: if the disk is full, slow or unavailable, texts have to be made again, and
+ * read again. The journal only saves work: if the disk is full, slow or unavailable, texts are generated again, and
  * nothing else is affected.
  */
 export function createTextJournal(options: TextJournalOptions): TextJournal {
