--- a/packages/discovery/src/discovery.test.ts
+++ b/packages/discovery/src/discovery.test.ts
@@ -250,7 +250,7 @@
     copy.stop();
 });
 
-test("a sampler that drains or is removed without an outage is not returned any more at once", async () => {
+test("a sampler that drains, or is removed without an outage, is omitted immediately", async () => {
     const { clock, put, remove, samplers, directoryOf } = createFixture();
     await put("servers/a", entryOf("a"));
     await put("servers/b", entryOf("b"));
