--- a/packages/dispatch/src/pauseAfterRefusal.ts
+++ b/packages/dispatch/src/pauseAfterRefusal.ts
@@ -1,7 +1,7 @@
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
-/** Longest pause of a sample whose content is quarantined; shorter if the refusal says when to retry. */
+/** Longest pause of a sample whose content is quarantined; shorter if the refusal states when to retry. */
 const quarantinePauseMs = 30_000;
 /** Shortest pause: a refusal may ask for none while a trial runs or the quarantine list is being written. */
 const minQuarantinePauseMs = 1_000;
