--- a/packages/entry/src/createKeyedRequestHandler.test.ts
+++ b/packages/entry/src/createKeyedRequestHandler.test.ts
@@ -61,7 +61,8 @@
 });
 
 test("the outcome stays unknown if the connection to the owner breaks and the second attempt is refused", async () => {
-    // Guards against duplicate effects: a caller told "not run" would send the request again under another key.
+    // Guards against duplicate effects: a caller that is answered "not run" would send the request again under
+    // another key.
     for (const refusal of [noOwner, noConnection]) {
         const { call, passedOn } = createFixture([broken, refusal]);
         expect(await call()).toBe(broken);
