--- a/packages/config/src/settingsSchema.ts
+++ b/packages/config/src/settingsSchema.ts
@@ -3,37 +3,37 @@
 
 const minKeyChars = 32;
 
-interface Described {
+interface SettingMetadata {
     unit: string;
     range: string;
     meaning: string;
 }
 
 /** Attaches the metadata that docs/settings.md shows for a setting. */
-function described<Schema extends z.ZodType>(schema: Schema, meta: Described): Schema {
+function withMetadata<Schema extends z.ZodType>(schema: Schema, meta: SettingMetadata): Schema {
     return schema.meta({ ...meta }) as Schema;
 }
 
 function wholeNumber(min: number, max: number, unit: string, meaning: string) {
-    return described(z.int().min(min).max(max), { unit, range: `${min} to ${max}`, meaning });
+    return withMetadata(z.int().min(min).max(max), { unit, range: `${min} to ${max}`, meaning });
 }
 
 function name(meaning: string) {
-    return described(nameSchema, { unit: "name", range: "64 letters, digits, `.`, `-`, `_`", meaning });
+    return withMetadata(nameSchema, { unit: "name", range: "64 letters, digits, `.`, `-`, `_`", meaning });
 }
 
 function url(meaning: string) {
     const schema = z.string().regex(/^https?:\/\/[^\s]+$/u, "Expected a URL such as `http://10.0.0.1:7000`.");
-    return described(schema, { unit: "URL", range: "`http` or `https`", meaning });
+    return withMetadata(schema, { unit: "URL", range: "`http` or `https`", meaning });
 }
 
 function filePath(meaning: string) {
-    return described(z.string().min(1), { unit: "path", range: "any", meaning });
+    return withMetadata(z.string().min(1), { unit: "path", range: "any", meaning });
 }
 
 function secret(meaning: string) {
     const schema = z.string().min(minKeyChars, `Expected at least ${minKeyChars} characters.`);
-    return described(schema, { unit: "secret", range: `${minKeyChars} characters or more`, meaning });
+    return withMetadata(schema, { unit: "secret", range: `${minKeyChars} characters or more`, meaning });
 }
 
 const tls = z.strictObject({
@@ -45,7 +45,7 @@
 /** Schema of the settings of an entry or a sidecar, with the unit, range, default and meaning of each. */
 export const settingsSchema = z.strictObject({
     name: name("Name of the process; unique over the fleet."),
-    role: described(z.enum(["entry", "sidecar"]), {
+    role: withMetadata(z.enum(["entry", "sidecar"]), {
         unit: "word",
         range: "`entry`, `sidecar`",
         meaning: "What the process does.",
@@ -53,7 +53,7 @@
     vm: name("VM it runs on, as the VM list names it."),
     failureDomain: name("Failure domain of the VM."),
     region: name("Region of the VM."),
-    listenHost: described(z.string().min(1).default("0.0.0.0"), {
+    listenHost: withMetadata(z.string().min(1).default("0.0.0.0"), {
         unit: "IP address",
         range: "any",
         meaning: "Address it listens on.",
@@ -76,7 +76,7 @@
     ).optional(),
     operatorToken: secret("Proves operators to an entry; left out, the operators' interface is closed.")
         .optional(),
-    seeds: described(z.array(z.string().regex(/^https?:\/\/[^\s]+$/u)).default([]), {
+    seeds: withMetadata(z.array(z.string().regex(/^https?:\/\/[^\s]+$/u)).default([]), {
         unit: "URLs",
         range: "any number",
         meaning: "Entries to ask first, beside those of the VM list.",
@@ -85,13 +85,13 @@
     service: name("Service of that sampler.").optional(),
     engineUrl: url("Model engine behind a sidecar.").optional(),
     backendUrl: url("Plain service behind a sidecar.").optional(),
-    tls: described(tls.optional(), {
+    tls: withMetadata(tls.optional(), {
         unit: "paths",
         range: "`certPath`, `keyPath`, `caPath`",
         meaning:
             "Certificate, key and authority for mutual TLS between processes; read again when they change.",
     }),
-    logLevel: described(z.enum(["info", "warn", "error"]).default("info"), {
+    logLevel: withMetadata(z.enum(["info", "warn", "error"]).default("info"), {
         unit: "word",
         range: "`info`, `warn`, `error`",
         meaning: "Least level that is logged.",
--- a/packages/daemon/src/createInternalCallHandler.test.ts
+++ b/packages/daemon/src/createInternalCallHandler.test.ts
@@ -44,12 +44,12 @@
 });
 
 test("reports of breaks at samplers are forwarded with the next feed answer", async () => {
-    const mark = { content: "c1", breaks: 2, ageMs: 0 };
+    const breakReport = { content: "c1", breaks: 2, ageMs: 0 };
     const query = { prefix: "lots/", since: 7, waitMs: 100 };
-    await handleCall(rpcMethods.feed, { ...query, breaks: [mark] });
+    await handleCall(rpcMethods.feed, { ...query, breaks: [breakReport] });
     expect(await handleCall(rpcMethods.feed, query)).toEqual({
         kind: "elsewhere",
         runner: "r2",
-        breaks: [mark],
+        breaks: [breakReport],
     });
 });
--- a/packages/daemon/src/createInternalCallHandler.ts
+++ b/packages/daemon/src/createInternalCallHandler.ts
@@ -32,11 +32,11 @@
             starts?.learn(report);
         }
         const answer = await hub().answer(query);
-        const marks = breaks.listAll(query.since === undefined ? Infinity : breakReportWindowMs);
+        const breakReports = breaks.listAll(query.since === undefined ? Infinity : breakReportWindowMs);
         return {
             ...answer,
             ...(starts === undefined ? {} : { trueMs: trueTime.nowMs() }),
-            ...(marks.length === 0 ? {} : { breaks: marks }),
+            ...(breakReports.length === 0 ? {} : { breaks: breakReports }),
         };
     }
 
--- a/packages/daemon/src/createRunnerClient.ts
+++ b/packages/daemon/src/createRunnerClient.ts
@@ -54,10 +54,10 @@
         results: async (address, query, timeoutMs) =>
             batchJobSchemas.resultsAnswer.parse(await call(address, rpcMethods.results, query, timeoutMs)),
         feed: async (address, query, timeoutMs) => {
-            const marks = breaks.listOwn(breakReportWindowMs);
+            const breakReports = breaks.listOwn(breakReportWindowMs);
             const params = {
                 ...query,
-                ...(marks.length === 0 ? {} : { breaks: marks }),
+                ...(breakReports.length === 0 ? {} : { breaks: breakReports }),
                 ...(query.prefix === configurationPrefix && meter !== undefined
                     ? { starts: meter.report() }
                     : {}),
--- a/packages/daemon/src/createStoreHealth.test.ts
+++ b/packages/daemon/src/createStoreHealth.test.ts
@@ -14,9 +14,9 @@
 function createFixture() {
     const clock = createFakeClock();
     const { store } = createFakeObjectStore({ clock, random: createRandom(4), latencyMs: 4 });
-    const state = { isDown: false, answersAfterMs: 0, touches: 0 };
+    const state = { isDown: false, answersAfterMs: 0, probes: 0 };
     const touch = async (): Promise<void> => {
-        state.touches++;
+        state.probes++;
         if (state.isDown) {
             await clock.sleep(state.answersAfterMs);
             throw new ResultError(resultCodes.storeUnavailable, "store is down");
@@ -24,9 +24,9 @@
     };
     const health = createStoreHealth(store, touch, clock, createMetrics(), silent, idleProbeIntervalMs);
     const touchesIn = async (spanMs: number): Promise<number> => {
-        const before = state.touches;
+        const before = state.probes;
         await clock.advance(spanMs);
-        return state.touches - before;
+        return state.probes - before;
     };
     return { clock, state, health, touchesIn };
 }
--- a/packages/daemon/src/leaving.test.ts
+++ b/packages/daemon/src/leaving.test.ts
@@ -36,7 +36,7 @@
         await system.clock.advance(730);
         system.vms.markLeaving(`vm-sidecar-${sampler}` as VmId);
         system.clock.startTimer(listLagMs + maxNoticeMs, () => {
-            if (system.samplers.get(sampler)!.gate.report().state !== "leaving") {
+            if (system.samplers.get(sampler)!.sidecar.report().state !== "leaving") {
                 late.push(sampler);
             }
         });
--- a/packages/daemon/src/platform.test.ts
+++ b/packages/daemon/src/platform.test.ts
@@ -69,11 +69,11 @@
 
 afterEach(() => {
     bed.close();
-    expect(bed.broken).toEqual([]);
+    expect(bed.violations).toEqual([]);
 });
 
 const ready = (): Promise<true> =>
-    bed.until(async () =>
+    bed.waitFor(async () =>
         (await bed.call(gateway.readyPort, "GET", "/v1/ready")).status === 200 ? true : undefined
     );
 
@@ -87,7 +87,7 @@
     );
 
 const readAll = (id: string, count: number): Promise<Page> =>
-    bed.until(async () => {
+    bed.waitFor(async () => {
         const answer = await bed.call(gateway.port, "GET", `/v1/lots/${id}?after=0`, {
             "auburnarch-wait-ms": "500",
         });
@@ -118,7 +118,7 @@
         "service": "tiles",
     };
     bed.store.put("config", "main", config(9, [route]));
-    await bed.until(async () =>
+    await bed.waitFor(async () =>
         (await bed.call(gateway.port, "POST", "/new/7", { "auburnarch-request-id": "q-3" })).status === 200
             ? true
             : undefined
@@ -160,7 +160,7 @@
     await bed.startRunnerAt("runner-1");
     await ready();
     await submit("lot-1", ["i1"]);
-    await bed.until(() => engines.some(engine => engine.sent() > 8) ? true : undefined);
+    await bed.waitFor(() => engines.some(engine => engine.sent() > 8) ? true : undefined);
     engines.forEach(engine => engine.breakStreams());
     const page = await readAll("lot-1", 1);
     expect(page.results[0]!.output).toBe(textOf("i1", 30));
@@ -195,7 +195,7 @@
     const first = await bed.startRunnerAt("runner-1", { dataFolder: folder });
     await ready();
     await submit("lot-1", ["i1"]);
-    await bed.until(() => engine.runs().length > 0 ? true : undefined);
+    await bed.waitFor(() => engine.runs().length > 0 ? true : undefined);
     await new Promise(resolve => setTimeout(resolve, 500));
     await first.shutdown();
     await bed.startRunnerAt("runner-1", { dataFolder: folder });
@@ -211,11 +211,11 @@
     await bed.startRunnerAt("runner-1");
     await ready();
     await submit("lot-1", ["i1"]);
-    await bed.until(() => bed.lines.some(line => line.includes("event=lotStarted")) ? true : undefined);
+    await bed.waitFor(() => bed.lines.some(line => line.includes("event=lotStarted")) ? true : undefined);
     bed.store.setMode("busy");
     const refused = await submit("lot-2", ["i2"]);
     expect([refused.status, refused.headers["retry-after"]]).toEqual([503, "0.25"]);
-    await bed.until(() => bed.lines.some(line => line.includes("event=sampleMade")) ? true : undefined);
+    await bed.waitFor(() => bed.lines.some(line => line.includes("event=sampleMade")) ? true : undefined);
     bed.store.setMode("well");
     expect((await readAll("lot-1", 1)).results[0]!.output).toBe(textOf("i1", 20));
 });
--- a/packages/daemon/src/startSidecar.ts
+++ b/packages/daemon/src/startSidecar.ts
@@ -46,7 +46,7 @@
     };
 }
 
-function createGateDeps(
+function createSidecarDeps(
     settings: Settings,
     context: ProcessContext,
     identity: SamplerIdentity,
@@ -73,8 +73,8 @@
 }
 
 /** Renders the metrics of a sidecar after updating its gauges. */
-function renderSidecar(gate: Sidecar, metrics: Metrics): Promise<string> {
-    const report = gate.report();
+function renderSidecar(sidecar: Sidecar, metrics: Metrics): Promise<string> {
+    const report = sidecar.report();
     metrics.set("gate_running", {}, report.running);
     metrics.set("gate_waiting", {}, report.waiting);
     metrics.set("gate_limit", {}, report.limit);
@@ -91,8 +91,8 @@
     const { logger } = telemetry;
     const identity = createIdentity(settings);
     const trust = await openTrust(settings, { clock, logger });
-    const gate = createSidecar(createGateDeps(settings, context, identity, telemetry));
-    const served = await serveSidecar(gate, {
+    const sidecar = createSidecar(createSidecarDeps(settings, context, identity, telemetry));
+    const served = await serveSidecar(sidecar, {
         host: settings.listenHost,
         port: settings.listenPort,
         clock,
@@ -100,7 +100,7 @@
         createServer: trust?.createServer,
         isPeer: trust?.isPeer,
         ...digestClusterTokens(settings),
-        renderMetrics: () => renderSidecar(gate, telemetry.metrics),
+        renderMetrics: () => renderSidecar(sidecar, telemetry.metrics),
     });
     // If the system chooses the port, it is known only now; nothing is reported before.
     identity.address = addressOf(settings, served.port);
@@ -108,7 +108,7 @@
     const { invariants } = telemetry;
     const follower = createDocumentFollower(
         { invariants, logger, faultsOf: faultsOfDocument },
-        document => applyDocument(gate, document),
+        document => applyDocument(sidecar, document),
     );
     const callPeer = createPeerCall(settings.clusterToken, trust?.createAgent);
     const reporter = createReporter({
@@ -116,24 +116,24 @@
         clock,
         random: random.fork(),
         logger,
-        report: gate.report,
+        report: sidecar.report,
         digest: follower.digest,
         wholeDocuments: follower.wholeDocuments,
         onDocuments: follower.receive,
-        onLeaving: gate.beginLeaving,
+        onLeaving: sidecar.beginLeaving,
         vmList: createHttpVmList(settings.vmListUrl),
         seeds: settings.seeds,
         exchange: (address, message) => callPeer(address, "report", message, reportTimeoutMs),
     });
     reporter.start();
-    const stopWatch = watchState(gate, clock, reporter.reportNow);
+    const stopWatch = watchState(sidecar, clock, reporter.reportNow);
     return {
         name: settings.name,
         address: identity.address,
         shutdown: async () => {
-            gate.beginLeaving();
+            sidecar.beginLeaving();
             reporter.reportNow();
-            await gate.shutdown(settings.shutdownDeadlineMs);
+            await sidecar.shutdown(settings.shutdownDeadlineMs);
             reporter.stop();
             stopWatch();
             await served.close(true);
--- a/packages/daemon/src/teams.test.ts
+++ b/packages/daemon/src/teams.test.ts
@@ -39,14 +39,14 @@
         events: 40,
         eventIntervalMs: 15,
     });
-    await bed.until(async () =>
+    await bed.waitFor(async () =>
         (await bed.call(gateway.readyPort, "GET", "/v1/ready")).status === 200 ? true : undefined
     );
 });
 
 afterEach(() => {
     bed.close();
-    expect(bed.broken).toEqual([]);
+    expect(bed.violations).toEqual([]);
 });
 
 const call = (method: string, path: string, key: string, over: Record<string, string> = {}, body = "") =>
@@ -83,7 +83,7 @@
     runs().map(({ id, team, credential }) => [id, team, credential]);
 
 const readResults = (id: string, key: string): Promise<number> =>
-    bed.until(async () => {
+    bed.waitFor(async () => {
         const { status, body } = await call("GET", `/v1/lots/${id}?after=0`, key, {
             "auburnarch-wait-ms": "500",
         });
@@ -103,7 +103,7 @@
 test("an item continues for its team after its runner has left and its key has been revoked", async () => {
     const first = await bed.startRunnerAt("runner-1");
     await submit("lot-1", firstKey);
-    await bed.until(() => engine.runs().length > 0 ? true : undefined);
+    await bed.waitFor(() => engine.runs().length > 0 ? true : undefined);
     bed.store.put("config", "main", config(4, [secondKey]));
     await first.shutdown();
     await bed.startRunnerAt("runner-2");
@@ -114,7 +114,7 @@
 test("a revoked key is rejected on open connections, and no sampler runs its requests", async () => {
     expect((await plain("q-1", firstKey)).status).toBe(200);
     bed.store.put("config", "main", config(4, [secondKey]));
-    await bed.until(async () => (await plain("q-2", firstKey)).status === 401 ? true : undefined);
+    await bed.waitFor(async () => (await plain("q-2", firstKey)).status === 401 ? true : undefined);
     const runs = tiles.runs().length;
     const refused = await plain("q-3", firstKey);
     expect([refused.status, JSON.parse(refused.body)]).toMatchObject([401, {
@@ -132,7 +132,7 @@
     await call("GET", "/v1/lots/lot-1?after=0", "other s3cret words");
     await call("GET", "/v1/lots/lot-1?after=0", otherKey);
     expect(await readResults("lot-1", firstKey)).toBe(1);
-    const feed = await bed.until(async () => {
+    const feed = await bed.waitFor(async () => {
         const answer = await bed.callInternal("runner-1", "runner.feed", { prefix: "config/", waitMs: 200 });
         return answer.includes("key-digests") ? answer : undefined;
     });
--- a/packages/daemon/src/testing/createFeedFleet.ts
+++ b/packages/daemon/src/testing/createFeedFleet.ts
@@ -42,7 +42,7 @@
 export function createFeedFleet(gateways: number) {
     const clock = createFakeClock();
     const { store } = createFakeObjectStore({ clock, random: createRandom(4), latencyMs: storeLatencyMs });
-    const state = { faults: noFaults, faultsSinceMs: 0, calls: 0, touches: 0 };
+    const state = { faults: noFaults, faultsSinceMs: 0, calls: 0, probes: 0 };
     const gatewayNames = Array.from({ length: gateways }, (_, at) => `g${at}`);
     const hubs = new Map<string, FeedHub>();
     const addresses = new Map(runnerNames.map((host): [string, RunnerAddress] => [host, { host, port: 1 }]));
@@ -71,7 +71,7 @@
     }
 
     async function touch(process: string): Promise<void> {
-        state.touches++;
+        state.probes++;
         await callWithFaults(process, () => clock.sleep(storeLatencyMs));
     }
 
--- a/packages/daemon/src/testing/createMemorySystem.ts
+++ b/packages/daemon/src/testing/createMemorySystem.ts
@@ -43,7 +43,7 @@
 const firstVersion = 0 as WeightVersion;
 
 interface MemorySampler {
-    gate: Sidecar;
+    sidecar: Sidecar;
     engine: FakeEngineControl | undefined;
     backend: FakePlainServiceControl | undefined;
 }
@@ -117,7 +117,7 @@
             cursorKey: "a cursor key of the memory system",
             seeds: [],
             leaseTtlMs,
-            connectSidecar: report => samplers.get(report.sampler)!.gate,
+            connectSidecar: report => samplers.get(report.sampler)!.sidecar,
             callPeer,
             forwardPlain: async (address, request, signal) => ({
                 kind: "ran",
@@ -151,7 +151,7 @@
             region,
         };
         vms.add({ ...identity, role: "sidecar", state: "live" });
-        const gate = createSidecar({
+        const sidecar = createSidecar({
             ...telemetry,
             identity,
             clock,
@@ -162,21 +162,21 @@
             readFencing: createFencingReader(store),
             initialConfigWaitMs,
         });
-        samplers.set(sampler.sampler, { gate, ...controls });
+        samplers.set(sampler.sampler, { sidecar, ...controls });
         const follower = createDocumentFollower(
             { invariants: telemetry.invariants, logger: telemetry.logger, faultsOf: faultsOfDocument },
-            document => applyDocument(gate, document),
+            document => applyDocument(sidecar, document),
         );
         createReporter({
             sampler: sampler.sampler,
             clock,
             random: random.fork(),
             logger: telemetry.logger,
-            report: gate.report,
+            report: sidecar.report,
             digest: follower.digest,
             wholeDocuments: follower.wholeDocuments,
             onDocuments: follower.receive,
-            onLeaving: gate.beginLeaving,
+            onLeaving: sidecar.beginLeaving,
             vmList,
             seeds: [...entries.keys()],
             exchange: (address, message) => callPeer(address, "report", message, 0),
--- a/packages/daemon/src/testing/createPlatformBed.ts
+++ b/packages/daemon/src/testing/createPlatformBed.ts
@@ -141,14 +141,14 @@
     return {
         store,
         lines,
-        broken: violations,
+        violations,
         startGatewayAt,
         startRunnerAt,
         addSampler,
         call,
         callInternal,
         metricsOf: (name: string): Promise<string> => contexts.get(name)!.metrics.render(),
-        until: waitFor,
+        waitFor,
         close: () => closers.forEach(close => close()),
     };
 }
--- a/packages/daemon/src/usage.test.ts
+++ b/packages/daemon/src/usage.test.ts
@@ -27,11 +27,11 @@
     await bed.startRunnerAt("runner-2", { usage });
     const tiles = await bed.addSampler({ id: "t-1", service: "tiles" });
     for (const { readyPort } of gateways) {
-        await bed.until(async () =>
+        await bed.waitFor(async () =>
             (await bed.call(readyPort, "GET", "/v1/ready")).status === 200 ? true : undefined
         );
     }
-    await bed.until(() => reports.calls().length > 0 ? true : undefined);
+    await bed.waitFor(() => reports.calls().length > 0 ? true : undefined);
     reports.answerNext([429, 503]);
     for (let index = 0; index < 40; index++) {
         const path = index % 10 === 0 ? "/open/7" : "/tiles/7";
@@ -43,7 +43,7 @@
     }
     const ran = tiles.runs().filter(({ team }) => team === "hule").length;
     const lastWindow = Math.floor(Date.now() / windowMs);
-    const accepted = await bed.until(() => {
+    const accepted = await bed.waitFor(() => {
         const taken = reports.calls().filter(call => call.status === 200);
         return taken.some(call => call.window > lastWindow) ? taken : undefined;
     });
@@ -53,5 +53,5 @@
     expect(windows).toEqual(windows.map((_, index) => windows[0]! + index));
     expect(accepted.reduce((sum, call) => sum + (call.counts["hule"] ?? 0), 0)).toBe(ran);
     expect(new Set(reports.calls().map(call => `${call.path} ${call.holder} ${call.fencing}`)).size).toBe(1);
-    expect(bed.broken).toEqual([]);
+    expect(bed.violations).toEqual([]);
 });
--- a/packages/daemon/src/watchState.ts
+++ b/packages/daemon/src/watchState.ts
@@ -8,11 +8,11 @@
  * only with the next regular report, they would send work for seconds that the sidecar refuses. The returned function
  * stops the watch.
  */
-export function watchState(gate: Sidecar, clock: Clock, onChange: () => void): () => void {
+export function watchState(sidecar: Sidecar, clock: Clock, onChange: () => void): () => void {
     const stopped = new AbortController();
 
     function describe(): string {
-        const { state, served, configVersion } = gate.report();
+        const { state, served, configVersion } = sidecar.report();
         return JSON.stringify({ state, served, configVersion });
     }
 
