--- a/packages/clock/src/FakeClock.ts
+++ b/packages/clock/src/FakeClock.ts
@@ -1,11 +1,11 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
-/** A clock that moves only when told to, firing timers in time order and, at one time, in the order set. */
+/** A clock that advances only on request. Timers that are due at the same time fire in the order they were started. */
 export interface FakeClock extends Clock {
-    /** Fires everything due up to `ms` from now, letting promises settle between timers. */
+    /** Fires all timers due within `ms` from now; promises settle between two timers. */
     advance(ms: number): Promise<void>;
-    /** Fires timers until `done` holds or `limitMs` have passed; true if `done` held. */
+    /** Fires timers until `done` returns true or `limitMs` have passed; resolves to the last result of `done`. */
     runUntil(done: () => boolean, limitMs: number): Promise<boolean>;
-    /** Timers still set. */
+    /** Number of timers that have neither fired nor been cancelled. */
     pendingTimers(): number;
 }
--- a/packages/clock/src/TrueTimeEstimate.ts
+++ b/packages/clock/src/TrueTimeEstimate.ts
@@ -1,7 +1,7 @@
 import type { TrueTime } from "@auburnarch/types/TrueTime";
 
-/** True time from what others say of it. */
+/** An estimate of true time from the clocks of other processes. */
 export interface TrueTimeEstimate extends TrueTime {
-    /** Takes a process's time of day, or its own estimate, as it was at `monotonicMs` of this process. */
+    /** Records a process's time of day, or its own estimate of true time, as of `monotonicMs` on this process's clock. */
     recordReading(source: string, reportedMs: number, monotonicMs: number): void;
 }
--- a/packages/clock/src/createFakeClock.test.ts
+++ b/packages/clock/src/createFakeClock.test.ts
@@ -1,7 +1,7 @@
 import { expect, test } from "vitest";
 import { createFakeClock } from "./createFakeClock.js";
 
-test("timers fire in time order, ties in the order set, cancelled ones never", async () => {
+test("timers fire in order of time, ties in the order started, and cancelled timers never fire", async () => {
     const clock = createFakeClock();
     const fired: string[] = [];
     clock.startTimer(20, () => fired.push(`b@${clock.monotonicMs()}`));
--- a/packages/clock/src/createFakeClock.ts
+++ b/packages/clock/src/createFakeClock.ts
@@ -12,7 +12,7 @@
 
 const nextTurn = (): Promise<void> => new Promise(resolve => setImmediate(resolve));
 
-/** Makes a fake clock that starts at `startWallMs` (wall) and 0 (monotonic). Timers are kept in a binary heap. */
+/** Creates a fake clock that starts at `startWallMs` (wall) and 0 (monotonic). Timers are stored in a binary heap. */
 export function createFakeClock(startWallMs = 1_700_000_000_000): FakeClock {
     let nowMs = 0;
     let order = 0;
--- a/packages/clock/src/createMedianTime.ts
+++ b/packages/clock/src/createMedianTime.ts
@@ -2,12 +2,12 @@
 import type { TrueTimeEstimate } from "./TrueTimeEstimate.js";
 
 interface ClockReading {
-    /** Its time of day less our monotonic time. */
+    /** The reported time of day minus our monotonic time. */
     offsetMs: number;
     atMs: number;
 }
 
-/** What another clock said counts for this long: drift is no matter within it, a stop of this process is. */
+/** Readings expire after this time: clock drift within it is negligible, but a pause of this process is not. */
 const readingTtlMs = 5_000;
 
 function medianOf(values: number[]): number {
@@ -17,8 +17,8 @@
 }
 
 /**
- * True time as the median of the clocks of several machines, this one's among them: a time of day that jumps on fewer
- * than half of them moves it by no more than the others differ.
+ * Creates an estimate of true time as the median of the clocks of several machines, including this one: where the time
+ * of day jumps on fewer than half of them, the estimate moves by no more than the other clocks differ.
  */
 export function createMedianTime(clock: Clock): TrueTimeEstimate {
     const readings = new Map<string, ClockReading>();
--- a/packages/clock/src/createRandom.ts
+++ b/packages/clock/src/createRandom.ts
@@ -4,7 +4,7 @@
 
 const unitSteps = 2 ** 32;
 
-/** A seeded generator; the same seed gives the same draws. */
+/** Creates a random number generator; the same seed gives the same sequence. */
 export function createRandom(seed: number): Random {
     const generator = xoroshiro128plus(seed);
     const nextWord = (): number => generator.next() >>> 0;
--- a/packages/clock/src/createReportedTime.ts
+++ b/packages/clock/src/createReportedTime.ts
@@ -6,12 +6,12 @@
     atMs: number;
 }
 
-/** What was told counts for this long. Until something is told, and after it, the own time of day is taken. */
+/** Readings expire after this time. Without a valid reading, this process's own time of day is used. */
 const readingTtlMs = 15_000;
-/** Answers are late by their way here, so the least late of the last few is taken. */
+/** A reading is late by the network delay of its response, so the least delayed of the last few is used. */
 const maxReadings = 4;
 
-/** True time as another process tells it with its answers. */
+/** Creates an estimate of true time from the readings that another process sends with its responses. */
 export function createReportedTime(clock: Clock): TrueTimeEstimate {
     let readings: ClockReading[] = [];
 
--- a/packages/clock/src/createSleep.ts
+++ b/packages/clock/src/createSleep.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import { getMaxListeners, setMaxListeners } from "node:events";
 
-/** A process's loops share one stop signal; beyond this many sleeps on one signal a leak is more likely. */
+/** The loops of a process share one stop signal; more sleeps than this on one signal are more likely a leak. */
 const maxListenersPerSignal = 1_000;
 
 /** Builds `sleep` on `startTimer`. */
--- a/packages/clock/src/createStopController.ts
+++ b/packages/clock/src/createStopController.ts
@@ -1,12 +1,12 @@
 import { setMaxListeners } from "node:events";
 
 /**
- * Waits on one stop signal that are no leak. Not 0, which stands for "no bound" but makes Node reject the signal when
- * its bound is read.
+ * Listeners on one stop signal that are not reported as a leak. Not 0, which means "no limit" but makes Node reject the
+ * signal when its limit is read.
  */
 const maxListenersPerSignal = 100_000;
 
-/** Makes a controller on whose signal very many may wait. */
+/** Creates an abort controller whose signal may have a very large number of listeners. */
 export function createStopController(): AbortController {
     const controller = new AbortController();
     setMaxListeners(maxListenersPerSignal, controller.signal);
--- a/packages/clock/src/createSystemClock.ts
+++ b/packages/clock/src/createSystemClock.ts
@@ -2,7 +2,7 @@
 import { performance } from "node:perf_hooks";
 import { createSleep } from "./createSleep.js";
 
-/** The machine's clocks. Timers do not keep the process alive by themselves when `unref` is true. */
+/** Creates a clock on the machine's clocks. If `unref` is true, pending timers don't keep the process alive. */
 export function createSystemClock(unref = false): Clock {
     function startTimer(delayMs: number, run: () => void): () => void {
         const timer = setTimeout(run, delayMs);
--- a/packages/clock/src/trueTime.test.ts
+++ b/packages/clock/src/trueTime.test.ts
@@ -3,7 +3,7 @@
 import { createMedianTime } from "./createMedianTime.js";
 import { createReportedTime } from "./createReportedTime.js";
 
-/** A clock whose time of day jumps. */
+/** A clock whose time of day jumps by `state.stepMs`. */
 function createSteppingClock() {
     const inner = createFakeClock(1_000_000);
     const state = { stepMs: 0 };
@@ -11,7 +11,7 @@
 }
 
 test.each([-4_000, 4_000])(
-    "a time of day that jumps by %i ms here moves the true time by no more than others differ",
+    "a local time of day that jumps by %i ms moves true time by no more than the other clocks differ",
     stepMs => {
         const { clock, inner, state } = createSteppingClock();
         const trueTime = createMedianTime(clock);
@@ -23,7 +23,7 @@
     },
 );
 
-test("clocks of fewer than half of the machines that jump move nothing, and one that is silent counts no more", async () => {
+test("clocks that jump on fewer than half of the machines don't move true time, and a silent clock stops counting", async () => {
     const { clock, inner, state } = createSteppingClock();
     const trueTime = createMedianTime(clock);
     trueTime.recordReading("stepped", inner.wallMs() + 5_000, inner.monotonicMs());
@@ -34,7 +34,7 @@
     expect(trueTime.nowMs()).toBe(inner.wallMs() - 5_000);
 });
 
-test("told time holds while the own time of day jumps, and the least late answer counts", async () => {
+test("reported time is unaffected by jumps of the local time of day, and the least delayed reading is used", async () => {
     const { clock, inner, state } = createSteppingClock();
     const trueTime = createReportedTime(clock);
     expect(trueTime.nowMs()).toBe(inner.wallMs());
