--- a/packages/tls/src/Trust.ts
+++ b/packages/tls/src/Trust.ts
@@ -1,13 +1,13 @@
 import type { Agent, AgentOptions, IncomingMessage, Server, ServerOptions } from "node:http";
 
-/** How a process proves itself to the system's other processes by its certificate, and tells theirs. */
+/** Authenticates a process to the system's other processes by certificate, and verifies the certificates of these. */
 export interface Trust {
-    /** An HTTPS server that asks callers for a certificate and takes them without one too. */
+    /** An HTTPS server that requests a client certificate but also accepts clients without one. */
     createServer(options: ServerOptions): Server;
-    /** An agent that connects with the certificate of the moment, and only to servers of the authority. */
+    /** An agent that connects with the current certificate, and only to servers certified by the authority. */
     createAgent(options: AgentOptions): Agent;
-    /** True if the request came over a connection whose other end has a certificate of the authority. */
+    /** True if the client of the request's connection has a valid certificate of the authority. */
     isPeer(request: IncomingMessage): boolean;
-    /** Ends the watch over the files. */
+    /** Stops watching the files. */
     stop(): void;
 }
--- a/packages/tls/src/TrustFiles.ts
+++ b/packages/tls/src/TrustFiles.ts
@@ -1,7 +1,7 @@
-/** Where a process finds its certificate, its key and the certificates of the authority, each as PEM. */
+/** Paths of a process's certificate, its key and the certificates of the authority, each in PEM format. */
 export interface TrustFiles {
     certPath: string;
     keyPath: string;
-    /** May hold several, as it does while one authority replaces another. */
+    /** May contain several certificates, as it does while one authority replaces another. */
     caPath: string;
 }
--- a/packages/tls/src/TrustMaterial.ts
+++ b/packages/tls/src/TrustMaterial.ts
@@ -1,4 +1,4 @@
-/** Contents of the files, as TLS takes them. */
+/** Contents of the files, as Node's TLS functions take them. */
 export interface TrustMaterial {
     cert: string;
     key: string;
--- a/packages/tls/src/checkMaterial.ts
+++ b/packages/tls/src/checkMaterial.ts
@@ -2,10 +2,10 @@
 import { createSecureContext } from "node:tls";
 import type { TrustMaterial } from "./TrustMaterial.js";
 
-/** Checks that the three belong together and gives the end of the certificate's validity; throws if they do not. */
+/** Returns when the certificate expires; throws if one of the three is unusable or the key is not the certificate's. */
 export function checkMaterial(material: TrustMaterial): Date {
     createSecureContext(material);
-    // Without one no peer could be told from a stranger, and TLS would fall back on the public authorities.
+    // Throws if there is no authority: TLS would fall back on the public authorities and accept strangers as peers.
     new X509Certificate(material.ca);
     return new Date(new X509Certificate(material.cert).validTo);
 }
--- a/packages/tls/src/createTrust.test.ts
+++ b/packages/tls/src/createTrust.test.ts
@@ -34,7 +34,7 @@
     return trust;
 }
 
-/** Serves the common name of the caller's certificate; a stream at `/stream`. */
+/** Serves the common name of the client's certificate, and a stream at `/stream`. */
 async function serve(trust: Trust) {
     const streams: ServerResponse[] = [];
     const server = trust.createServer({ keepAlive: true });
@@ -87,7 +87,7 @@
     await rm(folder, { recursive: true, force: true });
 });
 
-test("only a certificate of the authority that has not expired makes a peer", async () => {
+test("only an unexpired certificate of the authority makes a client a peer", async () => {
     const { port } = await serve(await openTrust(fixtureFiles("first")));
     const ca = await readFile(fixture("authority.cert"));
     const replies: string[] = [];
@@ -99,8 +99,8 @@
     expect(replies).toEqual(["peer second", "nobody", "nobody", "nobody"]);
 });
 
-test("a process does not talk to a server of another authority, or to an expired one", async () => {
-    // Guards against: tokens and prompts leak.
+test("a process does not connect to a server with an expired certificate or one of another authority", async () => {
+    // Guards against tokens and prompts that leak to a stranger.
     const agent = (await openTrust(fixtureFiles("first"))).createAgent({});
     for (const name of ["stranger", "expired"]) {
         const { port } = await serve(await openTrust(fixtureFiles(name)));
@@ -118,15 +118,15 @@
     caPath: join(folder, "ca"),
 });
 
-/** Lets the watch run until it has logged an event. */
+/** Advances the clock until an event has been logged `times` times. */
 async function advanceUntilLogged(event: string, times: number): Promise<void> {
     while (lines.filter(line => line.includes(`event=${event} `)).length < times) {
         await clock.advance(10_000);
     }
 }
 
-test("certificates change while calls go on", async () => {
-    // Guards against: a planned change of certificates cuts every connection.
+test("a replaced certificate is used for new connections while requests in flight continue", async () => {
+    // Guards against a certificate rotation that cuts every connection.
     await installFixture("first");
     await copyFile(fixture("authority.cert"), join(folder, "ca"));
     const trust = await openTrust(installedFiles());
@@ -142,8 +142,8 @@
     expect(await streamed).toEqual({ text: "begun whole", server: "first" });
 });
 
-test("one of the files is replaced before the other", async () => {
-    // Guards against: no process reaches any other.
+test("a new certificate is not used before its key is in place", async () => {
+    // Guards against processes that load a mismatched pair and can no longer connect to any other.
     await installFixture("first");
     await copyFile(fixture("authority.cert"), join(folder, "ca"));
     const trust = await openTrust(installedFiles());
@@ -156,7 +156,7 @@
     expect((await get(port, trust.createAgent({}))).server).toBe("second");
 });
 
-test("the authority is replaced by way of both", async () => {
+test("an authority is replaced by way of a file that contains the old and the new one", async () => {
     const both = `${await readFile(fixture("authority.cert"), "utf8")}${await readFile(
         fixture("otherAuthority.cert"),
         "utf8",
@@ -171,7 +171,7 @@
     expect((await get(newPort, old.createAgent({}))).text).toBe("peer first");
 });
 
-test("a process does not start with files that are missing or do not fit", async () => {
+test("a process does not start with files that are missing or do not match", async () => {
     const broken = [
         { ...fixtureFiles("first"), keyPath: fixture("second.key") },
         { ...fixtureFiles("first"), caPath: join(folder, "none") },
--- a/packages/tls/src/createTrust.ts
+++ b/packages/tls/src/createTrust.ts
@@ -11,7 +11,7 @@
 import type { TrustFiles } from "./TrustFiles.js";
 import type { TrustMaterial } from "./TrustMaterial.js";
 
-/** A new certificate is in use this long after its file was written, at the latest. */
+/** A new certificate is in use at the latest this long after its file was written. */
 const pollMs = 10_000;
 const minVersion = "TLSv1.3";
 
@@ -20,7 +20,7 @@
     logger: Logger;
 }
 
-/** What Node's agent calls for a new connection; its types leave it out. */
+/** The method that Node's agent calls for a new connection; its type declarations omit it. */
 interface ConnectingAgent {
     createConnection(options: object, done: unknown): unknown;
 }
@@ -29,16 +29,16 @@
     a.cert === b.cert && a.key === b.key && a.ca === b.ca;
 
 /**
- * Loads certificate, key and authority, and loads them again whenever the files change. Connections under way keep
- * what they were made with; new ones use the new. Files that do not fit together, as in the middle of a
- * replacement, leave the old ones in use: a process that took them would be cut off from all others.
- * Rejects with `settingsInvalid` if the files are unusable at the start.
+ * Loads certificate, key and authority, and reloads them whenever the files change. Open connections keep the
+ * certificate they were made with; new connections use the new one. If the files don't match, as in the middle of a
+ * replacement, the previous ones stay in use: a process that used them would be cut off from all others.
+ * Rejects with `settingsInvalid` if the files are unusable at startup.
  */
 export async function createTrust(files: TrustFiles, { clock, logger }: TrustDeps): Promise<Trust> {
     const stopController = new AbortController();
     const servers = new Set<Server>();
     let material = await loadInitialMaterial(files);
-    // Made once for each set of files: reading the PEM anew takes most of a handshake's time.
+    // Created once per set of files: parsing the PEM files takes most of the time of a handshake.
     let context = createSecureContext({ ...material, minVersion });
     let rejectedMaterial: TrustMaterial | undefined;
     logLoaded(material);
@@ -71,7 +71,7 @@
     async function watch(): Promise<void> {
         while (!stopController.signal.aborted) {
             await clock.sleep(pollMs, stopController.signal);
-            // A file that is missing for a moment is being replaced.
+            // A file that can't be read is taken to be in the middle of a replacement.
             const next = await readMaterial(files).catch(() => undefined);
             if (next !== undefined && !stopController.signal.aborted) {
                 replaceMaterial(next);
@@ -88,7 +88,7 @@
     }
 
     function makeAgent(options: AgentOptions): Agent {
-        // A resumed session would go on with the certificate of the one before it.
+        // A resumed TLS session would keep the certificate of the session before it.
         const agent = new Agent({ ...options, maxCachedSessions: 0 });
         const connectingAgent = agent as unknown as ConnectingAgent;
         const connect = connectingAgent.createConnection.bind(agent);
