--- a/packages/streams/src/ByteSink.ts
+++ b/packages/streams/src/ByteSink.ts
@@ -1,11 +1,11 @@
-/** The writable end of an HTTP answer, as far as `pipeBody` needs it. */
+/** The writable side of an HTTP response, as `pipeBody` needs it. */
 export interface ByteSink {
-    /** Called once before anything is written; `wholeBytes` is the length of a body that is complete already. */
+    /** Called once before anything is written; `totalBytes` is the length of the body if it is already complete. */
     begin(totalBytes: number | undefined): void;
-    /** False if the sink wants the writer to wait for `drained`. */
+    /** False if the writer should wait for `drained` before it writes more. */
     write(chunk: Uint8Array): boolean;
-    /** Ends the answer, with its last bytes if there are any. */
+    /** Ends the response, with its last bytes if there are any. */
     end(last: Uint8Array | undefined): void;
-    /** Resolves once the sink takes more, or is closed. */
+    /** Resolves once the sink accepts more, or is closed. */
     drained(): Promise<void>;
 }
--- a/packages/streams/src/ByteStream.ts
+++ b/packages/streams/src/ByteStream.ts
@@ -1,9 +1,9 @@
-/** Bytes on their way from a producer to one consumer. */
+/** A stream of bytes from a producer to one consumer. */
 export interface ByteStream {
-    /** False once more than the high mark waits unread: the producer should pause until `onRoom` is called. */
+    /** False once the buffer exceeds the high-water mark: the producer should pause until `onDrain` is called. */
     push(chunk: Uint8Array): boolean;
     end(): void;
-    /** The consumer sees the rejection after what was pushed before. */
+    /** The consumer receives the rejection after everything that was pushed before it. */
     fail(error: unknown): void;
     body: AsyncIterable<Uint8Array>;
 }
--- a/packages/streams/src/SpanAssembler.ts
+++ b/packages/streams/src/SpanAssembler.ts
@@ -1,13 +1,13 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 
-/** Collects streamed spans of one attempt behind those it resumed from. */
+/** Collects the streamed spans of one attempt after the spans that the attempt resumed from. */
 export interface SpanAssembler {
-    /** Takes the next streamed span. */
+    /** Adds the next streamed span. */
     add(span: TokenSpan): void;
-    /** All spans so far, those resumed from included, neighbours of one version joined. */
+    /** All spans so far, including those resumed from; adjacent spans of the same version are merged. */
     spans(): TokenSpan[];
-    /** Tokens added, without those resumed from. */
+    /** Number of tokens added, excluding those resumed from. */
     addedTokens(): number;
-    /** Spans added, without those resumed from. */
+    /** Number of spans added, excluding those resumed from. */
     addedSpans(): number;
 }
--- a/packages/streams/src/countTokens.ts
+++ b/packages/streams/src/countTokens.ts
@@ -1,6 +1,6 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 
-/** Tokens that the spans hold together. */
+/** Total number of tokens in the spans. */
 export function countTokens(spans: Iterable<TokenSpan>): number {
     let tokens = 0;
     for (const span of spans) {
--- a/packages/streams/src/createByteStream.ts
+++ b/packages/streams/src/createByteStream.ts
@@ -3,15 +3,15 @@
 interface ByteStreamOptions {
     /** Called when there is room again after `push` returned false. */
     onDrain?: () => void;
-    /** Called when the consumer gives up before the end. */
+    /** Called when the consumer stops reading before the end. */
     onCancel?: () => void;
 }
 
 const highWaterMarkBytes = 262_144;
 
 /**
- * Makes a stream that a producer fills and one consumer reads. What waits unread is handed over in one piece, so
- * that many small chunks cost the consumer one write.
+ * Creates a stream with one producer and one consumer. All buffered bytes are delivered as one chunk, so that many
+ * small chunks cost the consumer only one write.
  */
 export function createByteStream(options: ByteStreamOptions = {}): ByteStream {
     let buffered: Uint8Array[] = [];
--- a/packages/streams/src/createSpanAssembler.test.ts
+++ b/packages/streams/src/createSpanAssembler.test.ts
@@ -12,7 +12,7 @@
     text: fc.string({ minLength: 1, maxLength: 4 }),
 });
 
-test("streamed spans behind resumed ones give the same as merging all at once", () => {
+test("adding streamed spans after resumed ones gives the same spans as merging all of them at once", () => {
     fc.assert(
         fc.property(fc.array(span), fc.array(span), (resume, streamed) => {
             const assembler = createSpanAssembler(resume);
--- a/packages/streams/src/createSpanAssembler.ts
+++ b/packages/streams/src/createSpanAssembler.ts
@@ -2,7 +2,7 @@
 import { mergeSpans } from "./mergeSpans.js";
 import type { SpanAssembler } from "./SpanAssembler.js";
 
-/** Makes an assembler that continues behind `resume`. */
+/** Creates an assembler that continues after `resumedSpans`. */
 export function createSpanAssembler(resumedSpans: TokenSpan[]): SpanAssembler {
     const texts: string[][] = [];
     const spans = mergeSpans(resumedSpans);
--- a/packages/streams/src/mergeSpans.ts
+++ b/packages/streams/src/mergeSpans.ts
@@ -1,6 +1,6 @@
 import type { TokenSpan } from "@auburnarch/types/TokenSpan";
 
-/** Joins neighbours of the same weight version, keeping order, text and token counts. Empty spans are left out. */
+/** Merges adjacent spans of the same weight version, preserving order, text and token counts. Drops empty spans. */
 export function mergeSpans(spans: Iterable<TokenSpan>): TokenSpan[] {
     const merged: TokenSpan[] = [];
     for (const span of spans) {
--- a/packages/streams/src/pipeBody.ts
+++ b/packages/streams/src/pipeBody.ts
@@ -1,15 +1,16 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { ByteSink } from "./ByteSink.js";
 
-/** A short answer is usually whole within this time, and then leaves in one piece with its length. */
+/** A short response is usually complete within this time and is then sent in one piece with its length. */
 const firstFlushDelayMs = 1;
 const defaultFlushDelayMs = 4;
 const flushThresholdBytes = 32_768;
 
 /**
- * Writes a body to a sink and ends it. Chunks are joined for up to `holdMs` (the first for a millisecond): a token
- * stream otherwise costs a system call and a frame for each token, here and at each hop behind. Rejects as the
- * body does; the caller then has to break the connection, so that the part never passes for the whole.
+ * Writes a body to a sink and ends it. Chunks are joined for up to `flushDelayMs`, before the first write for up to
+ * `firstFlushDelayMs`: otherwise a token stream costs a system call and a frame per token, here and at each later hop.
+ * Rejects if the body does; the caller then has to break the connection, so that an incomplete response is never taken
+ * for a complete one.
  */
 export async function pipeBody(
     clock: Clock,
--- a/packages/streams/src/readRequest.ts
+++ b/packages/streams/src/readRequest.ts
@@ -5,8 +5,8 @@
 const emptyBody = new Uint8Array(0);
 
 /**
- * Reads the body of an arriving request. Rejects with code `bodyTooLarge` beyond `maxBytes`, before it has been
- * held in memory, and with `connectionBroken` if the sender goes away.
+ * Reads the body of an incoming request. Rejects with `bodyTooLarge` beyond `maxBytes`, without buffering more than
+ * that, and with `connectionBroken` if the sender disconnects.
  */
 export function readRequest(request: IncomingMessage, maxBytes: number): Promise<Uint8Array> {
     const declared = Number(request.headers["content-length"] ?? Number.NaN);
--- a/packages/streams/src/responseSink.ts
+++ b/packages/streams/src/responseSink.ts
@@ -3,7 +3,7 @@
 
 const maxSingleWriteBytes = 8_192;
 
-/** Makes a sink of a server's answer. A body that is whole from the start is sent with its length, not in chunks. */
+/** Creates a sink that writes to a server response. A body that is complete at the start is sent with its length. */
 export function responseSink(
     response: ServerResponse,
     status: number,
@@ -19,7 +19,7 @@
         write: chunk => response.write(chunk),
         end: last => {
             if (last !== undefined && last.length <= maxSingleWriteBytes) {
-                // Node joins a latin1 string with the head into one write; a buffer costs a write of its own.
+                // Node writes a latin1 string together with the headers; a buffer costs a separate write.
                 response.end(
                     Buffer.from(last.buffer, last.byteOffset, last.length).toString("latin1"),
                     "latin1",
