--- a/packages/ledger/src/CommitResult.ts
+++ b/packages/ledger/src/CommitResult.ts
@@ -1,2 +1,2 @@
-/** What a commit did: it counted, it counted and made its group whole, or an earlier attempt had won. */
+/** Result of a commit: the sample counted, it counted and completed its group, or an earlier attempt had already won. */
 export type CommitResult = "counted" | "groupWhole" | "late";
--- a/packages/ledger/src/LedgerGuards.ts
+++ b/packages/ledger/src/LedgerGuards.ts
@@ -1,7 +1,7 @@
 import type { SampleGroup } from "@auburnarch/types/SampleGroup";
 
-/** The checks that keep a ledger exact. */
+/** Checks that keep a ledger correct. */
 export interface LedgerGuards {
-    /** True if the group may be offered. */
+    /** True if the group may be offered to the trainer. */
     isWholeGroup: (group: SampleGroup, groupSize: number) => boolean;
 }
--- a/packages/ledger/src/StepLedger.ts
+++ b/packages/ledger/src/StepLedger.ts
@@ -2,17 +2,17 @@
 import type { SampleGroup } from "@auburnarch/types/SampleGroup";
 import type { CommitResult } from "./CommitResult.js";
 
-/** Which samples of one step are made. The first verified attempt of a sample wins until it is reopened. */
+/** The completed samples of one step. The first verified attempt of a sample wins until the sample is reopened. */
 export interface StepLedger {
     commit(sample: Sample): CommitResult;
-    /** The group if every sample of it is there, undefined otherwise. */
+    /** The group if all of its samples are present, undefined otherwise. */
     wholeGroup(group: number): SampleGroup | undefined;
-    /** Indexes of the group's samples that are not there. */
+    /** Indexes of the group's missing samples. */
     missing(group: number): number[];
-    /** The samples of the group that are there. */
+    /** The group's samples that are present. */
     present(group: number): Sample[];
-    /** Takes samples out again, for making them anew. */
+    /** Removes samples, so that they can be generated again. */
     reopen(group: number, indexes: readonly number[]): void;
-    /** Samples that are there, over all groups. */
+    /** Number of samples that are present, over all groups. */
     size(): number;
 }
--- a/packages/ledger/src/createStepLedger.test.ts
+++ b/packages/ledger/src/createStepLedger.test.ts
@@ -19,7 +19,7 @@
         engineMs: attempt,
     }) as unknown as Sample;
 
-/** The ledger as a plain map of slot to winning attempt. */
+/** Model of the ledger: a plain map from slot to winning attempt. */
 type Model = Map<string, number>;
 
 const slot = (group: number, index: number): string => `${group}/${index}`;
@@ -64,7 +64,7 @@
     toString: () => `look(${group})`,
 });
 
-test("whatever the order of attempts, the first one counts and only whole groups show", () => {
+test("in any order of attempts, the first one counts and only complete groups are visible", () => {
     const group = fc.integer({ min: 0, max: groups });
     const index = fc.integer({ min: 0, max: groupSize - 1 });
     const commands = fc.commands([
--- a/packages/ledger/src/createStepLedger.ts
+++ b/packages/ledger/src/createStepLedger.ts
@@ -5,7 +5,7 @@
 import type { LedgerGuards } from "./LedgerGuards.js";
 import type { StepLedger } from "./StepLedger.js";
 
-/** Makes the ledger of a step of `groups` groups with `groupSize` samples each. */
+/** Creates the ledger of a step with `groups` groups of `groupSize` samples each. */
 export function createStepLedger(
     groups: number,
     groupSize: number,
@@ -29,7 +29,7 @@
 
     function commit(sample: Sample): CommitResult {
         const row = slotsOf(sample.group);
-        // A retried or hedged sample may have two finished attempts; the second must not replace what was offered.
+        // A retried or hedged sample may have two finished attempts; the second must not replace an offered one.
         if (sample.index >= row.length || row[sample.index] !== undefined) {
             return "late";
         }
--- a/packages/ledger/src/defaultLedgerGuards.ts
+++ b/packages/ledger/src/defaultLedgerGuards.ts
@@ -1,7 +1,7 @@
 import { isWholeGroup } from "@auburnarch/validation/isWholeGroup";
 import type { LedgerGuards } from "./LedgerGuards.js";
 
-/** The checks as they run in production. */
+/** The checks used in production. */
 export const defaultLedgerGuards: LedgerGuards = {
     isWholeGroup,
 };
