--- a/packages/cursors/src/CursorCodec.ts
+++ b/packages/cursors/src/CursorCodec.ts
@@ -1,9 +1,9 @@
 import type { CursorState } from "./CursorState.js";
 
-/** Turns cursor states into opaque signed strings and back. */
+/** Encodes cursor states as opaque signed strings and decodes them. */
 export interface CursorCodec {
-    /** The length depends on the step's number of groups only. */
+    /** The length of the cursor depends only on the step's number of groups. */
     encode(state: CursorState): string;
-    /** Undefined unless this codec's key signed it for this job and step. */
+    /** Undefined unless the cursor was signed with this codec's key, for this job and step. */
     decode(cursor: string, job: string, step: number): CursorState | undefined;
 }
--- a/packages/cursors/src/CursorState.ts
+++ b/packages/cursors/src/CursorState.ts
@@ -1,12 +1,12 @@
-/** What a cursor says: the groups of one step that its trainer has, and what they cost. */
+/** Content of a cursor: the groups of one step that its trainer has received, and what they cost. */
 export interface CursorState {
     job: string;
     step: number;
     /** Fencing number of the owner that issued it. */
     fencing: number;
-    /** Groups the step has. */
+    /** Number of groups in the step. */
     groups: number;
-    /** One bit a group, lowest bit of the first byte first; set if the trainer has the group. */
+    /** One bit per group, from the lowest bit of the first byte on; set if the trainer has received the group. */
     delivered: Uint8Array;
     samples: number;
     tokens: number;
--- a/packages/cursors/src/addGroups.ts
+++ b/packages/cursors/src/addGroups.ts
@@ -1,4 +1,4 @@
-/** A copy of the bitmap with the groups' bits set. */
+/** Returns a copy of the bitmap with the groups' bits set. */
 export function addGroups(bitmap: Uint8Array, groups: readonly number[]): Uint8Array {
     const next = Uint8Array.from(bitmap);
     for (const group of groups) {
--- a/packages/cursors/src/advanceCursor.ts
+++ b/packages/cursors/src/advanceCursor.ts
@@ -2,7 +2,7 @@
 import { addGroups } from "./addGroups.js";
 import type { CursorState } from "./CursorState.js";
 
-/** The cursor that a trainer holds once it has `page` beyond what `cursor` says, issued under `fencing`. */
+/** Returns `cursor` with the groups of `page` marked as received, issued under `fencing`. */
 export function advanceCursor(
     cursor: CursorState,
     page: readonly SampleGroup[],
--- a/packages/cursors/src/countGroups.ts
+++ b/packages/cursors/src/countGroups.ts
@@ -1,7 +1,7 @@
 import type { CursorState } from "./CursorState.js";
 import { hasGroup } from "./hasGroup.js";
 
-/** Number of groups that the cursor's trainer has. */
+/** Number of groups that the cursor's trainer has received. */
 export function countGroups(cursor: CursorState): number {
     let count = 0;
     for (let group = 0; group < cursor.groups; group++) {
--- a/packages/cursors/src/createCursorCodec.test.ts
+++ b/packages/cursors/src/createCursorCodec.test.ts
@@ -20,7 +20,7 @@
     })
 );
 
-test("a cursor says what it was made of, and its length depends on the number of groups only", () => {
+test("a cursor decodes to the state it was encoded from, and its length depends only on the number of groups", () => {
     fc.assert(
         fc.property(states, state => {
             const cursor = codec.encode(state);
@@ -38,7 +38,7 @@
     );
 });
 
-test("any other string, job, step or key is refused", () => {
+test("any other string, job, step or key is rejected", () => {
     fc.assert(
         fc.property(states, fc.nat(), fc.integer({ min: 1, max: 255 }), (state, at, change) => {
             const cursor = codec.encode(state);
@@ -55,7 +55,7 @@
     );
 });
 
-test("hostile strings are refused without a throw", () => {
+test("arbitrary strings are rejected without an exception", () => {
     fc.assert(
         fc.property(fc.oneof(fc.string(), fc.base64String(), fc.string({ unit: "binary" })), text => {
             expect(codec.decode(text, "job", 0)).toBeUndefined();
--- a/packages/cursors/src/createCursorCodec.ts
+++ b/packages/cursors/src/createCursorCodec.ts
@@ -3,7 +3,7 @@
 import type { CursorState } from "./CursorState.js";
 import { isGenuineCursor } from "./isGenuineCursor.js";
 
-// Layout, big endian: format, job digest, step, fencing, groups, samples, tokens, engineMs, bitmap, signature.
+// Layout, big-endian: format version, job digest, step, fencing, groups, samples, tokens, engineMs, bitmap, signature.
 const formatVersion = 1;
 const jobOffset = 1;
 const jobBytes = 16;
@@ -21,8 +21,9 @@
 const bitmapBytes = (groups: number): number => Math.ceil(groups / 8);
 
 /**
- * Makes the codec of one signing key. Cursors are fixed-size binary in base64url, signed by HMAC-SHA-256, because
- * the trainer's word on what it has is trusted: a forged one would lose groups or deliver them twice.
+ * Creates the codec for one signing key. A cursor is binary, in base64url, of a size that depends only on the number of
+ * groups. It is signed with HMAC-SHA-256 because it alone says which groups the trainer has received: a forged cursor
+ * would lose groups or deliver them twice.
  */
 export function createCursorCodec(key: string, isGenuine = isGenuineCursor): CursorCodec {
     const sign = (body: Uint8Array): Buffer => createHmac("sha256", key).update(body).digest();
@@ -66,7 +67,7 @@
             return undefined;
         }
         const bytes = Buffer.from(cursor, "base64url");
-        // Node skips characters outside the alphabet; only the one spelling that was issued is taken.
+        // Node ignores characters outside the alphabet; only the exact string that was issued is accepted.
         if (bytes.length < bitmapOffset + signatureBytes || bytes.toString("base64url") !== cursor) {
             return undefined;
         }
--- a/packages/cursors/src/emptyCursor.ts
+++ b/packages/cursors/src/emptyCursor.ts
@@ -1,6 +1,6 @@
 import type { CursorState } from "./CursorState.js";
 
-/** The cursor of a trainer that has nothing of the step yet. */
+/** The cursor of a trainer that has received no group of the step yet. */
 export function emptyCursor(job: string, step: number, groups: number, fencing: number): CursorState {
     return {
         job,
