--- a/packages/validation/src/SampleProblem.ts
+++ b/packages/validation/src/SampleProblem.ts
@@ -1,4 +1,4 @@
-/** Why a made sample does not count. Its task is run again and its engine time is overhead. */
+/** Why a completed sample does not count. Its task is run again and its engine time counts as overhead. */
 export type SampleProblem =
     | "incomplete"
     | "wrongIdentity"
--- a/packages/validation/src/findSampleProblem.test.ts
+++ b/packages/validation/src/findSampleProblem.test.ts
@@ -16,19 +16,19 @@
     }) as unknown as GeneratedSample;
 
 test.each([
-    ["a whole sample of one version", made([span(5)]), undefined],
-    ["a sample over a swap names both versions", made([span(4), span(5)]), undefined],
-    ["a cut one", made([span(5)], { complete: false }), "incomplete"],
-    ["another sample's identity", made([span(5)], {}, { sample: "j/3/1/1" }), "wrongIdentity"],
-    ["nothing", made([]), "noSpans"],
-    ["a span without version", made([span(5), span(Number.NaN)]), "noVersion"],
+    ["a complete sample of one version", made([span(5)]), undefined],
+    ["a sample with a weight swap between its spans", made([span(4), span(5)]), undefined],
+    ["an incomplete sample", made([span(5)], { complete: false }), "incomplete"],
+    ["a sample with another sample's identity", made([span(5)], {}, { sample: "j/3/1/1" }), "wrongIdentity"],
+    ["a sample without spans", made([]), "noSpans"],
+    ["a span without a version", made([span(5), span(Number.NaN)]), "noVersion"],
     ["a span with a negative version", made([span(-1)]), "noVersion"],
     ["an empty span", made([span(5, 0, "")]), "badTokenCount"],
-    ["a span that counts tokens but has no text", made([span(5, 2, "")]), "badTokenCount"],
-    ["more tokens than asked for", made([span(5, 5), span(5, 4)]), "tooManyTokens"],
-    ["one span under the bound", made([span(3), span(5)]), "staleVersion"],
-    ["a version that nobody published", made([span(5), span(6)]), "unpublishedVersion"],
-    ["engine time that cannot be charged", made([span(5)], { engineMs: Number.NaN }), "badEngineTime"],
+    ["a span with a token count but no text", made([span(5, 2, "")]), "badTokenCount"],
+    ["more tokens than requested", made([span(5, 5), span(5, 4)]), "tooManyTokens"],
+    ["one span older than the staleness bound", made([span(3), span(5)]), "staleVersion"],
+    ["a version that was never published", made([span(5), span(6)]), "unpublishedVersion"],
+    ["an engine time that is not a number", made([span(5)], { engineMs: Number.NaN }), "badEngineTime"],
 ])("%s", (_name, sample, problem) => {
     expect(findSampleProblem("j" as JobId, sample, bounds)).toBe(problem);
 });
--- a/packages/validation/src/findSampleProblem.ts
+++ b/packages/validation/src/findSampleProblem.ts
@@ -4,7 +4,7 @@
 import type { SampleProblem } from "./SampleProblem.js";
 import type { VersionBounds } from "./VersionBounds.js";
 
-/** Checks a made sample against its own task; undefined if it counts. */
+/** Checks a completed sample against its task; undefined if it counts. */
 export function findSampleProblem(
     job: JobId,
     made: GeneratedSample,
--- a/packages/validation/src/findSpanProblem.ts
+++ b/packages/validation/src/findSpanProblem.ts
@@ -7,8 +7,9 @@
 const isTokenCount = (tokens: number): boolean => Number.isSafeInteger(tokens) && tokens > 0;
 
 /**
- * Checks the spans of one sample: contiguous by construction (each holds its own text), so what can be wrong is a
- * span without version, an empty or miscounted span, more tokens than asked for, or a version out of bounds.
+ * Checks the spans of one sample. They are contiguous by construction, since each contains its own text; what can be
+ * wrong is a span without a version, an empty or miscounted span, more tokens than requested, or a version out of
+ * bounds.
  */
 export function findSpanProblem(
     spans: readonly TokenSpan[],
@@ -30,7 +31,7 @@
     if (!isFresh(spans, bounds.minVersion)) {
         return "staleVersion";
     }
-    // A version nobody published means an engine that runs other weights than its job's.
+    // An unpublished version means that the engine runs other weights than those of its job.
     if (!spans.every(span => span.version <= bounds.publishedVersion)) {
         return "unpublishedVersion";
     }
