--- a/packages/invariants/src/Invariants.ts
+++ b/packages/invariants/src/Invariants.ts
@@ -1,10 +1,10 @@
 import type { LogFields } from "@auburnarch/types/LogFields";
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
-/** The promises, asserted where their effects happen. */
+/** Runtime checks of the system's guarantees, made at the points where their effects occur. */
 export interface Invariants {
-    /** Returns `holds`; if false, the violation is counted, logged as an error and passed to the observer. */
+    /** Returns `isSatisfied`; if false, the violation is counted, logged as an error and passed to the observer. */
     check(code: ResultCode, isSatisfied: boolean, fields: LogFields): boolean;
-    /** Violations so far. */
+    /** Number of violations so far. */
     violations(): number;
 }
--- a/packages/invariants/src/createInvariants.ts
+++ b/packages/invariants/src/createInvariants.ts
@@ -3,7 +3,7 @@
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 import type { Invariants } from "./Invariants.js";
 
-/** Makes the assertions of a process. `observe` feeds the metric; tests let it throw. */
+/** Creates the invariant checks of a process. `observe` updates the metric; tests may throw from it. */
 export function createInvariants(
     logger: Logger,
     observe: (code: ResultCode, fields: LogFields) => void,
