--- a/packages/log/src/createLogger.test.ts
+++ b/packages/log/src/createLogger.test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from "vitest";
 import { createLogger } from "./createLogger.js";
 
-test("an event is one line of key=value pairs", () => {
+test("an event is logged as one line of key=value pairs", () => {
     const lines: string[] = [];
     const logger = createLogger(createFakeClock(), line => lines.push(line)).child({ entry: "entry-1" });
     logger.info("samplerPicked", { sampler: "s 1", candidates: 4, reason: "leastFinish", absent: undefined });
--- a/packages/log/src/createLogger.ts
+++ b/packages/log/src/createLogger.ts
@@ -4,15 +4,15 @@
 import logfmt from "logfmt";
 import winston from "winston";
 
-/** Where finished lines go, without the line end. */
+/** Receives each finished line, without a line break. */
 type LineSink = (line: string) => void;
 
 const dropUndefined = (fields: LogFields): LogFields =>
     Object.fromEntries(Object.entries(fields).filter(([, value]) => value !== undefined));
 
 /**
- * Makes a logger that writes `time=… level=… event=… key=value …` lines. Time is ISO 8601 from the clock, so a
- * session under a fake clock gives the same lines each time.
+ * Creates a logger that writes lines of the form `time=… level=… event=… key=value …`. The time is the clock's, in
+ * ISO 8601, so that a run with a fake clock always logs the same lines.
  */
 export function createLogger(
     clock: Clock,
