--- a/packages/metrics/src/createMetrics.ts
+++ b/packages/metrics/src/createMetrics.ts
@@ -3,7 +3,7 @@
 
 const latencyBucketsMs = [0.5, 1, 2, 5, 10, 25, 50, 100, 250, 500, 1_000, 5_000, 30_000, 120_000];
 
-/** Makes a process's metric registry. Names are created on first use, prefixed with `auburnarch_`. */
+/** Creates a process's metric registry. A metric is created on first use; its name gets the prefix `auburnarch_`. */
 export function createMetrics(): Metrics {
     const registry = new Registry();
     const counters = new Map<string, Counter>();
--- a/packages/metrics/src/metricNames.test.ts
+++ b/packages/metrics/src/metricNames.test.ts
@@ -13,7 +13,7 @@
     return found.filter(path => /^[a-z]+\/src\/.*\.ts$/u.test(path) && !path.endsWith(".test.ts"));
 }
 
-test("docs/metrics.md lists exactly the metrics of the code", async () => {
+test("docs/metrics.md lists exactly the metrics that the code uses", async () => {
     const texts = await Promise.all(
         (await listSources()).map(path => readFile(join(packagesPath, path), "utf8")),
     );
