--- a/packages/errors/src/ResultError.ts
+++ b/packages/errors/src/ResultError.ts
@@ -1,6 +1,6 @@
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 
-/** An error that carries a numbered result code; `detail` names the field or cause, never a token or a body. */
+/** An error with a numbered result code. `detail` names the field or cause and never contains a token or a body. */
 export class ResultError extends Error {
     readonly code: ResultCode;
     readonly detail: string;
--- a/packages/errors/src/codeByNumber.ts
+++ b/packages/errors/src/codeByNumber.ts
@@ -5,7 +5,7 @@
     Object.values(resultCodes).map((code: ResultCode) => [code.number, code]),
 );
 
-/** The result code with a number from the wire; `fallback` for one that this release does not know. */
+/** The result code with a number from the wire, or `fallback` if this release does not know the number. */
 export function codeByNumber(number: unknown, fallback: ResultCode = resultCodes.internal): ResultCode {
     return byNumber.get(number) ?? fallback;
 }
--- a/packages/errors/src/renderResultCodes.ts
+++ b/packages/errors/src/renderResultCodes.ts
@@ -15,7 +15,7 @@
     return `| ${number} | \`${name}\` | ${httpStatus} | ${meaning} | ${action} |`;
 }
 
-/** The body of `docs/result-codes.md`: one table a family, in the order of the numbers. */
+/** Renders the body of `docs/result-codes.md`: one table per family, sorted by number. */
 export function renderResultCodes(codes: readonly ResultCode[]): string {
     const sections = Object.entries(families).map(([family, title]) => {
         const rows = codes
--- a/packages/errors/src/resultCodes.ts
+++ b/packages/errors/src/resultCodes.ts
@@ -15,8 +15,9 @@
 });
 
 /**
- * Every result code. Families: 1 the request is at fault, 2 not run, 3 unknown whether it ran, 4 an outside
- * system failed, 5 configuration, 6 local disk, 9 a promise was broken. `docs/result-codes.md` repeats this table.
+ * All result codes. Families: 1 the request is at fault, 2 not run, 3 unknown whether it ran, 4 an external system
+ * failed, 5 configuration, 6 local disk, 7 internal, 9 a violated invariant. `docs/result-codes.md` contains the same
+ * table.
  */
 export const resultCodes = {
     badRequest: define(
