--- a/packages/batches/src/createBatchJobStore.ts
+++ b/packages/batches/src/createBatchJobStore.ts
@@ -167,7 +167,7 @@
             }
             throw new ResultError(
                 resultCodes.storeThrottled,
-                `${entryKey(batchJobId)} was changed by other writers in every attempt to end the batch job`,
+                `${entryKey(batchJobId)} keeps changing`,
             );
         },
     };
--- a/packages/ownership/src/createGroupReader.ts
+++ b/packages/ownership/src/createGroupReader.ts
@@ -98,7 +98,7 @@
             }
             const remainingMs = deadlineMs - clock.monotonicMs();
             if (remainingMs <= 0 && !authority.mayRun()) {
-                throw new ResultError(resultCodes.notOwner, "the owner's lease has expired", retryAfterMs);
+                throw new ResultError(resultCodes.notOwner, "the lease is past its time", retryAfterMs);
             }
             if (remainingMs <= 0) {
                 return emptyPage(cursor);
--- a/packages/ownership/src/createIntentWriter.ts
+++ b/packages/ownership/src/createIntentWriter.ts
@@ -42,14 +42,14 @@
             throw new ResultError(stopCode, "", retryAfterMs);
         }
         if (!authority.mayAcceptIntent()) {
-            throw new ResultError(resultCodes.intentRefused, "the owner's lease has expired", retryAfterMs);
+            throw new ResultError(resultCodes.intentRefused, "the lease is past its time", retryAfterMs);
         }
     }
 
     function toDocument(spec: StepSpec): StepDocument {
         const prompts = promptsSchema.safeParse(spec.prompts).data ?? [];
         if (!isCount(spec.step) || prompts.length === 0 || prompts.length > maxGroups) {
-            throw badRequest(`step: expected a number >= 0, 1 to ${maxGroups} prompts, maxTokens > 0`);
+            throw badRequest(`step: a number from 0, with 1 to ${maxGroups} prompts of positive maxTokens`);
         }
         return {
             step: spec.step,
@@ -86,7 +86,7 @@
 
     async function publishWeights(weights: PublishedWeights): Promise<void> {
         if (weights.policy !== state.job.policy || !isCount(weights.version)) {
-            throw badRequest(`weights: expected a version >= 0 of policy ${state.job.policy}`);
+            throw badRequest(`weights: a version from 0 of policy ${state.job.policy}`);
         }
         throwUnlessLeaseHeld();
         await runSerially(async () => {
@@ -94,7 +94,7 @@
             const stored = await jobStore.writeWeights(weights);
             deps.onWeights(stored);
             if (stored.version !== weights.version || stored.location !== weights.location) {
-                throw new ResultError(resultCodes.versionNotHigher, `published version: ${stored.version}`);
+                throw new ResultError(resultCodes.versionNotHigher, `published: ${stored.version}`);
             }
         });
     }
--- a/packages/ownership/src/createPageIssuer.ts
+++ b/packages/ownership/src/createPageIssuer.ts
@@ -60,7 +60,7 @@
     function issuePage(step: OpenStep, cursor: CursorState, groups: SampleGroup[]): GroupsPage {
         const number = step.document.step;
         if (!passesInvariants(step, cursor, groups)) {
-            throw new ResultError(resultCodes.internal, "page withheld: it violates a delivery invariant");
+            throw new ResultError(resultCodes.internal, "a promise would break; the page is withheld");
         }
         const next = advanceCursor(cursor, groups, deps.fencing);
         logger.info("groupsOffered", { step: number, groups: groups.length, delivered: countGroups(cursor) });
--- a/packages/ownership/src/createSerialQueue.ts
+++ b/packages/ownership/src/createSerialQueue.ts
@@ -15,7 +15,7 @@
     let waiting = 0;
     return async task => {
         if (waiting >= maxWaiting) {
-            throw new ResultError(resultCodes.intentRefused, "too many pending changes", retryAfterMs);
+            throw new ResultError(resultCodes.intentRefused, "too many changes are waiting", retryAfterMs);
         }
         waiting++;
         const result = tail.then(task);
--- a/packages/ownership/src/splitPrompts.ts
+++ b/packages/ownership/src/splitPrompts.ts
@@ -14,7 +14,7 @@
         if (bytes > maxChunkBytes) {
             throw new ResultError(
                 resultCodes.bodyTooLarge,
-                `prompt of ${bytes} bytes, limit ${maxChunkBytes}`,
+                `prompt: ${bytes} bytes, limit ${maxChunkBytes}`,
             );
         }
         if (chunkBytes + bytes > maxChunkBytes) {
--- a/packages/store/src/createBudgetedStore.ts
+++ b/packages/store/src/createBudgetedStore.ts
@@ -63,7 +63,7 @@
     function withTimeout<T>(answer: Promise<T>, limitMs: number): Promise<T> {
         return new Promise((resolve, reject) => {
             const cancel = clock.startTimer(limitMs, () => {
-                reject(new ResultError(resultCodes.storeUnavailable, `no response within ${limitMs} ms`));
+                reject(new ResultError(resultCodes.storeUnavailable, `no answer within ${limitMs} ms`));
             });
             answer.then(resolve, reject).finally(cancel);
         });
@@ -74,7 +74,7 @@
             const retryAfterMs = circuitBreaker.retryAfterMs();
             throw new ResultError(
                 resultCodes.storeThrottled,
-                "circuit breaker is open",
+                "the object API is down",
                 retryAfterMs,
             );
         }
--- a/packages/store/src/createJsonClient.ts
+++ b/packages/store/src/createJsonClient.ts
@@ -18,7 +18,7 @@
         bytes += (part as Buffer).length;
         if (bytes > maxAnswerBytes) {
             response.destroy();
-            throw new Error("response body exceeds the size limit");
+            throw new Error("answer too large");
         }
         parts.push(part as Buffer);
     }
@@ -58,7 +58,7 @@
             });
             request.on("response", resolve);
             request.on("error", reject);
-            request.on("timeout", () => request.destroy(new Error(`no response within ${limitMs} ms`)));
+            request.on("timeout", () => request.destroy(new Error("timeout")));
             request.end(bytes);
         });
     }
--- a/packages/store/src/createRateLimiter.ts
+++ b/packages/store/src/createRateLimiter.ts
@@ -92,7 +92,7 @@
                 },
                 cancelTimer: clock.startTimer(maxWaitMs, () => {
                     waiters.delete(waiter);
-                    reject(new ResultError(resultCodes.storeThrottled, `not started within ${maxWaitMs} ms`));
+                    reject(new ResultError(resultCodes.storeThrottled, "waited too long for its turn"));
                 }),
             };
             waiters.add(waiter);
@@ -108,7 +108,7 @@
             if (waiters.size >= maxWaiting) {
                 throw new ResultError(
                     resultCodes.storeThrottled,
-                    `more than ${maxWaiting} calls are waiting`,
+                    "too many calls wait for their turn",
                 );
             }
             return waitForTurn();
--- a/packages/store/src/parseAnswer.ts
+++ b/packages/store/src/parseAnswer.ts
@@ -8,7 +8,7 @@
     if (!parsed.success) {
         throw new ResultError(
             faultCode,
-            `malformed response: ${parsed.error.issues[0]?.message ?? "unknown reason"}`,
+            `answer: ${parsed.error.issues[0]?.message ?? "malformed"}`,
         );
     }
     return parsed.data;
--- a/packages/transport/src/createRpcClient.ts
+++ b/packages/transport/src/createRpcClient.ts
@@ -54,7 +54,7 @@
             const answer = await post(payload, timeoutMs);
             // Another program may listen at a reused address. The client would ignore its answer and wait forever.
             if (!(answer instanceof Object) || !isJSONRPCResponse(answer) || answer.id !== payload.id) {
-                throw new ResultError(resultCodes.sidecarUnreachable, "response does not match the call");
+                throw new ResultError(resultCodes.sidecarUnreachable, "no answer to the call");
             }
             client.receive(answer);
         });
@@ -74,6 +74,6 @@
     if (error instanceof JSONRPCErrorException && error.code > 0) {
         return new ResultError(codeByNumber(error.code), error.message);
     }
-    const detail = error instanceof Error ? error.message : "no response";
+    const detail = error instanceof Error ? error.message : "no answer";
     return new ResultError(resultCodes.sidecarUnreachable, detail);
 }
--- a/packages/transport/src/exchangeHttp.ts
+++ b/packages/transport/src/exchangeHttp.ts
@@ -32,13 +32,13 @@
  */
 export function exchangeHttp(call: HttpCall): Promise<HttpExchange> {
     if (call.signal.aborted) {
-        return Promise.resolve({ kind: "notWritten", detail: "aborted before it was sent" });
+        return Promise.resolve({ kind: "notWritten", detail: "given up before it was sent" });
     }
     return new Promise(resolve => {
         let connected = false;
         let timedOut = false;
         const request = startRequest(call);
-        const abortRequest = (): void => void request.destroy(new Error("aborted"));
+        const abortRequest = (): void => void request.destroy(new Error("given up"));
         call.signal.addEventListener("abort", abortRequest);
         const cancelTimer = call.clock.startTimer(call.timeoutMs, () => {
             timedOut = true;
@@ -101,7 +101,7 @@
     });
     const failBody = (): void => {
         release();
-        stream.fail(new ResultError(resultCodes.connectionBroken, "response body was truncated"));
+        stream.fail(new ResultError(resultCodes.connectionBroken, "the answer was cut short"));
     };
     message.once("end", () => {
         release();
--- a/packages/transport/src/readFullBody.ts
+++ b/packages/transport/src/readFullBody.ts
@@ -8,7 +8,7 @@
     for await (const chunk of body) {
         bytes += chunk.length;
         if (bytes > maxBytes) {
-            throw new ResultError(resultCodes.bodyTooLarge, `body exceeds ${maxBytes} bytes`);
+            throw new ResultError(resultCodes.bodyTooLarge, `more than ${maxBytes} bytes`);
         }
         chunks.push(chunk);
     }
