--- a/packages/admission/src/createKeyRange.test.ts
+++ b/packages/admission/src/createKeyRange.test.ts
@@ -33,7 +33,7 @@
     const service = createFakePlainService({ clock, latencyMs: 50 });
     const invariants = createInvariants(silent, () => {});
     let attempts = 0;
-    const ownerWith = (change: Partial<KeyRangeDeps> = {}) =>
+    const createOwner = (change: Partial<KeyRangeDeps> = {}) =>
         createKeyRange({
             range: 0,
             lease: { isHeld: () => true },
@@ -60,7 +60,7 @@
         return service.backend(request, never);
     };
     const send = async (
-        owner: ReturnType<typeof ownerWith>,
+        owner: ReturnType<typeof createOwner>,
         key: string,
         content = digest,
     ): Promise<string> => {
@@ -72,7 +72,7 @@
         return described;
     };
     const mint = (offsetMs = 0): string => v7({ msecs: clock.wallMs() + offsetMs });
-    return { clock, service, invariants, ownerWith, executeOf, send, mint };
+    return { clock, service, invariants, createOwner, executeOf, send, mint };
 }
 
 async function describe(outcome: AttemptOutcome<PlainAnswer>): Promise<string> {
@@ -88,8 +88,8 @@
 
 test("a request sent again after a broken connection does not run twice", async () => {
     // Guards against a fetch that ran twice, which showed a customer conflicting alerts.
-    const { service, ownerWith, send, mint } = createFixture();
-    const owner = ownerWith();
+    const { service, createOwner, send, mint } = createFixture();
+    const owner = createOwner();
     const key = mint();
     service.control.breakAfterRun(1);
     expect(await send(owner, key)).toBe("unknown connectionBroken");
@@ -99,12 +99,12 @@
 });
 
 test("a key created before a takeover is never run again by the new owner", async () => {
-    const { clock, service, ownerWith, send, mint } = createFixture();
+    const { clock, service, createOwner, send, mint } = createFixture();
     const key = mint();
     service.control.breakAfterRun(1);
-    await send(ownerWith(), key);
+    await send(createOwner(), key);
     await clock.advance(20_000);
-    const next = ownerWith({ takenOverAtMs: clock.wallMs() });
+    const next = createOwner({ takenOverAtMs: clock.wallMs() });
     expect(await send(next, key)).toBe("unknown keyTakenOver");
     expect(await send(next, mint(2 * skewMs))).toBe("notRun keyTooOld");
     await clock.advance(2 * skewMs + 1);
@@ -113,20 +113,20 @@
 });
 
 test("concurrent duplicates join one run and get the same complete answer", async () => {
-    const { clock, service, ownerWith, executeOf, mint } = createFixture();
-    const owner = ownerWith();
+    const { clock, service, createOwner, executeOf, mint } = createFixture();
+    const owner = createOwner();
     const key = mint();
     const runs = [1, 2, 3].map(() => owner.run({ team, key, digest }, executeOf(key)).then(describe));
     await clock.advance(1_000);
-    const told = new Set(await Promise.all(runs));
-    expect([...told].length).toBe(1);
-    expect([...told][0]).toMatch(/^ran /);
+    const outcomes = new Set(await Promise.all(runs));
+    expect([...outcomes].length).toBe(1);
+    expect([...outcomes][0]).toMatch(/^ran /);
     expect(service.control.runsByKey().get(key)).toBe(1);
 });
 
 test("a request that certainly did not run may run when it is sent again", async () => {
-    const { service, ownerWith, send, mint } = createFixture();
-    const owner = ownerWith();
+    const { service, createOwner, send, mint } = createFixture();
+    const owner = createOwner();
     const key = mint();
     service.control.refuseNext(1);
     expect(await send(owner, key)).toBe("notRun connectFailed");
@@ -135,8 +135,8 @@
 });
 
 test("a key with different content is refused, and the same key of another team is a different key", async () => {
-    const { service, ownerWith, send, mint, executeOf } = createFixture();
-    const owner = ownerWith();
+    const { service, createOwner, send, mint, executeOf } = createFixture();
+    const owner = createOwner();
     const key = mint();
     const first = await send(owner, key);
     expect(await send(owner, key, "other" as ContentDigest)).toBe("notRun keyReused");
@@ -147,12 +147,12 @@
 });
 
 test("keys outside the window, keys that are not UUIDv7, and keys without a lease are refused", async () => {
-    const { clock, service, ownerWith, send, mint } = createFixture();
-    const owner = ownerWith();
+    const { clock, service, createOwner, send, mint } = createFixture();
+    const owner = createOwner();
     expect(await send(owner, mint(-windowMs - 1))).toBe("unknown keyTooOld");
     expect(await send(owner, mint(skewMs + 1))).toBe("notRun keyTooOld");
     expect(await send(owner, "7f0f1c1e-0000-4000-8000-000000000000")).toBe("notRun keyNotUuidV7");
-    expect(await send(ownerWith({ lease: { isHeld: () => false } }), mint())).toBe("notRun notOwner");
+    expect(await send(createOwner({ lease: { isHeld: () => false } }), mint())).toBe("notRun notOwner");
     expect(service.control.runsByKey().size).toBe(0);
     const key = mint();
     await send(owner, key);
@@ -163,9 +163,9 @@
 });
 
 test("an owner whose lease lapsed still answers repeats and accepts no new keys", async () => {
-    const { service, ownerWith, send, mint } = createFixture();
+    const { service, createOwner, send, mint } = createFixture();
     let held = true;
-    const owner = ownerWith({ lease: { isHeld: () => held } });
+    const owner = createOwner({ lease: { isHeld: () => held } });
     const key = mint();
     const first = await send(owner, key);
     held = false;
@@ -176,10 +176,10 @@
 
 test("a clock set back does not make evicted keys acceptable again", async () => {
     // Guards against a request that ran, and was billed, twice.
-    const { clock, service, ownerWith, send, mint } = createFixture();
+    const { clock, service, createOwner, send, mint } = createFixture();
     let setBackMs = 0;
     const settable: Clock = { ...clock, wallMs: () => clock.wallMs() - setBackMs };
-    const owner = ownerWith({ clock: settable });
+    const owner = createOwner({ clock: settable });
     const key = mint();
     await send(owner, key);
     await clock.advance(windowMs + skewMs + 1);
@@ -190,22 +190,22 @@
 });
 
 test("memory is bounded: large answers are not cached, old answers are evicted first, keys never", async () => {
-    const { clock, service, ownerWith, send, mint } = createFixture();
-    const small = ownerWith({ maxAnswerBytes: 10 });
+    const { clock, service, createOwner, send, mint } = createFixture();
+    const small = createOwner({ maxAnswerBytes: 10 });
     const key = mint();
     expect(await send(small, key)).toMatch(/^ran \{.*\}$/);
     expect(await send(small, key)).toBe("unknown keyTakenOver");
     const answers = createAnswerCacheBudget(200);
-    const owner = ownerWith({ answerBudget: answers, maxKeys: 20 });
+    const owner = createOwner({ answerBudget: answers, maxKeys: 20 });
     const keys = Array.from({ length: 21 }, (_, n) => mint(n));
-    const told = [];
+    const outcomes = [];
     for (const one of keys) {
-        told.push(await send(owner, one));
+        outcomes.push(await send(owner, one));
     }
-    expect(told[20]).toBe("notRun overloaded");
+    expect(outcomes[20]).toBe("notRun overloaded");
     expect(answers.bytes()).toBeLessThanOrEqual(200);
     expect(await send(owner, keys[0]!)).toBe("unknown keyTakenOver");
-    expect(await send(owner, keys[19]!)).toBe(told[19]);
+    expect(await send(owner, keys[19]!)).toBe(outcomes[19]);
     expect(Math.max(...service.control.runsByKey().values())).toBe(1);
     await clock.advance(windowMs + skewMs + 1);
     await send(owner, mint());
@@ -221,7 +221,7 @@
 
 /** Replays events on successive owners with clocks within the allowed skew; returns how often each key ran. */
 async function replay(events: Event[], skews: number[], guards: KeyRangeGuards) {
-    const { clock, service, invariants, ownerWith, executeOf, mint } = createFixture();
+    const { clock, service, invariants, createOwner, executeOf, mint } = createFixture();
     const clockOf = (n: number): Clock => {
         const aheadMs = skews[n % skews.length]!;
         return { ...clock, wallMs: () => clock.wallMs() + aheadMs };
@@ -231,7 +231,7 @@
         const own = clockOf(owners++);
         const lease = { held: true, isHeld: () => lease.held };
         const takenOverAtMs = isFirst ? undefined : own.wallMs();
-        return { lease, range: ownerWith({ clock: own, lease, takenOverAtMs, guards }) };
+        return { lease, range: createOwner({ clock: own, lease, takenOverAtMs, guards }) };
     };
     let owner = startOwner(true);
     const past: (typeof owner)[] = [];
@@ -301,8 +301,8 @@
 });
 
 test("an evicted key runs again if the window guard is disabled", async () => {
-    const { clock, service, ownerWith, send, mint } = createFixture();
-    const owner = ownerWith({ guards: { ...defaultKeyRangeGuards, isRemembered: () => true } });
+    const { clock, service, createOwner, send, mint } = createFixture();
+    const owner = createOwner({ guards: { ...defaultKeyRangeGuards, isRemembered: () => true } });
     const key = mint();
     await send(owner, key);
     await clock.advance(windowMs + skewMs + 1);
@@ -311,8 +311,8 @@
 });
 
 test("a run that takes longer than the window keeps its record", async () => {
-    const { clock, service, ownerWith, executeOf, mint } = createFixture();
-    const owner = ownerWith();
+    const { clock, service, createOwner, executeOf, mint } = createFixture();
+    const owner = createOwner();
     const key = mint();
     service.control.setLatency(2 * windowMs);
     void owner.run({ team, key, digest }, executeOf(key));
@@ -324,8 +324,8 @@
 });
 
 test("an execution that throws counts as unknown", async () => {
-    const { ownerWith, mint } = createFixture();
-    const owner = ownerWith();
+    const { createOwner, mint } = createFixture();
+    const owner = createOwner();
     const key = mint();
     const execute = () => Promise.reject(new Error("unexpected"));
     const outcome = await owner.run({ team, key, digest }, execute);
--- a/packages/admission/src/createTrials.test.ts
+++ b/packages/admission/src/createTrials.test.ts
@@ -24,19 +24,19 @@
     let boots = 0;
 
     /** Crashes an engine with these contents in flight; every entry receives the sampler's report of it. */
-    function die(vm: string, ...names: ContentDigest[]): void {
+    function crashEngine(vm: string, ...names: ContentDigest[]): void {
         const crash = { vm: vm as VmId, bootId: `boot-${boots++}`, contents: names.length };
         const suspects = names.map(digest => ({ digest, deaths: [crash] }));
         entries.forEach(entry => entry.recordSuspects({ suspects }));
     }
 
     /** Distributes the stored list to all entries. */
-    function spread(): void {
+    function distribute(): void {
         const document = { version: control.revision(), value: control.peek("quarantine") };
         entries.forEach(entry => entry.offer(document));
     }
 
-    return { clock, control, entries, die, spread };
+    return { clock, control, entries, crashEngine, distribute };
 }
 
 const dueOf = (entry: Quarantine, digest: ContentDigest): [number, number] => [
@@ -46,30 +46,30 @@
 
 test("a refused content never alone at a crash gets a trial, and its clean finish clears it everywhere", async () => {
     // Guards against a step that never ends.
-    const { clock, entries: [first, second], die, spread } = createFixture(2);
-    die("vm-1", innocent, digestOf("killer"));
-    die("vm-2", innocent, digestOf("other"));
-    die("vm-3", innocent, digestOf("third"));
+    const { clock, entries: [first, second], crashEngine, distribute } = createFixture(2);
+    crashEngine("vm-1", innocent, digestOf("killer"));
+    crashEngine("vm-2", innocent, digestOf("other"));
+    crashEngine("vm-3", innocent, digestOf("third"));
     expect(first!.isRefused(innocent)).toBe(true);
     expect(dueOf(first!, innocent)).toEqual([5_000, 5_000]);
     expect(await first!.takeTrial(innocent, "sample")).toBeUndefined();
     await clock.advance(5_000);
     expect(await first!.takeTrial(innocent, "sample")).toBeDefined();
-    spread();
+    distribute();
     // One trial in total, not one per entry.
     expect(await second!.takeTrial(innocent, "sample")).toBeUndefined();
     await clock.advance(200);
     first!.recordCleanFinish(innocent);
     await first!.publish();
-    spread();
+    distribute();
     expect([first!, second!].map(entry => entry.isRefused(innocent))).toEqual([false, false]);
 });
 
 test("a content that is cleared later still counts as in flight at its earlier crashes", async () => {
     // Guards against a harmless content that counts as confirmed crash-inducing.
-    const { clock, entries: [entry], die } = createFixture(1);
-    die("vm-1", innocent, digestOf("beside"));
-    die("vm-2", innocent, digestOf("beside too"));
+    const { clock, entries: [entry], crashEngine } = createFixture(1);
+    crashEngine("vm-1", innocent, digestOf("beside"));
+    crashEngine("vm-2", innocent, digestOf("beside too"));
     entry!.recordCleanFinish(digestOf("beside"));
     entry!.recordCleanFinish(digestOf("beside too"));
     await clock.advance(5_000);
@@ -77,25 +77,25 @@
 });
 
 test("a content that was alone at two crashes waits a minute for a sample and an hour for a request", () => {
-    const { entries: [entry], die } = createFixture(1);
-    die("vm-1", innocent);
-    die("vm-2", innocent);
+    const { entries: [entry], crashEngine } = createFixture(1);
+    crashEngine("vm-1", innocent);
+    crashEngine("vm-2", innocent);
     expect(dueOf(entry!, innocent)).toEqual([60_000, hourMs]);
 });
 
 test("entries that request a trial concurrently get one trial together", async () => {
-    const { clock, entries, die } = createFixture(4);
-    die("vm-1", innocent, digestOf("a"));
-    die("vm-2", innocent, digestOf("b"));
+    const { clock, entries, crashEngine } = createFixture(4);
+    crashEngine("vm-1", innocent, digestOf("a"));
+    crashEngine("vm-2", innocent, digestOf("b"));
     await clock.advance(5_000);
     const taken = await Promise.all(entries.map(entry => entry.takeTrial(innocent, "sample")));
     expect(taken.filter(trial => trial !== undefined)).toHaveLength(1);
 });
 
 test("a trial that did not run goes to the next request", async () => {
-    const { clock, entries: [entry], die } = createFixture(1);
-    die("vm-1", innocent, digestOf("a"));
-    die("vm-2", innocent, digestOf("b"));
+    const { clock, entries: [entry], crashEngine } = createFixture(1);
+    crashEngine("vm-1", innocent, digestOf("a"));
+    crashEngine("vm-2", innocent, digestOf("b"));
     await clock.advance(5_000);
     const trial = await entry!.takeTrial(innocent, "request");
     entry!.returnTrial(innocent, trial!);
@@ -106,9 +106,9 @@
 
 test("a trial is granted and counted once after an outage of the object API and a lost answer to the write", async () => {
     // Guards against a harmless content that waits an hour for its trial.
-    const { clock, control, entries: [entry], die } = createFixture(1);
-    die("vm-1", innocent, digestOf("a"));
-    die("vm-2", innocent, digestOf("b"));
+    const { clock, control, entries: [entry], crashEngine } = createFixture(1);
+    crashEngine("vm-1", innocent, digestOf("a"));
+    crashEngine("vm-2", innocent, digestOf("b"));
     await clock.advance(5_000);
     control.setOutage(true);
     expect(await entry!.takeTrial(innocent, "sample")).toBeUndefined();
@@ -121,40 +121,40 @@
 
 test("a trial with unknown outcome is repeated after a minute", async () => {
     // Guards against a step that never ends.
-    const { clock, entries: [entry], die } = createFixture(1);
-    die("vm-1", innocent, digestOf("a"));
-    die("vm-2", innocent, digestOf("b"));
+    const { clock, entries: [entry], crashEngine } = createFixture(1);
+    crashEngine("vm-1", innocent, digestOf("a"));
+    crashEngine("vm-2", innocent, digestOf("b"));
     await clock.advance(5_000);
     expect(await entry!.takeTrial(innocent, "sample")).toBeDefined();
     expect(dueOf(entry!, innocent)).toEqual([60_000, 60_000]);
     await clock.advance(60_000);
     expect(await entry!.takeTrial(innocent, "sample")).toBeDefined();
     await clock.advance(10);
-    die("vm-3", innocent);
+    crashEngine("vm-3", innocent);
     expect(dueOf(entry!, innocent)[0]).toBeGreaterThan(3_500_000);
 });
 
 test("a clean finish also clears a trial recorded by an entry whose clock is ahead", async () => {
     // Guards against a content that just finished cleanly waiting an hour after its next two crashes.
-    const { clock, entries: [entry], die } = createFixture(1);
-    die("vm-1", innocent, digestOf("a"));
-    die("vm-2", innocent, digestOf("b"));
+    const { clock, entries: [entry], crashEngine } = createFixture(1);
+    crashEngine("vm-1", innocent, digestOf("a"));
+    crashEngine("vm-2", innocent, digestOf("b"));
     const [record] = entry!.list().filter(each => each.digest === innocent);
     const trials = [{ trial: "t" as TrialId, atMs: clock.wallMs() + 2_000 }];
     entry!.offer({ version: 1, value: { records: [{ ...record!, trials }] } });
     entry!.recordCleanFinish(innocent);
     await clock.advance(3_000);
-    die("vm-3", innocent, digestOf("c"));
-    die("vm-4", innocent, digestOf("d"));
+    crashEngine("vm-3", innocent, digestOf("c"));
+    crashEngine("vm-4", innocent, digestOf("d"));
     expect(dueOf(entry!, innocent)).toEqual([5_000, 5_000]);
 });
 
 /** Sends crash-inducing contents repeatedly to each entry; counts the samplers that crash in trials, by hour. */
 async function countTrialCrashes(names: string[], hours: number): Promise<number[]> {
-    const { clock, entries, die, spread } = createFixture(3);
+    const { clock, entries, crashEngine, distribute } = createFixture(3);
     names.forEach((name, index) => {
-        die(`vm-${index}-1`, digestOf(name), digestOf(`beside ${name}`));
-        die(`vm-${index}-2`, digestOf(name), digestOf(`beside ${name} too`));
+        crashEngine(`vm-${index}-1`, digestOf(name), digestOf(`beside ${name}`));
+        crashEngine(`vm-${index}-2`, digestOf(name), digestOf(`beside ${name} too`));
     });
     const crashes = Array.from({ length: hours }, () => 0);
     const everyMs = 20_000;
@@ -162,10 +162,10 @@
         for (const entry of entries) {
             for (const name of names.map(digestOf)) {
                 if (entry.isRefused(name) && await entry.takeTrial(name, "sample") !== undefined) {
-                    die(`vm-${atMs}-${name}`, name);
+                    crashEngine(`vm-${atMs}-${name}`, name);
                     crashes[Math.floor(atMs / hourMs)]!++;
                 }
-                spread();
+                distribute();
             }
         }
         await clock.advance(everyMs);
@@ -175,30 +175,30 @@
 
 test("a crash-inducing content retried forever crashes five more samplers in a day after the first two", async () => {
     // Trials at 0, 1, 3, 7 and 15 h; the next would be at 31 h. The record expires 24 h after its last crash.
-    const deaths = await countTrialCrashes(["killer"], 24);
-    expect(deaths.map((count, hour) => count > 0 ? hour : -1).filter(hour => hour >= 0))
+    const crashesPerHour = await countTrialCrashes(["killer"], 24);
+    expect(crashesPerHour.map((count, hour) => count > 0 ? hour : -1).filter(hour => hour >= 0))
         .toEqual([0, 1, 3, 7, 15]);
-    expect(Math.max(...deaths)).toBe(1);
+    expect(Math.max(...crashesPerHour)).toBe(1);
 });
 
 test("many crash-inducing contents together crash three samplers an hour", async () => {
     // Target: under 1 % of the samplers' time in a deployment of six, with each crash costing a minute.
-    const deaths = await countTrialCrashes(["a", "b", "c", "d", "e", "f", "g", "h"], 6);
-    expect(Math.max(...deaths)).toBe(3);
+    const crashesPerHour = await countTrialCrashes(["a", "b", "c", "d", "e", "f", "g", "h"], 6);
+    expect(Math.max(...crashesPerHour)).toBe(3);
 });
 
 test("crash-inducing contents retried forever leave a trial to a content never alone at a crash", async () => {
     // Guards against a step that waits an hour for its last sample.
-    const { clock, entries: [entry], die } = createFixture(1);
-    const killers = ["a", "b", "c", "d"].map(digestOf);
-    killers.forEach((killer, index) => {
-        die(`vm-${index}-1`, killer);
-        die(`vm-${index}-2`, killer);
+    const { clock, entries: [entry], crashEngine } = createFixture(1);
+    const crashInducing = ["a", "b", "c", "d"].map(digestOf);
+    crashInducing.forEach((content, index) => {
+        crashEngine(`vm-${index}-1`, content);
+        crashEngine(`vm-${index}-2`, content);
     });
     const runDue = async (): Promise<void> => {
-        for (const killer of killers) {
-            if (await entry!.takeTrial(killer, "sample") !== undefined) {
-                die(`vm-of-${killer}`, killer);
+        for (const content of crashInducing) {
+            if (await entry!.takeTrial(content, "sample") !== undefined) {
+                crashEngine(`vm-of-${content}`, content);
             }
         }
     };
@@ -208,8 +208,8 @@
         await runDue();
         if (minute % 10 === 9) {
             const harmless = digestOf(`harmless ${minute}`);
-            die("vm-1", harmless, digestOf(`beside ${minute}`));
-            die("vm-2", harmless, digestOf(`beside it too ${minute}`));
+            crashEngine("vm-1", harmless, digestOf(`beside ${minute}`));
+            crashEngine("vm-2", harmless, digestOf(`beside it too ${minute}`));
             waits.push(entry!.trialDueInMs(harmless, "sample"));
         }
     }
--- a/packages/dispatch/src/crashInducingSample.test.ts
+++ b/packages/dispatch/src/crashInducingSample.test.ts
@@ -63,8 +63,8 @@
     const clock = createFakeClock();
     const upAtMs = new Map<string, number>();
     const inFlight = new Map<string, Set<(outcome: Outcome) => void>>();
-    const killerRunsAtMs: number[] = [];
-    const madeAtMs: number[] = [];
+    const crashingRunsAtMs: number[] = [];
+    const finishedAtMs: number[] = [];
     const broken: Outcome = { kind: "unknown", code: resultCodes.connectionBroken };
 
     function crash(sampler: string): void {
@@ -85,7 +85,7 @@
             };
             running.add(end);
             if (attempt.sample === crashInducingSample) {
-                killerRunsAtMs.push(clock.monotonicMs());
+                crashingRunsAtMs.push(clock.monotonicMs());
                 clock.startTimer(crashAfterMs, () => crash(sampler));
                 return;
             }
@@ -112,18 +112,18 @@
             runSample: attempt => runSample(sampler, attempt),
         } as Partial<SidecarPort> as SidecarPort),
         mayAct: () => true,
-        onSampleGenerated: () => madeAtMs.push(clock.monotonicMs()),
+        onSampleGenerated: () => finishedAtMs.push(clock.monotonicMs()),
         takeRetry: () => true,
     });
-    return { clock, dispatcher, killerRunsAtMs, madeAtMs };
+    return { clock, dispatcher, crashingRunsAtMs, finishedAtMs };
 }
 
 test("a sample that crashes every sampler gets at most three more attempts after the third, and the others finish", async () => {
-    const { clock, dispatcher, killerRunsAtMs, madeAtMs } = createFixture();
+    const { clock, dispatcher, crashingRunsAtMs, finishedAtMs } = createFixture();
     dispatcher.submit(Array.from({ length: 8 }, (_, index) => taskOf(index)));
     await clock.advance(600_000);
-    expect(madeAtMs).toHaveLength(7);
+    expect(finishedAtMs).toHaveLength(7);
     // The required time for a step is 6 minutes; the other samples finish long before.
-    expect(Math.max(...madeAtMs)).toBeLessThan(6_000);
-    expect(killerRunsAtMs.length - 3).toBeLessThanOrEqual(3);
+    expect(Math.max(...finishedAtMs)).toBeLessThan(6_000);
+    expect(crashingRunsAtMs.length - 3).toBeLessThanOrEqual(3);
 });
--- a/packages/documents/src/createDocumentSet.test.ts
+++ b/packages/documents/src/createDocumentSet.test.ts
@@ -24,15 +24,15 @@
 });
 
 function build(guards = defaultDocumentSyncGuards) {
-    const broken: string[] = [];
-    const taken: string[] = [];
-    const invariants = createInvariants(silent, code => broken.push(code.name));
+    const violations: string[] = [];
+    const applied: string[] = [];
+    const invariants = createInvariants(silent, code => violations.push(code.name));
     const faultsOf = ({ value }: { value: unknown; }) =>
         value === "bad" ? [{ path: "", message: "bad" }] : [];
     const set = createDocumentSet({ invariants, logger: silent, faultsOf }, guards, document => {
-        taken.push(`${document.name}@${document.version}`);
+        applied.push(`${document.name}@${document.version}`);
     });
-    return { set, broken, taken };
+    return { set, violations, applied };
 }
 
 const overTheWire = (message: SyncMessage): SyncMessage => JSON.parse(JSON.stringify(message)) as SyncMessage;
@@ -94,7 +94,7 @@
             exchangeWhole(a, c);
             exchangeWhole(a, b);
             expect(new Set([a, b, c].map(set => set.checksum())).size).toBe(1);
-            expect(nodes.flatMap(node => node.broken)).toEqual([]);
+            expect(nodes.flatMap(node => node.violations)).toEqual([]);
         }),
         { seed: 3, numRuns: 300 },
     );
@@ -126,8 +126,8 @@
 });
 
 test("without the guard an older document replaces a newer one, and the invariant check reports it", () => {
-    const { set, broken } = build({ forwardOnly: () => true });
+    const { set, violations } = build({ forwardOnly: () => true });
     set.apply({ name: "manifest", version: 2, value: "new" });
     set.apply({ name: "manifest", version: 1, value: "old" });
-    expect(broken).toEqual(["configReverted"]);
+    expect(violations).toEqual(["configReverted"]);
 });
--- a/packages/documents/src/createDocumentSync.test.ts
+++ b/packages/documents/src/createDocumentSync.test.ts
@@ -28,8 +28,8 @@
     const random = createRandom(11);
     const { store, control } = createFakeObjectStore({ clock, random: random.fork(), latencyMs: 4 });
     const net: Net = { loss: 0, connected: () => true };
-    const broken: string[] = [];
-    const invariants = createInvariants(silent, code => broken.push(code.name));
+    const violations: string[] = [];
+    const invariants = createInvariants(silent, code => violations.push(code.name));
     const nodes = new Map<number, DocumentSync>();
     const addressOf = (at: number): string => `entry-${at}`;
     const start = (at: number): DocumentSync => {
@@ -71,9 +71,9 @@
         published = outcome.kind === "written" ? outcome.version : published;
         return published;
     };
-    const inForce = (version: number) => (): boolean => versions().size === 1 && versions().has(version);
+    const isActive = (version: number) => (): boolean => versions().size === 1 && versions().has(version);
     const stop = (): void => nodes.forEach(node => node.stop());
-    return { clock, control, net, nodes, start, publish, inForce, versions, broken, stop };
+    return { clock, control, net, nodes, start, publish, isActive, versions, violations, stop };
 }
 
 test("a published manifest is active on 40 entries within seconds although a third of the messages is lost", async () => {
@@ -81,7 +81,7 @@
     fleet.net.loss = 0.33;
     await fleet.clock.advance(2_000);
     const version = await fleet.publish({ a: 1 });
-    expect(await fleet.clock.runUntil(fleet.inForce(version), 14_000)).toBe(true);
+    expect(await fleet.clock.runUntil(fleet.isActive(version), 14_000)).toBe(true);
     expect([...fleet.nodes.values()].every(node => node.isCaughtUp())).toBe(true);
     fleet.stop();
 });
@@ -101,7 +101,7 @@
     const fleet = build(12, [0, 1, 2]);
     await fleet.publish("A");
     const version = await fleet.publish("B");
-    expect(await fleet.clock.runUntil(fleet.inForce(version), 14_000)).toBe(true);
+    expect(await fleet.clock.runUntil(fleet.isActive(version), 14_000)).toBe(true);
     fleet.control.setStaleReads(1);
     fleet.control.setOutage(true);
     await fleet.clock.advance(15_000);
@@ -114,42 +114,42 @@
     fleet.nodes.delete(0);
     fleet.nodes.delete(1);
     const next = await fleet.publish("C");
-    expect(await fleet.clock.runUntil(fleet.inForce(next), 14_000)).toBe(true);
-    expect(fleet.broken).toEqual([]);
+    expect(await fleet.clock.runUntil(fleet.isActive(next), 14_000)).toBe(true);
+    expect(fleet.violations).toEqual([]);
     fleet.stop();
 });
 
 test("a partition of minutes keeps its last version and applies the latest one after reconnecting", async () => {
     const fleet = build(12, [0, 1, 2]);
     const first = await fleet.publish("A");
-    await fleet.clock.runUntil(fleet.inForce(first), 14_000);
+    await fleet.clock.runUntil(fleet.isActive(first), 14_000);
     fleet.net.connected = (from, to) => (from < 6) === (to < 6);
     const second = await fleet.publish("B");
     await fleet.clock.advance(180_000);
     expect(fleet.versions()).toEqual(new Set([first, second]));
     fleet.net.connected = () => true;
-    expect(await fleet.clock.runUntil(fleet.inForce(second), 14_000)).toBe(true);
-    expect(fleet.broken).toEqual([]);
+    expect(await fleet.clock.runUntil(fleet.isActive(second), 14_000)).toBe(true);
+    expect(fleet.violations).toEqual([]);
     fleet.stop();
 });
 
 test("an entry that restarts during a store outage gets the manifest from its peers before it is caught up", async () => {
     const fleet = build(4, [0]);
     const version = await fleet.publish("A");
-    await fleet.clock.runUntil(fleet.inForce(version), 14_000);
+    await fleet.clock.runUntil(fleet.isActive(version), 14_000);
     fleet.control.setOutage(true);
     fleet.nodes.get(0)!.stop();
-    const reborn = fleet.start(0);
-    expect(reborn.isCaughtUp()).toBe(false);
-    await fleet.clock.runUntil(() => reborn.isCaughtUp(), 14_000);
-    expect(reborn.get("manifest")?.version).toBe(version);
+    const restarted = fleet.start(0);
+    expect(restarted.isCaughtUp()).toBe(false);
+    await fleet.clock.runUntil(() => restarted.isCaughtUp(), 14_000);
+    expect(restarted.get("manifest")?.version).toBe(version);
     fleet.stop();
 });
 
 test("an invalid manifest in the store becomes active on no entry", async () => {
     const fleet = build(6, [0, 1, 2]);
     const good = await fleet.publish("A");
-    await fleet.clock.runUntil(fleet.inForce(good), 14_000);
+    await fleet.clock.runUntil(fleet.isActive(good), 14_000);
     await fleet.publish("bad");
     await fleet.clock.advance(20_000);
     expect(fleet.versions()).toEqual(new Set([good]));
--- a/packages/entry/src/createDecisionStore.test.ts
+++ b/packages/entry/src/createDecisionStore.test.ts
@@ -21,11 +21,11 @@
 test("stores only the latest events", () => {
     const { clock } = createTestBench();
     const silent = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
-    const book = createDecisionStore(silent, clock);
+    const decisionStore = createDecisionStore(silent, clock);
     const kept = 8_192;
     for (let request = 0; request < kept + 2; request++) {
-        book.logger.info("requestPlaced", { request: `r${request}` });
+        decisionStore.logger.info("requestPlaced", { request: `r${request}` });
     }
-    const found = ["r0", "r1", "r2", `r${kept + 1}`].map(id => book.explain(id).decisions.length);
+    const found = ["r0", "r1", "r2", `r${kept + 1}`].map(id => decisionStore.explain(id).decisions.length);
     expect(found).toEqual([0, 0, 1, 1]);
 });
--- a/packages/entry/src/createJobOwnership.test.ts
+++ b/packages/entry/src/createJobOwnership.test.ts
@@ -13,7 +13,7 @@
 function createFixture() {
     const bench = createTestBench();
     const holders = new Map<string, { self: EntryId; lost: AbortController; }>();
-    const doings: string[] = [];
+    const events: string[] = [];
     let jobs = [forecast];
     let fencing = 0;
     let startOwner = async (): Promise<void> => undefined;
@@ -48,15 +48,15 @@
             tryAcquireLease: async key => leaseOf(self, key),
             createOwner: async (job, lease) => {
                 await startOwner();
-                doings.push(`${self} owns ${job.job} ${lease.fencing}`);
+                events.push(`${self} owns ${job.job} ${lease.fencing}`);
                 return {
                     ended: ended.signal,
                     updateJob: (changed: JobManifest) =>
-                        doings.push(`${self} updated to ${changed.priority}`),
-                    stop: async () => void doings.push(`${self} stopped`),
+                        events.push(`${self} updated to ${changed.priority}`),
+                    stop: async () => void events.push(`${self} stopped`),
                 } as unknown as Owner;
             },
-            announce: (job, lease) => doings.push(`${self} announced ${job} ${lease.fencing}`),
+            announce: (job, lease) => events.push(`${self} announced ${job} ${lease.fencing}`),
         });
         ownership.start();
         return { ...ownership, self, ended };
@@ -65,7 +65,7 @@
     const owners = () => running.filter(each => each.get(forecast.job) !== undefined);
     return {
         ...bench,
-        doings,
+        events,
         holders,
         running,
         owners,
@@ -79,7 +79,7 @@
 }
 
 test("one of two standbys owns a job, and the other takes over when the first releases it", async () => {
-    const { clock, owners, doings } = createFixture();
+    const { clock, owners, events } = createFixture();
     await clock.advance(3_000);
     const [first, ...more] = owners();
     expect(more).toEqual([]);
@@ -87,7 +87,7 @@
     await clock.advance(3_000);
     const [second] = owners();
     expect(second!.self).not.toBe(first!.self);
-    expect(doings).toMatchInlineSnapshot(`
+    expect(events).toMatchInlineSnapshot(`
       [
         "entry-2 owns forecast 1",
         "entry-2 announced forecast 1",
@@ -100,7 +100,7 @@
 
 test("a job gets a new owner after its lease is lost or its owner ends", async () => {
     // Guards against a job without an owner although all entries are healthy.
-    const { clock, owners, holders, doings } = createFixture();
+    const { clock, owners, holders, events } = createFixture();
     await clock.advance(3_000);
     const [first] = owners();
     const { lost } = holders.get("leases/job/forecast")!;
@@ -111,12 +111,12 @@
     const [second] = owners();
     second!.ended.abort();
     expect(second!.get(forecast.job)).toBeUndefined();
-    expect(doings.filter(line => line.endsWith("stopped"))).toHaveLength(2);
+    expect(events.filter(line => line.endsWith("stopped"))).toHaveLength(2);
 });
 
 test("a job gets a new owner if its lease is lost while the owner starts", async () => {
     // Guards against a job that makes no progress any more, because the abort of the lease was missed.
-    const { clock, owners, holders, doings, setStart } = createFixture();
+    const { clock, owners, holders, events, setStart } = createFixture();
     setStart(async () => {
         setStart(async () => undefined);
         const { lost } = holders.get("leases/job/forecast")!;
@@ -126,7 +126,7 @@
     await clock.advance(5_000);
     expect(owners()).toHaveLength(1);
     expect(owners()[0]!.get(forecast.job)!.lease.fencing).toBe(2);
-    expect(doings.filter(line => line.endsWith("stopped"))).toHaveLength(1);
+    expect(events.filter(line => line.endsWith("stopped"))).toHaveLength(1);
 });
 
 test("a shutdown releases the lease of an owner that is still starting", async () => {
@@ -141,13 +141,13 @@
 });
 
 test("the owner is updated when its job changes and stopped when the job is removed from the manifest", async () => {
-    const { clock, owners, holders, doings, setJobs } = createFixture();
+    const { clock, owners, holders, events, setJobs } = createFixture();
     await clock.advance(3_000);
     setJobs([{ ...forecast, priority: 9 }]);
     await clock.advance(2_000);
     setJobs([]);
     await clock.advance(2_000);
-    expect(doings.slice(2).map(line => line.replace(/^\S+ /u, ""))).toEqual(["updated to 9", "stopped"]);
+    expect(events.slice(2).map(line => line.replace(/^\S+ /u, ""))).toEqual(["updated to 9", "stopped"]);
     expect(owners()).toEqual([]);
     expect(holders.size).toBe(0);
 });
--- a/packages/entry/src/createKeyedRequestHandler.test.ts
+++ b/packages/entry/src/createKeyedRequestHandler.test.ts
@@ -24,7 +24,7 @@
     onForward: (count: number) => void = () => undefined,
 ) {
     const bench = createTestBench();
-    const passedOn: CallerRequest[] = [];
+    const forwardedRequests: CallerRequest[] = [];
     const caller = new AbortController();
     let executed = 0;
     const handleRequest = createKeyedRequestHandler({
@@ -33,8 +33,8 @@
         findRange: () => range as KeyRange | undefined,
         findOwnerAddress: () => "http://entry-2",
         forward: async (_address, request) => {
-            passedOn.push(request);
-            onForward(passedOn.length);
+            forwardedRequests.push(request);
+            onForward(forwardedRequests.length);
             return answers.shift()!;
         },
     });
@@ -43,7 +43,7 @@
         return signal.aborted ? broken : ran;
     };
     return {
-        passedOn,
+        forwardedRequests,
         caller,
         executed: () => executed,
         call: (change: Partial<CallerRequest> = {}) => {
@@ -54,9 +54,9 @@
 }
 
 test("a request is forwarded to the owner of its key and does not run here", async () => {
-    const { call, passedOn, executed } = createFixture([ran]);
+    const { call, forwardedRequests, executed } = createFixture([ran]);
     expect(await call()).toBe(ran);
-    expect(passedOn.map(each => each.budgetMs)).toEqual([1_000]);
+    expect(forwardedRequests.map(each => each.budgetMs)).toEqual([1_000]);
     expect(executed()).toBe(0);
 });
 
@@ -64,28 +64,28 @@
     // Guards against duplicate effects: a caller that is answered "not run" would send the request again under
     // another key.
     for (const refusal of [noOwner, noConnection]) {
-        const { call, passedOn } = createFixture([broken, refusal]);
+        const { call, forwardedRequests } = createFixture([broken, refusal]);
         expect(await call()).toBe(broken);
-        expect(passedOn).toHaveLength(2);
+        expect(forwardedRequests).toHaveLength(2);
     }
 });
 
 test("the outcome stays unknown if the caller disconnects during the second attempt", async () => {
     // Guards against counting a request as not run although the first attempt may have run it.
-    const { call, caller, passedOn } = createFixture([broken, noConnection], undefined, count => {
+    const { call, caller, forwardedRequests } = createFixture([broken, noConnection], undefined, count => {
         if (count === 2) {
             caller.abort();
         }
     });
     expect(await call()).toBe(broken);
-    expect(passedOn).toHaveLength(2);
+    expect(forwardedRequests).toHaveLength(2);
 });
 
 test("a forwarded request is not forwarded again", async () => {
     // Guards against two entries forwarding a request to each other until its deadline.
-    const { call, passedOn } = createFixture([]);
+    const { call, forwardedRequests } = createFixture([]);
     expect(await call({ forwarded: true })).toEqual(noOwner);
-    expect(passedOn).toEqual([]);
+    expect(forwardedRequests).toEqual([]);
 });
 
 test("a key that contains no time is refused, and nothing runs", async () => {
--- a/packages/entry/src/createManifestPublisher.test.ts
+++ b/packages/entry/src/createManifestPublisher.test.ts
@@ -20,23 +20,23 @@
         publisher.start();
         return publisher;
     };
-    const standing = (): string => (control.peek("config/manifest") as { name: string; }).name;
-    return { ...bench, store, start, standing };
+    const publishedName = (): string => (control.peek("config/manifest") as { name: string; }).name;
+    return { ...bench, store, start, publishedName };
 }
 
 test("a publication whose answer is lost is recognised as published", async () => {
     // Guards against reporting a store failure for a successful publication: a second attempt would be refused.
-    const { start, control, settle, standing } = createFixture();
+    const { start, control, settle, publishedName } = createFixture();
     const publisher = start();
     control.loseAnswers(1);
     expect(await settle(publisher.publish(manifest("first"), 0))).toEqual({ version: 1, changed: true });
-    expect(standing()).toBe("first");
+    expect(publishedName()).toBe("first");
     expect(await settle(publisher.publish(manifest("first"), 0))).toEqual({ version: 1, changed: false });
 });
 
 test("the second of two publications against the same version is refused with the published manifest", async () => {
     // Guards against losing an operator's change that was reported as accepted.
-    const { start, settle, standing } = createFixture();
+    const { start, settle, publishedName } = createFixture();
     const publisher = start();
     await settle(publisher.publish(manifest("first"), 0));
     await settle(publisher.publish(manifest("winner"), 1));
@@ -45,27 +45,27 @@
         code: resultCodes.manifestRaced,
         current: { version: 2, value: { name: "winner" } },
     });
-    expect(standing()).toBe("winner");
+    expect(publishedName()).toBe("winner");
 });
 
 test("a file that was already published is not published again after a restart", async () => {
     // Guards against overwriting a manifest that an operator has applied after the file.
-    const { start, store, settle, clock, standing } = createFixture();
+    const { start, store, settle, clock, publishedName } = createFixture();
     const text = JSON.stringify(manifest("file"));
     const publisher = start(() => text);
     await clock.advance(3_000);
-    expect(standing()).toBe("file");
+    expect(publishedName()).toBe("file");
     const { version } = (await settle(store.read("config/manifest")))!;
     await settle(publisher.publish(manifest("operator"), version));
     publisher.stop();
     start(() => text);
     await clock.advance(5_000);
-    expect(standing()).toBe("operator");
+    expect(publishedName()).toBe("operator");
 });
 
 test("a file does not overwrite an operator's change made between the two writes of its publication", async () => {
     // Guards against undoing the operator's change when the failed publication is retried a second later.
-    const { start, store, clock, standing } = createFixture();
+    const { start, store, clock, publishedName } = createFixture();
     const { write } = store;
     let writes = 0;
     store.write = async (key, value, expected) => {
@@ -80,12 +80,12 @@
     start(() => JSON.stringify(manifest("file")));
     await clock.advance(5_000);
     expect(writes).toBeGreaterThanOrEqual(2);
-    expect(standing()).toBe("operator");
+    expect(publishedName()).toBe("operator");
 });
 
 test("a changed file whose publication conflicts with another change is published over it", async () => {
     // Guards against a change of the manifest file that never takes effect.
-    const { start, store, clock, standing } = createFixture();
+    const { start, store, clock, publishedName } = createFixture();
     const write = store.write;
     store.write = async (key, value, expected) => {
         if (key === "config/manifest" && expected === 0) {
@@ -96,19 +96,19 @@
     const text = JSON.stringify(manifest("file"));
     start(() => text);
     await clock.advance(5_000);
-    expect(standing()).toBe("file");
+    expect(publishedName()).toBe("file");
 });
 
 test("an invalid file changes nothing, and its next valid text is published", async () => {
-    const { start, clock, lines, standing } = createFixture();
+    const { start, clock, lines, publishedName } = createFixture();
     let text = JSON.stringify(manifest("first"));
     start(() => text);
     await clock.advance(3_000);
     text = '{"name": "second", "teems": []';
     await clock.advance(3_000);
-    expect(standing()).toBe("first");
+    expect(publishedName()).toBe("first");
     expect(lines.filter(line => line.includes("manifestFileInvalid"))).toHaveLength(1);
     text = JSON.stringify(manifest("third"));
     await clock.advance(3_000);
-    expect(standing()).toBe("third");
+    expect(publishedName()).toBe("third");
 });
--- a/packages/entry/src/createReplicatedGroupStore.test.ts
+++ b/packages/entry/src/createReplicatedGroupStore.test.ts
@@ -29,49 +29,51 @@
 
 function createFixture(names: string[]) {
     const bench = createTestBench();
-    const gone = new Set<string>();
-    const keeps = new Map(names.map(name => [name, createMemoryGroupStore()]));
+    const unreachable = new Set<string>();
+    const groupStores = new Map(names.map(name => [name, createMemoryGroupStore()]));
     const shared = createReplicatedGroupStore({
         self: "owner",
         local: undefined,
-        listHosts: () => names.filter(name => !gone.has(name)).map(hostOf),
+        listHosts: () => names.filter(name => !unreachable.has(name)).map(hostOf),
         callPeer: async (address, method, params) => {
             const name = address.slice("http://".length);
-            if (gone.has(name)) {
+            if (unreachable.has(name)) {
                 throw new Error("no connection");
             }
-            return createGroupStoreMethods(keeps.get(name))[method]!(JSON.parse(JSON.stringify(params)));
+            return createGroupStoreMethods(groupStores.get(name))[method]!(
+                JSON.parse(JSON.stringify(params)),
+            );
         },
         logger: bench.logger,
     });
-    return { ...bench, shared, keeps, gone };
+    return { ...bench, shared, groupStores, unreachable };
 }
 
 test("all groups can be loaded while one of the hosts is unreachable", async () => {
     // Guards against generating a whole step again when one VM with a data folder fails together with the owner.
-    const { shared, gone, lines } = createFixture(["a", "b", "c"]);
+    const { shared, unreachable, lines } = createFixture(["a", "b", "c"]);
     await shared.save(record(0, 3, "zero"));
     await shared.save(record(1, 3, "one"));
     for (const name of ["a", "b", "c"]) {
-        gone.add(name);
+        unreachable.add(name);
         expect((await shared.load("forecast", 1)).map(each => each.body)).toEqual(["zero", "one"]);
-        gone.delete(name);
+        unreachable.delete(name);
     }
     expect(lines).toEqual([]);
 });
 
 test("of two copies of a group the one with the higher fencing number is loaded", async () => {
     // Guards against delivering samples that the current owner has not verified.
-    const { shared, keeps } = createFixture(["a", "b"]);
-    await keeps.get("a")!.save(record(0, 4, "successor"));
-    await keeps.get("b")!.save(record(0, 3, "lapsed"));
+    const { shared, groupStores } = createFixture(["a", "b"]);
+    await groupStores.get("a")!.save(record(0, 4, "successor"));
+    await groupStores.get("b")!.save(record(0, 3, "lapsed"));
     expect(await shared.load("forecast", 1)).toMatchObject([{ group: 0, fencing: 4, body: "successor" }]);
 });
 
 test("failing hosts cause a log line for a group without copies, and no call rejects", async () => {
-    const { shared, keeps, lines } = createFixture(["a", "b"]);
+    const { shared, groupStores, lines } = createFixture(["a", "b"]);
     const fail = () => Promise.reject(new Error("disk full"));
-    keeps.forEach(keep => Object.assign(keep, { save: fail, load: fail, drop: fail }));
+    groupStores.forEach(groupStore => Object.assign(groupStore, { save: fail, load: fail, drop: fail }));
     await shared.save(record(7, 1, "seven"));
     await shared.drop("forecast", 1, [7]);
     expect(await shared.load("forecast", 1)).toEqual([]);
--- a/packages/entry/src/createSnapshotRestore.test.ts
+++ b/packages/entry/src/createSnapshotRestore.test.ts
@@ -40,37 +40,39 @@
         membership: { listPeers: () => [{ address: "http://peer" }] },
     } as unknown as Fleet;
     const save = async (value: StartSnapshot): Promise<void> => void saved.push(value);
-    const quickStart = createSnapshotRestore({ fleet, clock, logger, snapshot, save });
+    const snapshotRestore = createSnapshotRestore({ fleet, clock, logger, snapshot, save });
     const manifest = createManifestView(documentSync.get);
     return {
         ...bench,
-        spread: documentSync,
-        quickStart,
+        documentSync,
+        snapshotRestore,
         saved,
-        inForce: () => `${manifest()?.manifest.name} ${manifest()?.version}`,
-        isSettled: () => documentSync.isCaughtUp() || quickStart.mayServeSnapshot(),
+        activeManifest: () => `${manifest()?.manifest.name} ${manifest()?.version}`,
+        mayServeManifest: () => documentSync.isCaughtUp() || snapshotRestore.mayServeSnapshot(),
     };
 }
 
 test("an entry that restarts while the object API and every peer are down serves from its snapshot", async () => {
     // Guards against refusing all calls for the duration of the outage.
-    const { clock, control, spread, quickStart, inForce, isSettled } = createFixture({
-        documents: [documentOf("kept", 7)],
-        peers: [],
-    });
+    const { clock, control, documentSync, snapshotRestore, activeManifest, mayServeManifest } = createFixture(
+        {
+            documents: [documentOf("kept", 7)],
+            peers: [],
+        },
+    );
     control.setOutage(true);
-    quickStart.start();
-    spread.start();
+    snapshotRestore.start();
+    documentSync.start();
     await clock.advance(4_500);
-    expect(isSettled()).toBe(false);
+    expect(mayServeManifest()).toBe(false);
     await clock.advance(1_000);
-    expect(isSettled()).toBe(true);
-    expect(inForce()).toBe("kept 7");
+    expect(mayServeManifest()).toBe(true);
+    expect(activeManifest()).toBe("kept 7");
 });
 
 test("a newer published manifest replaces that of the snapshot", async () => {
     // Guards against serving an outdated manifest.
-    const { clock, store, spread, quickStart, inForce, settle, saved } = createFixture({
+    const { clock, store, documentSync, snapshotRestore, activeManifest, settle, saved } = createFixture({
         documents: [documentOf("kept", 1)],
         peers: [],
     });
@@ -78,22 +80,22 @@
         settle(store.write("config/manifest", documentOf(name, 0).value, version as ObjectVersion));
     await write("other", 0);
     await write("newer", 1);
-    quickStart.start();
-    spread.start();
+    snapshotRestore.start();
+    documentSync.start();
     await clock.advance(6_000);
-    expect(inForce()).toBe("newer 2");
-    expect(spread.offer(documentOf("kept", 1))).toBe(false);
+    expect(activeManifest()).toBe("newer 2");
+    expect(documentSync.offer(documentOf("kept", 1))).toBe(false);
     expect(saved.at(-1)).toMatchObject({ documents: [{ version: 2 }], peers: ["http://peer"] });
 });
 
 test("an invalid manifest in a snapshot is not used, and without a snapshot nothing is served early", async () => {
     const broken = { ...documentOf("kept", 7), value: { name: "kept", teams: "none" } };
     for (const snapshot of [{ documents: [broken], peers: [] }, undefined]) {
-        const { clock, control, quickStart, inForce, isSettled } = createFixture(snapshot);
+        const { clock, control, snapshotRestore, activeManifest, mayServeManifest } = createFixture(snapshot);
         control.setOutage(true);
-        quickStart.start();
+        snapshotRestore.start();
         await clock.advance(10_000);
-        expect(inForce()).toBe("undefined undefined");
-        expect(isSettled()).toBe(snapshot !== undefined);
+        expect(activeManifest()).toBe("undefined undefined");
+        expect(mayServeManifest()).toBe(snapshot !== undefined);
     }
 });
--- a/packages/entry/src/writeAnswer.test.ts
+++ b/packages/entry/src/writeAnswer.test.ts
@@ -70,14 +70,14 @@
 
 test("an answer that is interrupted before anything is sent becomes an error with unknown outcome", async () => {
     for (const parts of [[], ["smoke "]]) {
-        const told = await fetchAnswer(parts, true).then(
+        const outcome = await fetchAnswer(parts, true).then(
             async answer =>
                 `${answer.headers.get("x-auburnarch-outcome")} ${
                     (await answer.json() as { name: string; }).name
                 }`,
             () => "broken",
         );
-        expect(["broken", "unknown connectionBroken"]).toContain(told);
+        expect(["broken", "unknown connectionBroken"]).toContain(outcome);
         server.closeAllConnections();
         server.close();
     }
--- a/packages/feeds/src/createOutageTracker.test.ts
+++ b/packages/feeds/src/createOutageTracker.test.ts
@@ -54,15 +54,15 @@
     await clock.advance(5_000);
     regain();
     evidence.recordStoreUp();
-    const toldUpMs = evidence.sinceOutageMs();
+    const firstSinceOutageMs = evidence.sinceOutageMs();
     await clock.advance(4_000);
     evidence.recordOutage(0);
-    expect([toldUpMs, evidence.sinceOutageMs()]).toEqual([Infinity, 4_000]);
+    expect([firstSinceOutageMs, evidence.sinceOutageMs()]).toEqual([Infinity, 4_000]);
 });
 
 test("the outage field is parsed from answers, and is absent in those of an earlier version", () => {
     const listed = { kind: "listed" as const, objects: [], revision: 7, sinceOutageMs: 40 };
-    const { sinceOutageMs: _unsaid, ...earlier } = listed;
+    const { sinceOutageMs: _sinceOutageMs, ...earlier } = listed;
     expect([
         feedSchemas.answer.parse(listed),
         feedSchemas.answer.parse({ kind: "unsure", sinceOutageMs: 0 }),
--- a/packages/forwarding/src/createBreakRegistry.test.ts
+++ b/packages/forwarding/src/createBreakRegistry.test.ts
@@ -42,7 +42,7 @@
 ) {
     const clock = createFakeClock();
     const upAtMs = new Map<string, number>();
-    const kills: number[] = [];
+    const crashes: number[] = [];
     const names = Array.from({ length: samplers }, (_, at) => createTestSampler(`s${at}`));
     const hub = createBreakRegistry(clock);
 
@@ -52,7 +52,7 @@
         }
         await clock.sleep(workMs, noSignal);
         if (isCrashInducing) {
-            kills.push(clock.monotonicMs());
+            crashes.push(clock.monotonicMs());
             upAtMs.set(name, clock.monotonicMs() + restartMs);
         }
         return clock.monotonicMs() < (upAtMs.get(name) ?? 0) ? broken : answered();
@@ -92,11 +92,11 @@
         };
         return forwarders[at % gateways]!({ ...asked, deadlineMs: 2_000 }, noSignal);
     };
-    return { clock, kills, send };
+    return { clock, crashes, send };
 }
 
 async function sendCrashInducing(isSharing: boolean) {
-    const { clock, kills: crashes, send } = createFleet({ gateways: 58, samplers: 8, isSharing });
+    const { clock, crashes, send } = createFleet({ gateways: 58, samplers: 8, isSharing });
     const ends: string[] = [];
     let harmless = 0;
     for (let at = 0; at < 40; at++) {
@@ -109,16 +109,16 @@
         });
         await clock.advance(1_000);
     }
-    return { kills: crashes.length, paused: ends.filter(end => end === "contentPaused").length, harmless };
+    return { crashes: crashes.length, paused: ends.filter(end => end === "contentPaused").length, harmless };
 }
 
 test("a crash-inducing request is known at 58 gateways within the time of one feed query", async () => {
-    expect(await sendCrashInducing(false)).toEqual({ kills: 41, paused: 0, harmless: 27 });
-    expect(await sendCrashInducing(true)).toEqual({ kills: 5, paused: 32, harmless: 40 });
+    expect(await sendCrashInducing(false)).toEqual({ crashes: 41, paused: 0, harmless: 27 });
+    expect(await sendCrashInducing(true)).toEqual({ crashes: 5, paused: 32, harmless: 40 });
 });
 
 test("the refusal of a crash-inducing request contains the time of the next attempt, and it runs then", async () => {
-    const { clock, kills, send } = createFleet({ gateways: 1, samplers: 4, isSharing: false });
+    const { clock, crashes, send } = createFleet({ gateways: 1, samplers: 4, isSharing: false });
     for (let at = 0; at < 2; at++) {
         void send(at, "killer");
         await clock.advance(5_000);
@@ -128,11 +128,11 @@
     const refused = await send(3, "killer");
     expect(refused).toMatchObject({ code: { name: "contentPaused", httpStatus: 503 } });
     expect(refused.kind === "failed" && Math.round(refused.retryAfterMs!)).toBe(9_925);
-    const before = kills.length;
+    const before = crashes.length;
     await clock.advance(9_925);
     void send(4, "killer");
     await clock.advance(100);
-    expect(kills.length - before).toBe(1);
+    expect(crashes.length - before).toBe(1);
 });
 
 test("a content that broke off beside others is cleared everywhere by its first completed attempt", async () => {
--- a/packages/membership/src/createMembership.test.ts
+++ b/packages/membership/src/createMembership.test.ts
@@ -94,19 +94,19 @@
         return node;
     };
     const all = Array.from({ length: count }, (_, at) => start(at));
-    const kill = (at: number): void => {
+    const crash = (at: number): void => {
         const { address } = recordOf(at, regions);
         nodes.get(address)?.stop();
         nodes.delete(address);
     };
-    const everybodyKnows = (known: number) => (): boolean =>
+    const areAllKnown = (known: number) => (): boolean =>
         [...nodes.values()].every(node => node.listPeers().length === known - 1);
-    return { clock, nodes, net, vms, start, all, kill, pause, everybodyKnows };
+    return { clock, nodes, net, vms, start, all, crash, pause, areAllKnown };
 }
 
 test("entries discover each other from the VM list and choose the same relays in different failure domains", async () => {
     const fleet = build(24);
-    expect(await fleet.clock.runUntil(fleet.everybodyKnows(24), 30_000)).toBe(true);
+    expect(await fleet.clock.runUntil(fleet.areAllKnown(24), 30_000)).toBe(true);
     const relays = fleet.all.flatMap((node, at) => node.isRelay() ? [recordOf(at, 1).failureDomain] : []);
     expect(relays).toHaveLength(3);
     expect(new Set(relays).size).toBe(3);
@@ -114,7 +114,7 @@
 
 test("each region has its own relays", async () => {
     const fleet = build(24, 2);
-    expect(await fleet.clock.runUntil(fleet.everybodyKnows(24), 30_000)).toBe(true);
+    expect(await fleet.clock.runUntil(fleet.areAllKnown(24), 30_000)).toBe(true);
     const regions = fleet.all.flatMap((node, at) => node.isRelay() ? [recordOf(at, 2).region] : []);
     expect(regions.sort()).toEqual(["region-0", "region-0", "region-1", "region-1"]);
 });
@@ -122,17 +122,17 @@
 test("crashed entries are suspected everywhere although the VM list still shows them as live", async () => {
     const fleet = build(12);
     await fleet.clock.advance(30_000);
-    fleet.kill(3);
-    fleet.kill(4);
-    expect(await fleet.clock.runUntil(fleet.everybodyKnows(10), 60_000)).toBe(true);
+    fleet.crash(3);
+    fleet.crash(4);
+    expect(await fleet.clock.runUntil(fleet.areAllKnown(10), 60_000)).toBe(true);
 });
 
 test("all entries of a crashed failure domain are suspected, and the others continue", async () => {
     const fleet = build(24);
     await fleet.clock.advance(30_000);
-    const doomed = Array.from({ length: 24 }, (_, at) => at).filter(at => at % 3 === 0);
-    doomed.forEach(fleet.kill);
-    expect(await fleet.clock.runUntil(fleet.everybodyKnows(16), 120_000)).toBe(true);
+    const crashing = Array.from({ length: 24 }, (_, at) => at).filter(at => at % 3 === 0);
+    crashing.forEach(fleet.crash);
+    expect(await fleet.clock.runUntil(fleet.areAllKnown(16), 120_000)).toBe(true);
     expect([...fleet.nodes.values()].filter(node => node.isRelay()).length).toBeGreaterThanOrEqual(2);
 });
 
@@ -141,12 +141,12 @@
     const fleet = build(12);
     await fleet.clock.advance(20_000);
     for (let at = 0; at < 12; at++) {
-        fleet.kill(at);
+        fleet.crash(at);
         await fleet.clock.advance(2_000);
         fleet.start(at);
         await fleet.clock.advance(3_000);
     }
-    expect(await fleet.clock.runUntil(fleet.everybodyKnows(12), 60_000)).toBe(true);
+    expect(await fleet.clock.runUntil(fleet.areAllKnown(12), 60_000)).toBe(true);
 });
 
 test("a live entry stays known although the VM list no longer contains it", async () => {
@@ -155,7 +155,7 @@
     await fleet.clock.advance(20_000);
     fleet.vms.list = fleet.vms.list.slice(1);
     await fleet.clock.advance(180_000);
-    expect(fleet.everybodyKnows(6)()).toBe(true);
+    expect(fleet.areAllKnown(6)()).toBe(true);
 });
 
 test("a link that works in one direction only does not cause suspicion", async () => {
@@ -179,24 +179,24 @@
     expect(Math.min(...nearPeers)).toBeGreaterThanOrEqual(5);
     expect(fleet.all.filter(node => node.isRelay())).toHaveLength(4);
     fleet.net.connected = () => true;
-    expect(await fleet.clock.runUntil(fleet.everybodyKnows(12), 120_000)).toBe(true);
+    expect(await fleet.clock.runUntil(fleet.areAllKnown(12), 120_000)).toBe(true);
 });
 
 test("an entry that restarts with its wall clock set back is trusted again", async () => {
     // Guards against a restarted entry that stays suspected although it answers.
     const fleet = build(6);
     await fleet.clock.advance(20_000);
-    fleet.kill(2);
+    fleet.crash(2);
     await fleet.clock.advance(30_000);
     fleet.start(2, -3_600_000);
-    expect(await fleet.clock.runUntil(fleet.everybodyKnows(6), 60_000)).toBe(true);
+    expect(await fleet.clock.runUntil(fleet.areAllKnown(6), 60_000)).toBe(true);
 });
 
 test("an entry that restarts with another address is reached at the new address", async () => {
     // Guards against reports and documents sent to an address that is no longer in use.
     const fleet = build(8);
     await fleet.clock.advance(20_000);
-    fleet.kill(2);
+    fleet.crash(2);
     fleet.start(2, 0, "http://10.0.9.9:1");
     const known = (): boolean =>
         [...fleet.nodes.values()].filter(node =>
@@ -215,13 +215,13 @@
             .filter(view => view.suspected && view.record.entry !== "entry-0").length;
     fleet.pause(0, true);
     await fleet.clock.advance(180_000);
-    expect(fleet.everybodyKnows(12)()).toBe(false);
+    expect(fleet.areAllKnown(12)()).toBe(false);
     fleet.pause(0, false);
     for (let second = 0; second < 30; second++) {
         await fleet.clock.advance(1_000);
         expect(suspicionsOfOthers()).toBe(0);
     }
-    expect(await fleet.clock.runUntil(fleet.everybodyKnows(12), 60_000)).toBe(true);
+    expect(await fleet.clock.runUntil(fleet.areAllKnown(12), 60_000)).toBe(true);
 });
 
 const reportOf = (
--- a/packages/runner/src/jobs/yieldsTo.test.ts
+++ b/packages/runner/src/jobs/yieldsTo.test.ts
@@ -24,8 +24,8 @@
     fc.assert(fc.property(ms, ms, late, late, (firstMs, secondMs, firstLateMs, secondLateMs) => {
         const first = { name: "a", runMs: firstMs };
         const second = { name: "b", runMs: secondMs };
-        const isFirstGone = yieldsTo(first, { ...second, runMs: secondMs - secondLateMs });
-        const isSecondGone = yieldsTo(second, { ...first, runMs: firstMs - firstLateMs });
-        return !(isFirstGone && isSecondGone);
+        const doesFirstYield = yieldsTo(first, { ...second, runMs: secondMs - secondLateMs });
+        const doesSecondYield = yieldsTo(second, { ...first, runMs: firstMs - firstLateMs });
+        return !(doesFirstYield && doesSecondYield);
     }));
 });
--- a/packages/runner/src/peers/chooseFeeder.test.ts
+++ b/packages/runner/src/peers/chooseFeeder.test.ts
@@ -10,7 +10,7 @@
         leaving: chooseFeeder("r2", true, [peer("r1", { isLeaving: true })]),
         storeless: chooseFeeder("r2", true, [peer("r1", { storeSilentMs: 300 })]),
         selfStoreless: chooseFeeder("r1", false, [peer("r2")]),
-        notHeardYet: chooseFeeder("r2", true, [{ ...peer("r1"), status: undefined }]),
+        notAnsweredYet: chooseFeeder("r2", true, [{ ...peer("r1"), status: undefined }]),
         none: chooseFeeder("r1", false, [peer("r2", { storeSilentMs: 10 })]),
     }).toEqual({
         self: "r1",
@@ -19,7 +19,7 @@
         leaving: "r2",
         storeless: "r2",
         selfStoreless: "r2",
-        notHeardYet: "r2",
+        notAnsweredYet: "r2",
         none: undefined,
     });
 });
--- a/packages/sidecar/src/serveSidecar.test.ts
+++ b/packages/sidecar/src/serveSidecar.test.ts
@@ -254,13 +254,13 @@
 });
 
 test("a request to a closed port is not run; one whose sidecar was killed while it ran is unknown", async () => {
-    const gone = createHttpSidecar({ address: "http://127.0.0.1:1", clock });
-    expect(await gone.callPlain(plainRequest(), never)).toMatchObject({
+    const unreachable = createHttpSidecar({ address: "http://127.0.0.1:1", clock });
+    expect(await unreachable.callPlain(plainRequest(), never)).toMatchObject({
         kind: "notRun",
         code: { name: "connectFailed" },
     });
-    await expect(gone.readReport()).rejects.toThrow("sidecarUnreachable");
-    gone.close();
+    await expect(unreachable.readReport()).rejects.toThrow("sidecarUnreachable");
+    unreachable.close();
 
     const { backend, control } = createFakePlainService({ clock, latencyMs: 60_000 });
     const { client, sidecar, close } = await serve(undefined, backend);
