--- a/packages/admission/src/createQuarantineRecords.ts
+++ b/packages/admission/src/createQuarantineRecords.ts
@@ -57,7 +57,7 @@
         const was = before !== undefined && isConvictedNow(before);
         const is = isConvictedNow(after);
         if (was !== is) {
-            const vms = new Set(after.deaths.map(death => death.vm)).size;
+            const vms = new Set(after.deaths.map(crash => crash.vm)).size;
             logger.warn(is ? "contentQuarantined" : "contentReleased", { digest: after.digest, vms });
         }
     }
@@ -76,7 +76,7 @@
     /** Whether a crash adds nothing: it is already recorded, or its VM already has the maximum. */
     function isRecorded(digest: ContentDigest, vm: string, bootId: string): boolean {
         const crashes = (records.get(digest)?.deaths ?? []).filter(crash => crash.vm === vm);
-        return crashes.length >= maxCrashesPerVm || crashes.some(death => death.bootId === bootId);
+        return crashes.length >= maxCrashesPerVm || crashes.some(crash => crash.bootId === bootId);
     }
 
     return {
@@ -110,7 +110,7 @@
             const record = records.get(digest);
             const liftedAtMs = record?.liftedAtMs ?? Number.NEGATIVE_INFINITY;
             return record !== undefined && isLive(record)
-                && record.deaths.some(death => death.atMs > liftedAtMs);
+                && record.deaths.some(crash => crash.atMs > liftedAtMs);
         },
         isRefused: digest => {
             const record = records.get(digest);
--- a/packages/admission/src/createQuarantineStore.ts
+++ b/packages/admission/src/createQuarantineStore.ts
@@ -35,14 +35,14 @@
 
 /** Creates the store of the quarantine list; a known version is only replaced by a higher one. */
 export function createQuarantineStore(
-    { store, clock, logger, records, onUnpublished: onNews }: QuarantineStoreDeps,
+    { store, clock, logger, records, onUnpublished }: QuarantineStoreDeps,
 ): QuarantineStore {
     let version: ObjectVersion = absent;
     let hasUnpublished = false;
 
     function markUnpublished(): void {
         hasUnpublished = true;
-        onNews();
+        onUnpublished();
     }
 
     /** Merges a stored list; true if it lacks records known here. */
--- a/packages/admission/src/mergeRecords.ts
+++ b/packages/admission/src/mergeRecords.ts
@@ -32,7 +32,7 @@
         const known = byBoot.get(key);
         byBoot.set(key, known === undefined ? crash : mergeCrash(known, crash));
     }
-    return [...byBoot].sort(([a], [b]) => a < b ? -1 : 1).map(([, death]) => death);
+    return [...byBoot].sort(([a], [b]) => a < b ? -1 : 1).map(([, crash]) => crash);
 }
 
 /**
--- a/packages/batches/src/BatchJobStore.ts
+++ b/packages/batches/src/BatchJobStore.ts
@@ -12,7 +12,7 @@
     /** Resolves once the batch job is stored. Accepting the same batch job again changes nothing. */
     accept(batchJob: BatchJob, submittedAtMs: number): Promise<void>;
     readEntry(batchJobId: BatchJobId): Promise<BatchJobEntry | undefined>;
-    readLot(batchJobId: BatchJobId): Promise<BatchJob | undefined>;
+    readBatchJob(batchJobId: BatchJobId): Promise<BatchJob | undefined>;
     readChunk(batchJobId: BatchJobId, number: number): Promise<ResultChunk | undefined>;
     /** Resolves with the chunk stored under this number: the given one, or one that another runner stored first. */
     appendChunk(batchJobId: BatchJobId, number: number, chunk: ResultChunk): Promise<ResultChunk>;
--- a/packages/batches/src/createBatchJobCache.ts
+++ b/packages/batches/src/createBatchJobCache.ts
@@ -15,7 +15,7 @@
  * Creates a read-through cache of the batch jobs read last. Submitted batch jobs never change, so no entry becomes
  * stale.
  */
-export function createBatchJobCache(store: Pick<BatchJobStore, "readLot">): BatchJobCache {
+export function createBatchJobCache(store: Pick<BatchJobStore, "readBatchJob">): BatchJobCache {
     const batchJobs = new Map<BatchJobId, BatchJob>();
 
     function add(batchJob: BatchJob): void {
@@ -33,7 +33,7 @@
             if (cached !== undefined) {
                 return cached;
             }
-            const found = await store.readLot(batchJobId);
+            const found = await store.readBatchJob(batchJobId);
             if (found !== undefined) {
                 add(found);
             }
--- a/packages/batches/src/createBatchJobStore.ts
+++ b/packages/batches/src/createBatchJobStore.ts
@@ -149,7 +149,7 @@
             });
         },
         readEntry,
-        readLot: batchJobId => readAs(batchJobSchemas.batchJob, bodyKey(batchJobId)),
+        readBatchJob: batchJobId => readAs(batchJobSchemas.batchJob, bodyKey(batchJobId)),
         readChunk: (batchJobId, number) => readAs(batchJobSchemas.chunk, chunkKey(batchJobId, number)),
         appendChunk: async (batchJobId, number, chunk) => {
             const key = chunkKey(batchJobId, number);
--- a/packages/bench/src/faults/createSimulation.ts
+++ b/packages/bench/src/faults/createSimulation.ts
@@ -59,7 +59,7 @@
             crashedAtMs: deaths.map(death => death.atMs).filter(atMs => atMs > liftedAtMs),
         }));
         const known = counted.filter(({ crashedAtMs }) => crashedAtMs.some(atMs => atMs < knownBeforeMs));
-        return new Map(known.map(({ digest, crashedAtMs: diedAtMs }) => [digest, Math.max(...diedAtMs)]));
+        return new Map(known.map(({ digest, crashedAtMs }) => [digest, Math.max(...crashedAtMs)]));
     }
 
     function crashRequestOf(prompt: string): { vms: Set<string>; runs: number; } {
--- a/packages/bench/src/policy/createFleet.ts
+++ b/packages/bench/src/policy/createFleet.ts
@@ -38,7 +38,7 @@
 
 interface FleetSampler {
     id: SamplerId;
-    gate: Sidecar;
+    sidecar: Sidecar;
     control: FakeEngineControl;
     port: SidecarPort;
     /** No message passes to or from the VM until `ms`. */
@@ -114,7 +114,7 @@
         const freezeUntil = (ms: number): void => {
             frozenUntilMs = ms;
         };
-        return { id, gate: { ...sidecar, kill }, control, port, freezeUntil, feed };
+        return { id, sidecar: { ...sidecar, kill }, control, port, freezeUntil, feed };
     }
 
     const groups = scenario.samplers.flatMap(group => Array.from({ length: group.count }, () => group));
@@ -128,7 +128,7 @@
         stop: () =>
             samplers.forEach(sampler => {
                 sampler.feed.stop();
-                sampler.gate.kill();
+                sampler.sidecar.kill();
             }),
     };
 }
--- a/packages/bench/src/policy/createReportFeed.ts
+++ b/packages/bench/src/policy/createReportFeed.ts
@@ -24,7 +24,7 @@
     isSilent: () => boolean,
 ): ReportFeed {
     let latest: SamplerReport | undefined;
-    let madeAtMs = 0;
+    let reportedAtMs = 0;
     let cancelNext = (): void => {};
 
     function send(): void {
@@ -35,7 +35,7 @@
         const sentAtMs = clock.monotonicMs();
         clock.startTimer(reports.lagMs, () => {
             latest = report;
-            madeAtMs = sentAtMs;
+            reportedAtMs = sentAtMs;
         });
     }
 
@@ -51,7 +51,7 @@
             if (latest === undefined) {
                 return undefined;
             }
-            const reportAgeMs = clock.monotonicMs() - madeAtMs;
+            const reportAgeMs = clock.monotonicMs() - reportedAtMs;
             return {
                 report: latest,
                 reportAgeMs,
--- a/packages/bench/src/policy/startFaults.ts
+++ b/packages/bench/src/policy/startFaults.ts
@@ -18,7 +18,7 @@
                     sampler.control.crash();
                     clock.startTimer(crash.downMs, () => sampler.control.restart([]));
                 })
-                .with({ kind: "vmLost" }, () => sampler.gate.kill())
+                .with({ kind: "vmLost" }, () => sampler.sidecar.kill())
                 .with({ kind: "freeze" }, freeze => sampler.freezeUntil(clock.monotonicMs() + freeze.forMs))
                 .with({ kind: "swapFailure" }, () => sampler.control.failNextLoad("old"))
                 .exhaustive());
--- a/packages/bench/src/slopes/measureLeases.ts
+++ b/packages/bench/src/slopes/measureLeases.ts
@@ -21,7 +21,7 @@
         latencyMs: storeLatencyMs,
     });
     const { logger } = createSuspicionLogger();
-    const keeper = createLeaseManager({
+    const leaseManager = createLeaseManager({
         store,
         clock,
         random,
@@ -32,7 +32,7 @@
         holder: "entry-1",
     });
     const acquiring = Promise.all(
-        Array.from({ length: leases }, (_, at) => keeper.tryAcquire(jobLeaseKey(`job-${at}` as JobId))),
+        Array.from({ length: leases }, (_, at) => leaseManager.tryAcquire(jobLeaseKey(`job-${at}` as JobId))),
     );
     await clock.advance(1_000);
     await acquiring;
@@ -40,7 +40,7 @@
     await clock.advance(measuredMs);
     const after = control.calls();
     const seconds = measuredMs / 1_000;
-    const released = keeper.releaseAll();
+    const released = leaseManager.releaseAll();
     await clock.advance(1_000);
     await released;
     return {
--- a/packages/daemon/src/createInternalCallHandler.ts
+++ b/packages/daemon/src/createInternalCallHandler.ts
@@ -29,7 +29,7 @@
         breaks.merge(feedSchemas.breaks.parse(params).breaks);
         const report = feedExtrasSchemas.query.parse(params).starts;
         if (report !== undefined) {
-            starts?.learn(report);
+            starts?.merge(report);
         }
         const answer = await hub().answer(query);
         const breakReports = breaks.listAll(query.since === undefined ? Infinity : breakReportWindowMs);
--- a/packages/daemon/src/startCommon.ts
+++ b/packages/daemon/src/startCommon.ts
@@ -43,7 +43,7 @@
     /** Contents of requests whose attempts broke off at samplers, as exchanged between processes. */
     breaks: BreakRegistry;
     storeSilentMs: () => number;
-    storeHeardMs: () => number;
+    sinceStoreAnswerMs: () => number;
     storeRegainedMs: () => number;
     tables: WatchedKind<RoutingTable>;
     routing: RoutingView;
@@ -125,7 +125,7 @@
         ...watched,
         kind: platformKinds.samplers,
         decode: decodeSampler,
-        gatherMs: () => isBusy() ? busyGatherMs : idleGatherMs,
+        coalesceMs: () => isBusy() ? busyGatherMs : idleGatherMs,
     });
     const agentFor = createSamplerAgents();
     return {
@@ -138,7 +138,7 @@
         extras,
         breaks: extras.breaks,
         storeSilentMs: health.silentMs,
-        storeHeardMs: health.sinceAnswerMs,
+        sinceStoreAnswerMs: health.sinceAnswerMs,
         storeRegainedMs: health.regainedMs,
         tables,
         routing: createRoutingView(tables, logger),
--- a/packages/daemon/src/testing/createFeedFleet.ts
+++ b/packages/daemon/src/testing/createFeedFleet.ts
@@ -100,7 +100,7 @@
             runnerNames.filter(name => name !== self).map(name => ({
                 name,
                 isAlive: isAlive(name),
-                heardMs: 0,
+                answerAgeMs: 0,
                 status: { storeSilentMs: state.faults.isStoreDown(name) ? 500 : 0 } as RunnerStatus,
             }));
         const monitor = createStoreOutageMonitor({
@@ -113,7 +113,7 @@
                 self,
                 feeder: avoided => chooseFeeder(self, health.silentMs() === 0, peersOf(), avoided),
                 store: health.store,
-                gatherMsOf: () => 0,
+                coalesceMsOf: () => 0,
                 sinceStoreAnswerMs: health.sinceAnswerMs,
                 sinceOutageMs: monitor.sinceOutageMs,
                 clock,
--- a/packages/discovery/src/followPrefix.ts
+++ b/packages/discovery/src/followPrefix.ts
@@ -12,7 +12,7 @@
     /** Maximum wait of one watch. */
     waitMs: number;
     /** Pause after each list and each watch with changes, so that changes in quick succession cost one call. */
-    gatherMs: () => number;
+    coalesceMs: () => number;
     /** Receives all objects; absent ones were removed. `sentAtMs` is the time at which the call was sent. */
     onListed: (
         objects: Pick<StoredObject, "key" | "version" | "value">[],
@@ -34,7 +34,7 @@
  * The returned function stops following.
  */
 export function followPrefix(options: FollowPrefixOptions): () => void {
-    const { store, clock, prefix, waitMs, gatherMs } = options;
+    const { store, clock, prefix, waitMs, coalesceMs } = options;
     const stopped = new AbortController();
     let revision: ObjectVersion | undefined;
     let isListDue = true;
@@ -70,7 +70,7 @@
                 ? await listOnce().then(() => true)
                 : await watchOnce(revision);
             if (isChanged) {
-                await clock.sleep(gatherMs(), stopped.signal);
+                await clock.sleep(coalesceMs(), stopped.signal);
             }
         }
         catch (error) {
--- a/packages/discovery/src/watchKind.ts
+++ b/packages/discovery/src/watchKind.ts
@@ -18,7 +18,7 @@
     /** Maximum wait of one watch; `defaultWaitMs` by default. */
     waitMs?: number;
     /** Pause after each list and each watch with changes, so that changes in quick succession cost one call. */
-    gatherMs?: () => number;
+    coalesceMs?: () => number;
 }
 
 /**
@@ -34,7 +34,7 @@
  * were removed while the store was unreachable are detected by the next list.
  */
 export function watchKind<T>(options: WatchKindOptions<T>): WatchedKind<T> {
-    const { store, clock, logger, kind, decode, gatherMs = () => 0, waitMs = defaultWaitMs } = options;
+    const { store, clock, logger, kind, decode, coalesceMs = () => 0, waitMs = defaultWaitMs } = options;
     const prefix = `${kind}/`;
     const objects = new Map<string, T>();
     /** Versions of present objects that could not be decoded, by name. */
@@ -114,7 +114,7 @@
         clock,
         prefix,
         waitMs,
-        gatherMs,
+        coalesceMs,
         onListed: (found, at, sentAtMs) => {
             recordAnswer(at, sentAtMs);
             replaceAll(found);
--- a/packages/entry/src/createOwnership.ts
+++ b/packages/entry/src/createOwnership.ts
@@ -65,7 +65,7 @@
             listSamplers: () => views.list(job.service),
             sidecar: views.sidecar,
             scoring: deps.scoring,
-            keep: groupStore,
+            groupStore,
             cursorKey: deps.cursorKey,
         };
         return createOwner(ownerDeps, guards?.owner, guards?.ownerParts);
--- a/packages/entry/src/createReplicatedGroupStore.ts
+++ b/packages/entry/src/createReplicatedGroupStore.ts
@@ -41,7 +41,7 @@
         host: GroupStoreHost,
         method: string,
         params: unknown,
-        callLocal: (keep: GroupStore) => Promise<T>,
+        callLocal: (store: GroupStore) => Promise<T>,
     ): Promise<unknown> {
         if (host.entry === self) {
             return local === undefined ? Promise.reject(new Error("no data folder")) : callLocal(local);
@@ -50,11 +50,11 @@
     }
 
     async function save(record: StoredGroup): Promise<void> {
-        const keepers = selectHosts(record.job, record.step);
+        const hosts = selectHosts(record.job, record.step);
         const saved = await Promise.allSettled(
-            keepers.map(host => call(host, "keepSave", record, keep => keep.save(record))),
+            hosts.map(host => call(host, "keepSave", record, store => store.save(record))),
         );
-        if (keepers.length > 0 && !saved.some(each => each.status === "fulfilled")) {
+        if (hosts.length > 0 && !saved.some(each => each.status === "fulfilled")) {
             logger.warn("groupNotKept", {
                 job: record.job,
                 step: record.step,
@@ -65,7 +65,7 @@
     }
 
     async function loadFrom(host: GroupStoreHost, job: string, step: number): ReturnType<GroupStore["load"]> {
-        const loaded = await call(host, "keepLoad", { job, step }, keep => keep.load(job, step)).catch(
+        const loaded = await call(host, "keepLoad", { job, step }, store => store.load(job, step)).catch(
             () => [],
         );
         const parsed = recordsSchema.safeParse(loaded);
@@ -89,7 +89,7 @@
         const params = { job, step, groups };
         await Promise.allSettled(
             selectHosts(job, step).map(host =>
-                call(host, "keepDrop", params, keep => keep.drop(job, step, groups))
+                call(host, "keepDrop", params, store => store.drop(job, step, groups))
             ),
         );
     }
--- a/packages/feeds/src/createFeedHub.test.ts
+++ b/packages/feeds/src/createFeedHub.test.ts
@@ -20,7 +20,7 @@
         isCutOff: false,
         isFeederSilent: false,
         isHistoryGoing: false,
-        storeHeardAtMs: 0,
+        storeAnsweredAtMs: 0,
         feeder: "r1",
         direct: 0,
         fed: 0,
@@ -32,7 +32,7 @@
         if (state.isCutOff) {
             await clock.sleep(3_000_000);
         }
-        state.storeHeardAtMs = clock.monotonicMs();
+        state.storeAnsweredAtMs = clock.monotonicMs();
         return found;
     }
     const runnerStore: Pick<ObjectStore, "list" | "watch"> = {
@@ -44,8 +44,8 @@
         feeder: (avoided = []) => avoided.includes(state.feeder) ? "r1" : state.feeder,
         store: runnerStore,
         // While connected, a process calls the store twice a second, so its last answer is always recent.
-        gatherMsOf: () => 100,
-        sinceStoreAnswerMs: () => state.isCutOff ? clock.monotonicMs() - state.storeHeardAtMs : 0,
+        coalesceMsOf: () => 100,
+        sinceStoreAnswerMs: () => state.isCutOff ? clock.monotonicMs() - state.storeAnsweredAtMs : 0,
         sinceOutageMs: () => undefined,
         clock,
         logger: silent,
@@ -183,8 +183,8 @@
     await put("servers/a");
     const [listed] = await Promise.all([fed.list("servers/"), clock.advance(100)]);
     const ahead = (listed.revision as number) + 7 as ObjectVersion;
-    const [told] = await Promise.all([fed.watch("servers/", ahead, 500), clock.advance(700)]);
-    expect(told).toEqual({ changes: [], revision: ahead });
+    const [answer] = await Promise.all([fed.watch("servers/", ahead, 500), clock.advance(700)]);
+    expect(answer).toEqual({ changes: [], revision: ahead });
     hub.stop();
 });
 
@@ -193,8 +193,8 @@
     await put("servers/a");
     await put("servers/ab");
     await put("servers/b");
-    const [told] = await Promise.all([fed.watch("servers/a", 0 as ObjectVersion, 500), clock.advance(700)]);
-    expect([told.relisted, told.changes.map(change => change.key)]).toEqual([true, [
+    const [answer] = await Promise.all([fed.watch("servers/a", 0 as ObjectVersion, 500), clock.advance(700)]);
+    expect([answer.relisted, answer.changes.map(change => change.key)]).toEqual([true, [
         "servers/a",
         "servers/ab",
     ]]);
@@ -230,13 +230,13 @@
     state.feeder = "r0";
     await clock.advance(300);
     const declined = [await ask([]), await isFollowing()];
-    const standingIn = [await ask(["r0"]), await isFollowing()];
+    const backup = [await ask(["r0"]), await isFollowing()];
     await clock.advance(4_000);
     const afterwards = await isFollowing();
-    expect({ asFeeder, declined, standingIn, afterwards }).toEqual({
+    expect({ asFeeder, declined, backup, afterwards }).toEqual({
         asFeeder: ["listed", true],
         declined: ["elsewhere", false],
-        standingIn: ["listed", true],
+        backup: ["listed", true],
         afterwards: false,
     });
     hub.stop();
--- a/packages/feeds/src/createFeedHub.ts
+++ b/packages/feeds/src/createFeedHub.ts
@@ -13,7 +13,7 @@
     feeder: (avoided?: readonly string[]) => string | undefined;
     store: Pick<ObjectStore, "list" | "watch">;
     /** Delay after a change of a kind, so that changes close together cost one call to the store. */
-    gatherMsOf: (prefix: string) => number;
+    coalesceMsOf: (prefix: string) => number;
     /** Longest wait of a watch of a kind; by default `followWaitMs`. */
     waitMsOf?: (prefix: string) => number | undefined;
     /** Milliseconds since the store last answered this process. */
@@ -70,7 +70,7 @@
             clock,
             prefix,
             waitMs,
-            gatherMs: deps.gatherMsOf(prefix),
+            coalesceMs: deps.coalesceMsOf(prefix),
         });
         const kind = { copy, waitMs, lastQueryAtMs: clock.monotonicMs(), followedUntilMs: -Infinity };
         kinds.set(prefix, kind);
--- a/packages/feeds/src/createKindCopy.ts
+++ b/packages/feeds/src/createKindCopy.ts
@@ -14,7 +14,7 @@
     /** Longest wait of one watch. */
     waitMs: number;
     /** Delay after a change, so that changes close together cost one call to the store. */
-    gatherMs: number;
+    coalesceMs: number;
 }
 
 interface ChangeBatch {
@@ -26,7 +26,7 @@
 const maxBatches = 200;
 
 /** Creates a copy that follows a kind and keeps its recent changes. */
-export function createKindCopy({ store, clock, prefix, waitMs, gatherMs }: KindCopyOptions): KindCopy {
+export function createKindCopy({ store, clock, prefix, waitMs, coalesceMs }: KindCopyOptions): KindCopy {
     let objects = new Map<string, StoredObject>();
     let revision: ObjectVersion | undefined;
     /** Oldest first; all changes after `changesSince`. */
@@ -77,7 +77,7 @@
         clock,
         prefix,
         waitMs,
-        gatherMs: () => gatherMs,
+        coalesceMs: () => coalesceMs,
         onListed: applyList,
         onChanged: applyChanges,
         // Failures are logged and counted with the store's calls, and show here in the age of the copy.
--- a/packages/gateway/src/ClientCall.ts
+++ b/packages/gateway/src/ClientCall.ts
@@ -4,7 +4,7 @@
 
 /** A call about a batch job, with its host and the client's credential. */
 interface BatchJobCall {
-    lot: BatchJobId;
+    batchJobId: BatchJobId;
     host: string;
     credential: Credential;
 }
--- a/packages/gateway/src/createBatchJobHandler.ts
+++ b/packages/gateway/src/createBatchJobHandler.ts
@@ -39,23 +39,23 @@
     ): Promise<ClientAnswer> {
         const startedAtMs = clock.monotonicMs();
         const body = await request.readBody(table.clientLimits.maxBodyBytes);
-        const lot = { ...deps.decodeBatchJob(id as BatchJobId, request.host, request.path, body), team };
+        const batchJob = { ...deps.decodeBatchJob(id as BatchJobId, request.host, request.path, body), team };
         try {
-            await deps.batchJobStore.accept(lot, clock.wallMs());
+            await deps.batchJobStore.accept(batchJob, clock.wallMs());
         }
         catch (error) {
             const isUnknown = codeOf(error) === resultCodes.storeUnavailable;
             throw isUnknown ? new ResultError(resultCodes.acceptanceUnknown, String(error)) : error;
         }
-        deps.batchJobReader.cache(lot);
+        deps.batchJobReader.cache(batchJob);
         logger.info("lotAccepted", {
             lot: id,
             team,
-            policy: lot.policy,
-            step: lot.step,
-            minVersion: lot.minVersion,
-            items: lot.items.length,
-            neededGroups: lot.neededGroups,
+            policy: batchJob.policy,
+            step: batchJob.step,
+            minVersion: batchJob.minVersion,
+            items: batchJob.items.length,
+            neededGroups: batchJob.neededGroups,
             bytes: body.length,
             configVersion: table.version,
             tookMs: Math.round(clock.monotonicMs() - startedAtMs),
@@ -64,42 +64,42 @@
     }
 
     async function read(
-        lot: BatchJobId,
+        batchJobId: BatchJobId,
         caller: TeamId | undefined,
         after: number,
         waitMs: number,
         signal: AbortSignal,
     ): Promise<ClientAnswer> {
         const startedAtMs = clock.monotonicMs();
-        const page = await deps.batchJobReader.read(lot, caller, after, waitMs, signal);
+        const page = await deps.batchJobReader.read(batchJobId, caller, after, waitMs, signal);
         if (page === undefined) {
-            throw new ResultError(resultCodes.unknownLot, lot);
+            throw new ResultError(resultCodes.unknownLot, batchJobId);
         }
         if (page.results.length > 0) {
             const { total, next } = page;
             const tookMs = Math.round(clock.monotonicMs() - startedAtMs);
-            logger.info("resultsRead", { lot, after, next, total, waitMs, tookMs });
+            logger.info("resultsRead", { lot: batchJobId, after, next, total, waitMs, tookMs });
         }
         return { kind: "lotPage", page };
     }
 
     async function readItem(
-        lot: BatchJobId,
+        batchJobId: BatchJobId,
         caller: TeamId | undefined,
         item: string,
     ): Promise<ClientAnswer> {
-        const found = await deps.batchJobReader.readItem(lot, caller, item);
+        const found = await deps.batchJobReader.readItem(batchJobId, caller, item);
         if (found === undefined) {
-            throw new ResultError(resultCodes.unknownLot, `${lot} item ${item}`);
+            throw new ResultError(resultCodes.unknownLot, `${batchJobId} item ${item}`);
         }
         return { kind: "lotItem", body: Buffer.from(found.bodyBase64, "base64") };
     }
 
-    async function end(lot: BatchJobId, caller: TeamId | undefined): Promise<ClientAnswer> {
-        if (!await deps.batchJobStore.end(lot, caller)) {
-            throw new ResultError(resultCodes.unknownLot, lot);
+    async function end(batchJobId: BatchJobId, caller: TeamId | undefined): Promise<ClientAnswer> {
+        if (!await deps.batchJobStore.end(batchJobId, caller)) {
+            throw new ResultError(resultCodes.unknownLot, batchJobId);
         }
-        logger.info("lotEnded", { lot });
+        logger.info("lotEnded", { lot: batchJobId });
         return { kind: "lotEnded" };
     }
 
--- a/packages/gateway/src/createGateway.test.ts
+++ b/packages/gateway/src/createGateway.test.ts
@@ -88,7 +88,7 @@
     const real = createBatchJobStore(store);
     const batchJobStore = over.batchJobStore?.(real) ?? real;
     const state = { storeSilentMs: 0, isKnown: true, routingAgeMs: 0 };
-    const relayedRequests: RoutedRequest[] = [];
+    const forwardedRequests: RoutedRequest[] = [];
     const forwardOutcome: ForwardingOutcome = {
         kind: "failed",
         code: resultCodes.noSampler,
@@ -100,7 +100,7 @@
         directory: { ...createTestDirectory([]), isKnown: () => state.isKnown },
         routingAgeMs: () => state.routingAgeMs,
         forwardRequest: async request => {
-            relayedRequests.push(request);
+            forwardedRequests.push(request);
             return forwardOutcome;
         },
         batchJobStore,
@@ -135,7 +135,7 @@
                 readBody: async () => new Uint8Array(),
             },
         });
-    return { gateway, state, control, ask, post, relayedRequests };
+    return { gateway, state, control, ask, post, forwardedRequests };
 }
 
 const show = (answer: ClientAnswer): string => {
@@ -146,7 +146,7 @@
         ? `page ${answer.page.results.length} of ${answer.page.total}`
         : answer.kind;
 };
-const lot = "r-1" as BatchJobId;
+const batchJobId = "r-1" as BatchJobId;
 const anonymousCall = { host: "a.example", credential: { kind: "none" } } as const;
 
 test("a batch job can be submitted, read and ended, also repeatedly", async () => {
@@ -154,10 +154,10 @@
     const answers = [
         await post("/plume/1"),
         await post("/plume/1"),
-        await ask({ kind: "readLot", ...anonymousCall, lot, after: 0, waitMs: 0 }),
-        await ask({ kind: "readItem", ...anonymousCall, lot, item: "item-1" }),
-        await ask({ kind: "endLot", ...anonymousCall, lot }),
-        await ask({ kind: "endLot", ...anonymousCall, lot }),
+        await ask({ kind: "readLot", ...anonymousCall, batchJobId, after: 0, waitMs: 0 }),
+        await ask({ kind: "readItem", ...anonymousCall, batchJobId, item: "item-1" }),
+        await ask({ kind: "endLot", ...anonymousCall, batchJobId }),
+        await ask({ kind: "endLot", ...anonymousCall, batchJobId }),
     ];
     expect(answers).toEqual(["lotAccepted", "lotAccepted", "page 0 of 1", "lotItem", "lotEnded", "lotEnded"]);
 });
@@ -167,7 +167,13 @@
     const none = createFixture({ routing: () => undefined });
     expect({
         route: await post("/other/1"),
-        lot: await ask({ kind: "readLot", ...anonymousCall, lot: "r-9" as BatchJobId, after: 0, waitMs: 0 }),
+        lot: await ask({
+            kind: "readLot",
+            ...anonymousCall,
+            batchJobId: "r-9" as BatchJobId,
+            after: 0,
+            waitMs: 0,
+        }),
         id: await post("/plume/1", ""),
         noConfiguration: await none.post("/tiles/1"),
         noSampler: await post("/tiles/1"),
@@ -187,7 +193,7 @@
     const { post, ask, control } = createFixture();
     await post("/plume/1");
     control.setOutage(true);
-    expect(await ask({ kind: "readLot", ...anonymousCall, lot, after: 0, waitMs: 0 })).toBe(
+    expect(await ask({ kind: "readLot", ...anonymousCall, batchJobId, after: 0, waitMs: 0 })).toBe(
         "503 storeUnavailable 250",
     );
 });
@@ -233,7 +239,7 @@
 };
 
 test("a request without a configured key is refused and reaches no sampler", async () => {
-    const { post, relayedRequests } = createFixture({ routing: () => withTeams });
+    const { post, forwardedRequests } = createFixture({ routing: () => withTeams });
     const answers = [
         await post("/tiles/1"),
         await post("/tiles/1", "r-2", keyOf("d-nobody")),
@@ -241,16 +247,16 @@
         await post("/plume/1", "r-4", keyOf("d-nobody")),
     ];
     expect(answers).toEqual(Array.from({ length: 4 }, () => "401 unknownKey -"));
-    expect(relayedRequests).toEqual([]);
+    expect(forwardedRequests).toEqual([]);
 });
 
 test("a sampler receives the team of the key but never the key", async () => {
-    const { post, relayedRequests } = createFixture({ routing: () => withTeams });
+    const { post, forwardedRequests } = createFixture({ routing: () => withTeams });
     await post("/tiles/1", "r-1", keyOf("d-hule"));
     await post("/open/1", "r-2");
     await post("/open/1", "r-3", keyOf("d-nobody"));
     await post("/open/1", "r-4", keyOf("d-fida"));
-    expect(relayedRequests.map(({ team, headers }) => [team, headers])).toEqual([
+    expect(forwardedRequests.map(({ team, headers }) => [team, headers])).toEqual([
         ["hule", {}],
         [undefined, {}],
         [undefined, {}],
@@ -259,9 +265,9 @@
 });
 
 test("a credential is forwarded to the sampler if the configuration has no teams", async () => {
-    const { post, relayedRequests } = createFixture();
+    const { post, forwardedRequests } = createFixture();
     await post("/tiles/1", "r-1", keyOf("d-hule"));
-    expect(relayedRequests.map(({ team, headers }) => [team, headers])).toEqual([
+    expect(forwardedRequests.map(({ team, headers }) => [team, headers])).toEqual([
         [undefined, { authorization: "as sent" }],
     ]);
 });
@@ -270,7 +276,7 @@
     const { post, ask } = createFixture({ routing: () => withTeams });
     await post("/plume/1", "r-1", keyOf("d-hule"));
     const callsOf = (credential: Credential): Promise<string>[] => {
-        const call = { host: "a.example", credential, lot };
+        const call = { host: "a.example", credential, batchJobId };
         return [
             ask({ kind: "readLot", ...call, after: 0, waitMs: 0 }),
             ask({ kind: "readItem", ...call, item: "item-1" }),
--- a/packages/gateway/src/createGateway.ts
+++ b/packages/gateway/src/createGateway.ts
@@ -128,10 +128,10 @@
         return match(call)
             .with(
                 { kind: "readLot" },
-                ({ lot, after, waitMs }) => batchJobs.read(lot, caller, after, waitMs, signal),
+                ({ batchJobId: id, after, waitMs }) => batchJobs.read(id, caller, after, waitMs, signal),
             )
-            .with({ kind: "readItem" }, ({ lot, item }) => batchJobs.readItem(lot, caller, item))
-            .with({ kind: "endLot" }, ({ lot }) => batchJobs.end(lot, caller))
+            .with({ kind: "readItem" }, ({ batchJobId: id, item }) => batchJobs.readItem(id, caller, item))
+            .with({ kind: "endLot" }, ({ batchJobId: id }) => batchJobs.end(id, caller))
             .exhaustive();
     }
 
@@ -142,7 +142,7 @@
     }
 
     const subjectOf = (call: ClientCall): string | undefined =>
-        call.kind === "request" ? call.request.requestId : call.lot;
+        call.kind === "request" ? call.request.requestId : call.batchJobId;
 
     return {
         answer: async (call, signal) => {
--- a/packages/gateway/src/createRunnerResults.ts
+++ b/packages/gateway/src/createRunnerResults.ts
@@ -30,16 +30,16 @@
         }
     }
 
-    return async (lot, fromChunk, waitMs) => {
+    return async (batchJobId, fromChunk, waitMs) => {
         const found = await deps.caller.ask(
-            runnerByBatchJob.get(lot),
-            address => deps.send(address, { lot, fromChunk, waitMs }, waitMs + answerGraceMs),
+            runnerByBatchJob.get(batchJobId),
+            address => deps.send(address, { lot: batchJobId, fromChunk, waitMs }, waitMs + answerGraceMs),
         );
-        runnerByBatchJob.delete(lot);
+        runnerByBatchJob.delete(batchJobId);
         if (found?.answer.kind !== "known") {
             return undefined;
         }
-        remember(lot, found.runner);
+        remember(batchJobId, found.runner);
         const { total, team, chunks, hasMore } = found.answer;
         return { total, team, chunks, hasMore };
     };
--- a/packages/membership/src/createEntryRegistry.ts
+++ b/packages/membership/src/createEntryRegistry.ts
@@ -24,9 +24,9 @@
     beat.generation > known.generation
     || (beat.generation === known.generation && beat.counter > known.counter);
 
-const toView = (record: EntryRecord, { beat, lastAliveAtMs: heardMs }: Row, nowMs: number): EntryView => ({
+const toView = (record: EntryRecord, { beat, lastAliveAtMs }: Row, nowMs: number): EntryView => ({
     record,
-    ageMs: nowMs - heardMs,
+    ageMs: nowMs - lastAliveAtMs,
     suspected: beat.suspected === true,
     leaving: beat.leaving === true,
 });
@@ -160,9 +160,9 @@
 
     function prune(isListed: (record: EntryRecord) => boolean): void {
         for (const [entry, row] of rows) {
-            const isGone = row.beat.suspected === true || row.record === undefined;
+            const isSuspectedOrUnknown = row.beat.suspected === true || row.record === undefined;
             const isOld = nowMs() - row.suspicionChangedAtMs > timing.forgetAfterMs;
-            if (isGone && isOld && (row.record === undefined || !isListed(row.record))) {
+            if (isSuspectedOrUnknown && isOld && (row.record === undefined || !isListed(row.record))) {
                 forget(entry, row);
             }
         }
--- a/packages/membership/src/createGossip.ts
+++ b/packages/membership/src/createGossip.ts
@@ -3,9 +3,9 @@
 import { drawSome } from "@auburnarch/documents/drawSome";
 import { parseMessage } from "@auburnarch/documents/parseMessage";
 import type { EntryId } from "@auburnarch/types/EntryId";
-import type { createAwakeTime } from "./createAwakeTime.js";
 import { createGossipMessages } from "./createGossipMessages.js";
 import { createProbeHealth } from "./createProbeHealth.js";
+import type { createRunningTime } from "./createRunningTime.js";
 import type { EntryRegistry } from "./EntryRegistry.js";
 import type { Gossip } from "./Gossip.js";
 import type { GossipMessage } from "./GossipMessage.js";
@@ -35,7 +35,7 @@
 export function createGossip(
     deps: Pick<MembershipDeps, "self" | "clock" | "random" | "logger" | "exchange">,
     registry: EntryRegistry,
-    awake: ReturnType<typeof createAwakeTime>,
+    runningTime: ReturnType<typeof createRunningTime>,
     timing: MembershipTiming,
 ): Gossip {
     const { self, random } = deps;
@@ -111,7 +111,7 @@
         if (target === undefined) {
             return;
         }
-        const pauses = awake.pauses();
+        const pauses = runningTime.pauses();
         const answered = await probe(target);
         probeHealth.record(answered);
         if (answered || target.entry === undefined || registry.beat(target.entry)?.suspected === true) {
@@ -120,7 +120,7 @@
         if (await isReachable(target)) {
             return;
         }
-        const isOwnFault = awake.pauses() > pauses
+        const isOwnFault = runningTime.pauses() > pauses
             || (probeHealth.isPoor() && registry.list().length >= minPeersForHealth);
         if (!isOwnFault) {
             registry.suspect(target.entry);
--- a/packages/membership/src/createMembership.ts
+++ b/packages/membership/src/createMembership.ts
@@ -1,11 +1,11 @@
 import { drawSome } from "@auburnarch/documents/drawSome";
 import { parseMessage } from "@auburnarch/documents/parseMessage";
 import { chooseOverDomains } from "./chooseOverDomains.js";
-import { createAwakeTime } from "./createAwakeTime.js";
 import { createEntryRegistry } from "./createEntryRegistry.js";
 import { createGossip } from "./createGossip.js";
 import { createReportPacer } from "./createReportPacer.js";
 import { createReportRegistry } from "./createReportRegistry.js";
+import { createRunningTime } from "./createRunningTime.js";
 import { createVmView } from "./createVmView.js";
 import { defaultMembershipTiming } from "./defaultMembershipTiming.js";
 import type { EntryTarget } from "./EntryTarget.js";
@@ -33,16 +33,16 @@
     const timing: MembershipTiming = { ...defaultMembershipTiming, ...deps.timing };
     const { self, clock, random, logger } = deps;
     const stopped = new AbortController();
-    const awake = createAwakeTime(clock, timing.gossipIntervalMs);
+    const runningTime = createRunningTime(clock, timing.gossipIntervalMs);
     const vmView = createVmView({ ...deps, intervalMs: timing.vmListIntervalMs });
-    const entries = createEntryRegistry(awake.nowMs, timing, logger);
-    const reports = createReportRegistry(awake.nowMs, timing, logger);
-    const gossip = createGossip(deps, entries, awake, timing);
+    const entries = createEntryRegistry(runningTime.nowMs, timing, logger);
+    const reports = createReportRegistry(runningTime.nowMs, timing, logger);
+    const gossip = createGossip(deps, entries, runningTime, timing);
     const pacer = createReportPacer(timing);
 
     async function run(): Promise<void> {
         while (!stopped.signal.aborted) {
-            awake.tick();
+            runningTime.tick();
             entries.prune(record => vmView.isListed(record.vm));
             reports.prune(report => vmView.isListed(report.vm));
             // Not awaited, so that a slow peer does not delay the next probe.
--- a/packages/membership/src/createAwakeTime.ts
+++ b/packages/membership/src/createRunningTime.ts
@@ -1,7 +1,7 @@
 import type { Clock } from "@auburnarch/types/Clock";
 
 /** Running time of a process, without the time in which it was paused. */
-interface AwakeTime {
+interface RunningTime {
     /** Must be called about every `tickMs`. */
     tick(): void;
     nowMs(): number;
@@ -16,10 +16,10 @@
  * Counts monotonic time, excluding pauses of this process (paused VM, long garbage collection). Otherwise a resumed
  * process would count its own pause as silence of every other process and suspect them all.
  */
-export function createAwakeTime(clock: Clock, tickMs: number): AwakeTime {
+export function createRunningTime(clock: Clock, tickMs: number): RunningTime {
     const limitMs = tickMs * lateFactor;
     let lastTickMs = clock.monotonicMs();
-    let awakeMs = 0;
+    let runningMs = 0;
     let pauses = 0;
     const sinceTickMs = (): number => clock.monotonicMs() - lastTickMs;
     return {
@@ -27,10 +27,10 @@
             if (sinceTickMs() > limitMs) {
                 pauses++;
             }
-            awakeMs += Math.min(sinceTickMs(), limitMs);
+            runningMs += Math.min(sinceTickMs(), limitMs);
             lastTickMs = clock.monotonicMs();
         },
-        nowMs: () => awakeMs + Math.min(sinceTickMs(), limitMs),
+        nowMs: () => runningMs + Math.min(sinceTickMs(), limitMs),
         pauses: () => pauses + (sinceTickMs() > limitMs ? 1 : 0),
     };
 }
--- a/packages/ownership/src/OwnerDeps.ts
+++ b/packages/ownership/src/OwnerDeps.ts
@@ -28,7 +28,7 @@
     sidecar: (sampler: SamplerId) => SidecarPort;
     scoring: ScoringPort;
     /** Stores unacknowledged groups outside this process; undefined where no data folder is reachable. */
-    keep: GroupStore | undefined;
+    groupStore: GroupStore | undefined;
     /** Key that signs cursors; the same on every entry. */
     cursorKey: string;
 }
--- a/packages/ownership/src/createFencedObject.ts
+++ b/packages/ownership/src/createFencedObject.ts
@@ -68,12 +68,12 @@
             if (cached === undefined) {
                 updateCache(await store.read(key));
             }
-            const standing = cached!;
-            const value = change(standing.value);
+            const current = cached!;
+            const value = change(current.value);
             if (value === undefined) {
-                return standing;
+                return current;
             }
-            const outcome = await write(value, standing.version);
+            const outcome = await write(value, current.version);
             if (outcome.kind === "written") {
                 cached = { value, version: outcome.version };
                 return cached;
--- a/packages/ownership/src/createOwner.ts
+++ b/packages/ownership/src/createOwner.ts
@@ -70,7 +70,7 @@
     const state = createJobState(deps.job, claimed);
 
     const runningCounts = createRunningCounts();
-    const groupBackup = createGroupBackup({ groupStore: deps.keep, state, fencing, clock, logger });
+    const groupBackup = createGroupBackup({ groupStore: deps.groupStore, state, fencing, clock, logger });
     const { producer, dispatcher, roller } = createSamplePipeline({
         deps,
         parts,
--- a/packages/ownership/src/createOwnerTakeover.test.ts
+++ b/packages/ownership/src/createOwnerTakeover.test.ts
@@ -127,7 +127,7 @@
         deps: Parameters<NonNullable<Parameters<TestWorld["startOwner"]>[0]>["change"] & object>[0],
     ) => ({
         ...deps,
-        keep: undefined,
+        groupStore: undefined,
     });
     const first = await settle(world, world.startOwner({ change }));
     await settle(world, first.owner.openStep(spec));
@@ -153,11 +153,11 @@
     first.process.kill();
     const records = await world.groupStore.load(world.job.job, 0);
     const [sample] = records as [typeof records[number]];
-    const kept = { job: world.job.job, step: 0, fencing: sample.fencing };
+    const common = { job: world.job.job, step: 0, fencing: sample.fencing };
     const bodyOf = (group: number): string => records.find(record => record.group === group)!.body;
-    await world.groupStore.save({ ...kept, group: 0, body: bodyOf(0).slice(0, -3) });
-    await world.groupStore.save({ ...kept, group: 1, fencing: 1_000, body: bodyOf(1) });
-    await world.groupStore.save({ ...kept, group: 2, body: bodyOf(2).replaceAll("humo/0/", "humo/1/") });
+    await world.groupStore.save({ ...common, group: 0, body: bodyOf(0).slice(0, -3) });
+    await world.groupStore.save({ ...common, group: 1, fencing: 1_000, body: bodyOf(1) });
+    await world.groupStore.save({ ...common, group: 2, body: bodyOf(2).replaceAll("humo/0/", "humo/1/") });
     const second = await settle(world, world.startOwner());
     expect(second.owner.status().steps[0]).toMatchObject({ ready: 0 });
     await world.clock.advance(2_000);
@@ -281,16 +281,16 @@
 async function runWithKill(
     killAt: number,
     phase: "before" | "after",
-): Promise<{ struck: boolean; problems: unknown[]; }> {
+): Promise<{ isKilled: boolean; problems: unknown[]; }> {
     const world = createTestWorld();
     let calls = 0;
-    let struck = false;
+    let isKilled = false;
     const currentOwner = ensureOwner(world, count =>
         world.startOwner({
             onCall: (callPhase, _name, process) => {
                 const isDue = count === 0 && callPhase === phase && calls++ === killAt;
                 if (isDue) {
-                    struck = true;
+                    isKilled = true;
                     process.kill();
                 }
             },
@@ -306,7 +306,7 @@
             : [`unfinished ${trainer.report.receivedGroups.size}`],
         ...usage === trainer.report.engineMs ? [] : [`usage ${usage} of ${trainer.report.engineMs}`],
     ];
-    return { struck, problems };
+    return { isKilled, problems };
 }
 
 test.each(["before", "after"] as const)(
@@ -314,9 +314,9 @@
     async phase => {
         let killAt = 0;
         for (; killAt < 2_000; killAt++) {
-            const { struck, problems } = await runWithKill(killAt, phase);
+            const { isKilled, problems } = await runWithKill(killAt, phase);
             expect({ killAt, problems }).toEqual({ killAt, problems: [] });
-            if (!struck) {
+            if (!isKilled) {
                 break;
             }
         }
--- a/packages/ownership/src/testing/createTestWorld.ts
+++ b/packages/ownership/src/testing/createTestWorld.ts
@@ -105,7 +105,7 @@
             listSamplers: () => sidecars.map(sidecar => sidecar.view()),
             sidecar: (sampler: SamplerId) => process.connect(sidecars[names.indexOf(sampler)]!.port, hooks),
             scoring: process.connect(scoring, hooks),
-            keep: process.connect(groupStore, hooks),
+            groupStore: process.connect(groupStore, hooks),
             cursorKey: "test-key",
         };
         const changed = start.change?.(deps, process) ?? deps;
--- a/packages/runner/src/RunnerDeps.ts
+++ b/packages/runner/src/RunnerDeps.ts
@@ -32,7 +32,7 @@
     store: ObjectStore;
     storeSilentMs: () => number;
     /** Milliseconds since the store last answered this process. */
-    storeHeardMs: () => number;
+    sinceStoreAnswerMs: () => number;
     /** Milliseconds since store calls began to succeed again; infinite if none ever failed. */
     storeRegainedMs: () => number;
     routing: RoutingView;
--- a/packages/runner/src/createRunner.ts
+++ b/packages/runner/src/createRunner.ts
@@ -134,7 +134,7 @@
         mayStart: () => routing() !== undefined && directory.isKnown(),
         isStoreReachable: () =>
             deps.storeSilentMs() === 0
-            && deps.storeHeardMs() < maxStoreAnswerAgeMs
+            && deps.sinceStoreAnswerMs() < maxStoreAnswerAgeMs
             && deps.storeRegainedMs() > storeRecoveryGraceMs,
         probeStore: createStoreProbe({ ...deps, probe: () => deps.store.read(deps.registration) }),
         startRun: (batchJobId, entry) =>
--- a/packages/runner/src/items/createTextCache.ts
+++ b/packages/runner/src/items/createTextCache.ts
@@ -17,7 +17,7 @@
 }
 
 /** Creates a text cache. */
-export function createTextCache({ restored: earlier, persist: note }: TextCacheOptions = {}): TextCache {
+export function createTextCache({ restored, persist }: TextCacheOptions = {}): TextCache {
     const texts = new Map<SampleId, CachedText>();
     let chars = 0;
 
@@ -29,13 +29,13 @@
         }
     }
 
-    for (const [item, spans] of earlier ?? []) {
+    for (const [item, spans] of restored ?? []) {
         const text = { spans, isComplete: false };
         texts.set(item as SampleId, text);
         chars += countChars(text);
     }
     return {
-        isPersistent: note !== undefined,
+        isPersistent: persist !== undefined,
         put: (item, text) => {
             if (text.spans.length === 0) {
                 return;
@@ -46,7 +46,7 @@
             while (chars > maxCachedChars) {
                 drop(texts.keys().next().value!);
             }
-            note?.(item, text.spans);
+            persist?.(item, text.spans);
         },
         find: (item, minVersion) => {
             const text = texts.get(item);
--- a/packages/runner/src/jobs/BatchJobRunDeps.ts
+++ b/packages/runner/src/jobs/BatchJobRunDeps.ts
@@ -22,7 +22,7 @@
     batchJobId: BatchJobId;
     entry: BatchJobEntry;
     batchJobStore: BatchJobStore;
-    resultCache: Pick<ResultCache, "open" | "note" | "markLoaded" | "close">;
+    resultCache: Pick<ResultCache, "open" | "addChunk" | "markLoaded" | "close">;
     /** Returns the dispatcher for a batch job's items; batch jobs of one trainer share a dispatcher. */
     dispatcherFor: (batchJob: BatchJob) => Dispatcher;
     findRoute: (host: string, path: string) => Route | undefined;
--- a/packages/runner/src/jobs/createBatchJobRegistry.ts
+++ b/packages/runner/src/jobs/createBatchJobRegistry.ts
@@ -43,11 +43,11 @@
     let isLeaving = false;
     let isolatedSinceMs: number | undefined;
 
-    function stopRun(lot: BatchJobId, reason: string): void {
-        const run = runs.get(lot);
-        runs.delete(lot);
-        startedAtMs.delete(lot);
-        logger.info("lotLeft", { lot, reason });
+    function stopRun(batchJobId: BatchJobId, reason: string): void {
+        const run = runs.get(batchJobId);
+        runs.delete(batchJobId);
+        startedAtMs.delete(batchJobId);
+        logger.info("lotLeft", { lot: batchJobId, reason });
         void run?.stop(false);
     }
 
@@ -62,9 +62,9 @@
                 stopRun(batchJobId, "complete");
             }
         }
-        for (const lot of finished) {
-            if (!entries.has(lot)) {
-                finished.delete(lot);
+        for (const batchJobId of finished) {
+            if (!entries.has(batchJobId)) {
+                finished.delete(batchJobId);
             }
         }
     }
@@ -116,12 +116,12 @@
             deps.probeStore();
         }
         for (const [name, entry] of entries) {
-            const lot = name as BatchJobId;
-            if (!isOpen(lot, entry)) {
+            const batchJobId = name as BatchJobId;
+            if (!isOpen(batchJobId, entry)) {
                 continue;
             }
             const owner = chooseOwner({
-                batchJobId: lot,
+                batchJobId,
                 policy: entry.policy,
                 policies: deps.listPolicies(),
                 self: deps.self,
@@ -133,12 +133,12 @@
             });
             if (owner === deps.self) {
                 logger.info("lotTaken", {
-                    lot,
+                    lot: batchJobId,
                     total: entry.total,
                     ageMs: Math.round(clock.wallMs() - entry.submittedAtMs),
                 });
-                startedAtMs.set(lot, clock.monotonicMs());
-                runs.set(lot, deps.startRun(lot, entry));
+                startedAtMs.set(batchJobId, clock.monotonicMs());
+                runs.set(batchJobId, deps.startRun(batchJobId, entry));
             }
         }
     }
@@ -152,7 +152,7 @@
     let cancelTick = clock.startTimer(tickMs, tick);
     deps.entries.onChange(refresh);
     return {
-        running: () => [...runs.keys()].map(lot => ({ lot, runMs: runMsOf(lot) })),
+        running: () => [...runs.keys()].map(batchJobId => ({ lot: batchJobId, runMs: runMsOf(batchJobId) })),
         refresh,
         leave: async () => {
             isLeaving = true;
--- a/packages/runner/src/jobs/createBatchJobRun.ts
+++ b/packages/runner/src/jobs/createBatchJobRun.ts
@@ -23,7 +23,7 @@
         ...deps,
         total: entry.total,
         onRecorded: item => items.close(item),
-        onChunk: (number, chunk) => resultCache.note(batchJobId, number, chunk),
+        onChunk: (number, chunk) => resultCache.addChunk(batchJobId, number, chunk),
     });
     const items = createOpenItems(deps, recorder, stopped.signal);
     let cancelExpiry = (): void => {};
@@ -53,7 +53,7 @@
     }
 
     async function tryStart(): Promise<boolean> {
-        const batchJob = await batchJobStore.readLot(batchJobId);
+        const batchJob = await batchJobStore.readBatchJob(batchJobId);
         if (batchJob === undefined) {
             logger.warn("lotBodyMissing", { lot: batchJobId });
             return false;
--- a/packages/runner/src/jobs/createBatchJobSweeper.ts
+++ b/packages/runner/src/jobs/createBatchJobSweeper.ts
@@ -38,16 +38,16 @@
     }
 
     async function sweepOnce(): Promise<void> {
-        const lot = deps.maySweep() ? findExpired() : undefined;
-        if (lot === undefined) {
+        const batchJobId = deps.maySweep() ? findExpired() : undefined;
+        if (batchJobId === undefined) {
             return;
         }
         try {
-            await deps.store.remove(lot);
-            logger.info("lotRemoved", { lot });
+            await deps.store.remove(batchJobId);
+            logger.info("lotRemoved", { lot: batchJobId });
         }
         catch (error) {
-            logger.warn("lotNotRemoved", { lot, name: codeOf(error).name });
+            logger.warn("lotNotRemoved", { lot: batchJobId, name: codeOf(error).name });
         }
     }
 
--- a/packages/runner/src/peers/PeerView.ts
+++ b/packages/runner/src/peers/PeerView.ts
@@ -6,7 +6,7 @@
     /** False once probes have failed for too long. */
     isAlive: boolean;
     /** Milliseconds since its last answer, or since its registration was first seen. */
-    heardMs: number;
+    answerAgeMs: number;
     /** Its last answer; undefined until the first one. */
     status: RunnerStatus | undefined;
 }
--- a/packages/runner/src/peers/createPeerRegistry.test.ts
+++ b/packages/runner/src/peers/createPeerRegistry.test.ts
@@ -85,11 +85,11 @@
 
 test("a registered VM that no longer exists delays others by no more than two probes", async () => {
     // Guards against batch jobs standing still for 1.3 s after a power loss of all VMs.
-    const { clock, registry: book } = createFixture(["r1", "r2", "r3"], ["r3"]);
+    const { clock, registry } = createFixture(["r1", "r2", "r3"], ["r3"]);
     await clock.advance(300);
-    expect(book.isSettled()).toBe(false);
+    expect(registry.isSettled()).toBe(false);
     await clock.advance(700);
-    expect(book.isSettled()).toBe(true);
+    expect(registry.isSettled()).toBe(true);
 });
 
 test("a change of a peer's batch jobs or its leaving is reported at once, a change of other fields is not", async () => {
@@ -107,14 +107,14 @@
 });
 
 test("a peer that changes its address is followed, and one that is deregistered is removed", async () => {
-    const { clock, objects, answers, registry: book, changed } = createFixture(["r1", "r2"]);
+    const { clock, objects, answers, registry, changed } = createFixture(["r1", "r2"]);
     await clock.advance(500);
     objects.set("r2", { host: "r2b", port: 9 });
     answers.set("r2b", statusOf({ incarnation: "second" }));
     changed();
     await clock.advance(500);
-    expect(book.peers().map(peer => peer.status?.incarnation)).toEqual(["second"]);
+    expect(registry.peers().map(peer => peer.status?.incarnation)).toEqual(["second"]);
     objects.delete("r2");
     changed();
-    expect(book.peers()).toEqual([]);
+    expect(registry.peers()).toEqual([]);
 });
--- a/packages/runner/src/peers/createPeerRegistry.ts
+++ b/packages/runner/src/peers/createPeerRegistry.ts
@@ -18,7 +18,7 @@
     logger: Logger;
 }
 
-interface Peer extends Omit<PeerView, "heardMs"> {
+interface Peer extends Omit<PeerView, "answerAgeMs"> {
     address: RunnerAddress;
     answeredAtMs: number;
     isProbing: boolean;
@@ -147,11 +147,11 @@
             && [...registry.values()].every(peer => peer.status !== undefined || !peer.isAlive),
         peers: () => {
             const nowMs = clock.monotonicMs();
-            return [...registry.values()].map(({ name, isAlive, status, answeredAtMs: heardAtMs }) => ({
+            return [...registry.values()].map(({ name, isAlive, status, answeredAtMs }) => ({
                 name,
                 isAlive,
                 status,
-                heardMs: nowMs - heardAtMs,
+                answerAgeMs: nowMs - answeredAtMs,
             }));
         },
         probeNow: round,
--- a/packages/runner/src/peers/createStoreProbe.ts
+++ b/packages/runner/src/peers/createStoreProbe.ts
@@ -4,7 +4,7 @@
     /** A call that shows whether the store answers. */
     probe: () => Promise<unknown>;
     /** Milliseconds since the store last answered this process. */
-    storeHeardMs: () => number;
+    sinceStoreAnswerMs: () => number;
     clock: Clock;
 }
 
@@ -16,13 +16,15 @@
  * Creates the probe. Without it, a runner that has made no call recently would take over batch jobs from peers that
  * have already detected a store outage.
  */
-export function createStoreProbe({ probe: ask, storeHeardMs, clock }: StoreProbeDeps): () => void {
+export function createStoreProbe(
+    { probe, sinceStoreAnswerMs, clock }: StoreProbeDeps,
+): () => void {
     let probedAtMs = -Infinity;
     return () => {
         const nowMs = clock.monotonicMs();
-        if (nowMs - probedAtMs > intervalMs && storeHeardMs() > maxAnswerAgeMs) {
+        if (nowMs - probedAtMs > intervalMs && sinceStoreAnswerMs() > maxAnswerAgeMs) {
             probedAtMs = nowMs;
-            ask().catch(() => {
+            probe().catch(() => {
                 // Failures are counted with all store calls; here a missing answer is all that matters.
             });
         }
--- a/packages/runner/src/peers/createTimedProbe.ts
+++ b/packages/runner/src/peers/createTimedProbe.ts
@@ -9,7 +9,7 @@
     probe: (address: RunnerAddress, timeoutMs: number, query: StatusQuery) => Promise<RunnerStatus>;
     /** Evaluated at each probe: only the holder of the duties needs the counts. */
     wantsStarts: () => boolean;
-    starts: Pick<StartCountRegistry, "learn"> | undefined;
+    starts: Pick<StartCountRegistry, "merge"> | undefined;
     trueTime: Pick<TrueTimeEstimate, "recordReading">;
     clock: Clock;
 }
@@ -23,7 +23,7 @@
         if (status.wallMs !== undefined) {
             trueTime.recordReading(status.incarnation, status.wallMs, (sentAtMs + clock.monotonicMs()) / 2);
         }
-        status.starts?.forEach(report => starts?.learn(report));
+        status.starts?.forEach(report => starts?.merge(report));
         return status;
     };
 }
--- a/packages/runner/src/results/ResultCache.ts
+++ b/packages/runner/src/results/ResultCache.ts
@@ -7,7 +7,7 @@
 export interface ResultCache {
     /** Starts an entry for a batch job that starts to run here; what the store holds is not known yet. */
     open(batchJobId: BatchJobId, summary: BatchJobSummary): void;
-    note(batchJobId: BatchJobId, number: number, chunk: ResultChunk): void;
+    addChunk(batchJobId: BatchJobId, number: number, chunk: ResultChunk): void;
     /** All chunks that were in the store when the run started have been added. */
     markLoaded(batchJobId: BatchJobId): void;
     /** The batch job no longer runs here. */
--- a/packages/runner/src/results/createRecorder.ts
+++ b/packages/runner/src/results/createRecorder.ts
@@ -42,7 +42,7 @@
  * changes.
  */
 export function createRecorder(deps: RecorderDeps): Recorder {
-    const { batchJobId: lot, batchJobStore, clock, logger } = deps;
+    const { batchJobId, batchJobStore, clock, logger } = deps;
     const recordedItems = new Set<SampleId>();
     const stopped = new AbortController();
     const batchingWindow = createBatchingWindow(clock, pauseMs);
@@ -55,10 +55,14 @@
 
     function applyChunk(chunk: ResultChunk): void {
         const isNext = chunk.from === recordedItems.size;
-        deps.invariants.check(resultCodes.deliveredTwice, isNext, { lot, chunk: chunks, from: chunk.from });
+        deps.invariants.check(resultCodes.deliveredTwice, isNext, {
+            lot: batchJobId,
+            chunk: chunks,
+            from: chunk.from,
+        });
         for (const { item } of chunk.results) {
             const isFirst = !recordedItems.has(item);
-            deps.invariants.check(resultCodes.deliveredTwice, isFirst, { lot, item });
+            deps.invariants.check(resultCodes.deliveredTwice, isFirst, { lot: batchJobId, item });
             recordedItems.add(item);
             need?.markFinished(item);
             deps.onRecorded(item);
@@ -87,10 +91,10 @@
             results: selectNextResults(),
             writer: deps.random.nextId(),
         };
-        const stored = await batchJobStore.appendChunk(lot, chunks, own);
+        const stored = await batchJobStore.appendChunk(batchJobId, chunks, own);
         const isOwn = stored.writer === own.writer;
         logger.info("resultsRecorded", {
-            lot,
+            lot: batchJobId,
             chunk: chunks,
             own: isOwn,
             results: stored.results.length,
@@ -124,7 +128,7 @@
                 // the stored one.
                 const { number, name } = codeOf(error);
                 logger.warn("recordingFailed", {
-                    lot,
+                    lot: batchJobId,
                     chunk: chunks,
                     code: number,
                     name,
@@ -144,7 +148,7 @@
     return {
         load: async () => {
             for (;;) {
-                const chunk = await batchJobStore.readChunk(lot, chunks);
+                const chunk = await batchJobStore.readChunk(batchJobId, chunks);
                 if (chunk === undefined) {
                     return;
                 }
--- a/packages/runner/src/results/createResultCache.test.ts
+++ b/packages/runner/src/results/createResultCache.test.ts
@@ -53,7 +53,7 @@
     const append = (...items: string[]): void => {
         const chunk = chunkOf(state.stored.reduce((sum, each) => sum + each.results.length, 0), ...items);
         state.stored.push(chunk);
-        resultCache.note(batchJobId, state.stored.length - 1, chunk);
+        resultCache.addChunk(batchJobId, state.stored.length - 1, chunk);
     };
     const query = async (fromChunk: number, waitMs = 0): Promise<string> => {
         const asked = resultCache.answer(batchJobId, fromChunk, waitMs);
@@ -72,51 +72,51 @@
 }
 
 test("chunks are served from memory as they are added, as is the end of a batch job after its run", async () => {
-    const { clock, state, resultCache: book, append, query: ask } = createFixture();
-    expect(await ask(0)).toBe('{"kind":"unsure"}');
-    book.open(batchJobId, { total: 3, team: undefined });
-    expect(await ask(0)).toBe('{"kind":"unsure"}');
-    book.markLoaded(batchJobId);
+    const { clock, state, resultCache, append, query } = createFixture();
+    expect(await query(0)).toBe('{"kind":"unsure"}');
+    resultCache.open(batchJobId, { total: 3, team: undefined });
+    expect(await query(0)).toBe('{"kind":"unsure"}');
+    resultCache.markLoaded(batchJobId);
     append("a");
-    expect([await ask(0), await ask(1)]).toEqual(["a/3", "/3"]);
-    const waiting = book.answer(batchJobId, 1, 1_000);
+    expect([await query(0), await query(1)]).toEqual(["a/3", "/3"]);
+    const waiting = resultCache.answer(batchJobId, 1, 1_000);
     await clock.advance(300);
     append("b", "c");
     expect(show(await waiting)).toBe("b+c/3");
-    book.close(batchJobId);
-    expect([await ask(0), await ask(2, 1_000), state.reads]).toEqual(["a,b+c/3", "/3", 0]);
+    resultCache.close(batchJobId);
+    expect([await query(0), await query(2, 1_000), state.reads]).toEqual(["a,b+c/3", "/3", 0]);
 });
 
 test("a runner that may have been replaced asks the store before it reports that there is no further chunk", async () => {
     // Guards against a position that was read at one gateway being missing at another.
-    const { clock, state, resultCache: book, append, query: ask } = createFixture();
-    book.open(batchJobId, { total: 9, team: undefined });
-    book.markLoaded(batchJobId);
+    const { clock, state, resultCache, append, query } = createFixture();
+    resultCache.open(batchJobId, { total: 9, team: undefined });
+    resultCache.markLoaded(batchJobId);
     append("a");
     state.isSoleWriter = false;
     state.stored.push(chunkOf(1, "b"));
-    expect(await ask(1)).toBe("part b/9");
-    expect([await ask(2), await ask(2), state.reads]).toEqual(["/9", "/9", 2]);
+    expect(await query(1)).toBe("part b/9");
+    expect([await query(2), await query(2), state.reads]).toEqual(["/9", "/9", 2]);
     await clock.advance(750);
-    expect([await ask(2), state.reads]).toEqual(["/9", 3]);
+    expect([await query(2), state.reads]).toEqual(["/9", 3]);
     state.isStoreDown = true;
     await clock.advance(750);
-    expect(await ask(2)).toBe('{"kind":"unsure"}');
+    expect(await query(2)).toBe('{"kind":"unsure"}');
 });
 
 test("a runner whose batch job was also run by another asks the store once before it relies on its cache again", async () => {
     // Guards against three results that one gateway had returned for a second being missing at another.
-    const { state, resultCache: book, append, query: ask } = createFixture();
-    book.open(batchJobId, { total: 9, team: undefined });
-    book.markLoaded(batchJobId);
+    const { state, resultCache, append, query } = createFixture();
+    resultCache.open(batchJobId, { total: 9, team: undefined });
+    resultCache.markLoaded(batchJobId);
     append("a");
-    expect([await ask(1), state.reads]).toEqual(["/9", 0]);
-    book.markContested(() => true);
+    expect([await query(1), state.reads]).toEqual(["/9", 0]);
+    resultCache.markContested(() => true);
     state.stored.push(chunkOf(1, "b"));
-    expect(await ask(1)).toBe("part b/9");
-    expect([await ask(2), state.reads]).toEqual(["/9", 2]);
-    book.markContested(() => false);
-    expect([await ask(2), await ask(2), state.reads]).toEqual(["/9", "/9", 2]);
+    expect(await query(1)).toBe("part b/9");
+    expect([await query(2), state.reads]).toEqual(["/9", 2]);
+    resultCache.markContested(() => false);
+    expect([await query(2), await query(2), state.reads]).toEqual(["/9", "/9", 2]);
 });
 
 test("a peer that runs or ran a batch job, or has not answered recently, may have recorded results of it", () => {
@@ -125,7 +125,7 @@
         createPeerView("r2"),
         createPeerView("r2", { running }),
         createPeerView("r2", { keptLots: [batchJobId] }),
-        { ...createPeerView("r2"), heardMs: 1_000 },
+        { ...createPeerView("r2"), answerAgeMs: 1_000 },
     ];
     expect(peers.map(peer => isSoleWriter(batchJobId, [peer]))).toEqual([true, false, false, false]);
 });
@@ -152,53 +152,53 @@
 test("an ended batch job that no runner has is read once for all, by one runner", async () => {
     // Guards against each gateway reading results from the store: these were 743 of 3,320 store calls in a day that
     // ends with a power loss of all VMs.
-    const { clock, state, query: ask } = createFixture();
+    const { clock, state, query } = createFixture();
     state.stored = [chunkOf(0, "a"), chunkOf(1, "b", "c")];
-    expect([await ask(0), state.reads]).toEqual(['{"kind":"unsure"}', 0]);
+    expect([await query(0), state.reads]).toEqual(['{"kind":"unsure"}', 0]);
     state.endedEntry = { total: 3, team: undefined };
     state.reader = "r2";
-    expect([await ask(0), state.reads]).toEqual(['{"kind":"elsewhere","runner":"r2"}', 0]);
+    expect([await query(0), state.reads]).toEqual(['{"kind":"elsewhere","runner":"r2"}', 0]);
     state.reader = undefined;
-    expect(await Promise.all([ask(0), ask(1), ask(2)])).toEqual(["a,b+c/3", "b+c/3", "/3"]);
+    expect(await Promise.all([query(0), query(1), query(2)])).toEqual(["a,b+c/3", "b+c/3", "/3"]);
     await clock.advance(5_000);
-    expect([await ask(0), state.reads]).toEqual(["a,b+c/3", 2]);
+    expect([await query(0), state.reads]).toEqual(["a,b+c/3", 2]);
 });
 
 test("an ended but incomplete batch job is checked for further chunks again, and an unreadable one is not served", async () => {
-    const { clock, state, query: ask } = createFixture();
+    const { clock, state, query } = createFixture();
     state.stored = [chunkOf(0, "a")];
     state.endedEntry = { total: 3, team: undefined };
     state.isStoreDown = true;
-    expect(await ask(0)).toBe('{"kind":"unsure"}');
+    expect(await query(0)).toBe('{"kind":"unsure"}');
     state.isStoreDown = false;
     await clock.advance(1_000);
-    expect([await ask(0), state.reads]).toEqual(["a/3", 3]);
+    expect([await query(0), state.reads]).toEqual(["a/3", 3]);
     state.stored.push(chunkOf(1, "b"));
     await clock.advance(1_000);
-    expect(await ask(1)).toBe("part b/3");
+    expect(await query(1)).toBe("part b/3");
 });
 
 test("queries for a batch job that another runner has are redirected to it", async () => {
-    const { state, resultCache: book, append, query: ask } = createFixture();
-    book.open(batchJobId, { total: 2, team: undefined });
-    book.markLoaded(batchJobId);
+    const { state, resultCache, append, query } = createFixture();
+    resultCache.open(batchJobId, { total: 2, team: undefined });
+    resultCache.markLoaded(batchJobId);
     append("a");
     state.holder = "r2";
-    expect(await ask(0)).toBe("a/2");
-    book.close(batchJobId);
-    expect(await ask(0)).toBe('{"kind":"elsewhere","runner":"r2"}');
+    expect(await query(0)).toBe("a/2");
+    resultCache.close(batchJobId);
+    expect(await query(0)).toBe('{"kind":"elsewhere","runner":"r2"}');
 });
 
 test("all chunks that another runner recorded are requested", async () => {
     // Guards against the last position of a complete batch job being missing at one gateway.
-    const { state, resultCache: book, append, query: ask } = createFixture();
-    book.open(batchJobId, { total: 4, team: undefined });
-    book.markLoaded(batchJobId);
+    const { state, resultCache, append, query } = createFixture();
+    resultCache.open(batchJobId, { total: 4, team: undefined });
+    resultCache.markLoaded(batchJobId);
     append("a");
-    book.close(batchJobId);
+    resultCache.close(batchJobId);
     state.isSoleWriter = false;
     state.stored.push(chunkOf(1, "b"), chunkOf(2, "c"));
-    expect([await ask(0), await ask(1), await ask(2), await ask(3)]).toEqual([
+    expect([await query(0), await query(1), await query(2), await query(3)]).toEqual([
         "part a/4",
         "part b/4",
         "part c/4",
--- a/packages/runner/src/results/createResultCache.ts
+++ b/packages/runner/src/results/createResultCache.ts
@@ -132,7 +132,7 @@
 
     return {
         open: (batchJobId, summary) => void entries.open(batchJobId, summary),
-        note: (batchJobId, number, chunk) => {
+        addChunk: (batchJobId, number, chunk) => {
             const entry = entries.get(batchJobId);
             if (entry !== undefined) {
                 entries.add(entry, number, chunk);
--- a/packages/runner/src/results/createResultCacheEntries.ts
+++ b/packages/runner/src/results/createResultCacheEntries.ts
@@ -45,12 +45,12 @@
 
     function dropOldest(): void {
         let chars = [...entries.values()].reduce((sum, entry) => sum + countChars(entry.chunks), 0);
-        for (const [batchJobId, page] of entries) {
+        for (const [batchJobId, entry] of entries) {
             if (chars <= maxCachedChars) {
                 return;
             }
-            if (!page.isRunning) {
-                chars -= countChars(page.chunks);
+            if (!entry.isRunning) {
+                chars -= countChars(entry.chunks);
                 entries.delete(batchJobId);
             }
         }
--- a/packages/runner/src/results/isSoleWriter.ts
+++ b/packages/runner/src/results/isSoleWriter.ts
@@ -11,9 +11,9 @@
  * Whether no peer can be recording results of a batch job that runs here, or has recorded any that are unknown here.
  */
 export function isSoleWriter(batchJobId: BatchJobId, peers: PeerView[]): boolean {
-    return peers.every(({ isAlive, heardMs, status }) => {
+    return peers.every(({ isAlive, answerAgeMs, status }) => {
         const runsIt = status?.running.some(each => each.lot === batchJobId) === true;
         const ranIt = status?.keptLots.includes(batchJobId) === true;
-        return isAlive && heardMs < maxAnswerAgeMs && !runsIt && !ranIt;
+        return isAlive && answerAgeMs < maxAnswerAgeMs && !runsIt && !ranIt;
     });
 }
--- a/packages/runner/src/testing/createPeerView.ts
+++ b/packages/runner/src/testing/createPeerView.ts
@@ -18,5 +18,5 @@
         isLeaving: false,
         storeSilentMs: 0,
     };
-    return { name, isAlive, heardMs: 0, status: { ...idle, ...overrides } };
+    return { name, isAlive, answerAgeMs: 0, status: { ...idle, ...overrides } };
 }
--- a/packages/runner/src/testing/createReportingProcess.ts
+++ b/packages/runner/src/testing/createReportingProcess.ts
@@ -50,7 +50,7 @@
 
 /** Starts the production duty with its lease in a process that can be paused and whose wall clock can jump. */
 export function createReportingProcess(options: ReportingProcessOptions): ReportingProcess {
-    const { name, clock, store, random, times, platform, alwaysActs: believesAlways, calls } = options;
+    const { name, clock, store, random, times, platform, alwaysActs, calls } = options;
     const paused = createPausableProcess(clock, store);
     const state = { isPaused: false, resumedAtMs: -Infinity, stepMs: 0, isEnded: false };
     const ownClock: Clock = { ...paused.clock, wallMs: () => clock.wallMs() + state.stepMs };
@@ -100,7 +100,7 @@
             logger: silent,
             metrics: createMetrics(),
         }, held);
-    if (believesAlways) {
+    if (alwaysActs) {
         runAlways(ownClock, startDuty({ fencing: random.nextUnit() as FencingNumber, mayAct: () => true }));
     }
     else {
--- a/packages/runner/src/testing/simulateUsageReports.ts
+++ b/packages/runner/src/testing/simulateUsageReports.ts
@@ -65,7 +65,7 @@
         for (const { starts, state } of processes) {
             const counts: StartCount[] = [{ window, team, requests: counted }];
             if (!state.isPaused && upTo(3) > 0) {
-                starts.learn({ source: "g1", countedUntilMs: clock.wallMs(), counts });
+                starts.merge({ source: "g1", countedUntilMs: clock.wallMs(), counts });
             }
         }
         clock.startTimer(130, reportCounts);
--- a/packages/runner/src/weights/PolicyNeed.ts
+++ b/packages/runner/src/weights/PolicyNeed.ts
@@ -7,9 +7,9 @@
     /** Newest named version; undefined before the first one. */
     target: WeightVersion | undefined;
     /** Time since that version was named. */
-    namedMs: number;
+    ageMs: number;
     /** No batch job of the policy is open. */
-    isQuiet: boolean;
+    isIdle: boolean;
     /** Expected output tokens of one of its batch jobs; undefined until a batch job that states them is known. */
     jobTokens: number | undefined;
     /** Number of items of one of its batch jobs; undefined until one is known. */
--- a/packages/runner/src/weights/averageOfLatest.ts
+++ b/packages/runner/src/weights/averageOfLatest.ts
@@ -14,6 +14,6 @@
         .filter(entry => entry.policy === policy && valueOf(entry) !== undefined)
         .sort((a, b) => b.submittedAtMs - a.submittedAtMs)
         .slice(0, averagedJobs)
-        .map(lot => valueOf(lot)!);
+        .map(entry => valueOf(entry)!);
     return values.length === 0 ? undefined : values.reduce((sum, value) => sum + value, 0) / values.length;
 }
--- a/packages/runner/src/weights/createLoadScheduler.ts
+++ b/packages/runner/src/weights/createLoadScheduler.ts
@@ -137,7 +137,7 @@
         round();
     }
 
-    function namedMs(policy: PolicyId, version: WeightVersion | undefined): number {
+    function ageMsOf(policy: PolicyId, version: WeightVersion | undefined): number {
         const nowMs = clock.monotonicMs();
         const known = namedAt.get(policy);
         if (version === undefined) {
@@ -161,8 +161,8 @@
         for (const { service, policies } of table.services.values()) {
             const needs = policies.map(policy => {
                 const target = versions.objects()?.get(policy)?.version;
-                const isQuiet = !openPolicies.has(policy);
-                return { policy, target, namedMs: namedMs(policy, target), isQuiet, ...sizeOf(jobs, policy) };
+                const isIdle = !openPolicies.has(policy);
+                return { policy, target, ageMs: ageMsOf(policy, target), isIdle, ...sizeOf(jobs, policy) };
             });
             const samplers = directory.serving(service);
             const maxLoading = deps.maxLoading ?? maxConcurrentLoads(samplers.length);
--- a/packages/runner/src/weights/listDueLoads.ts
+++ b/packages/runner/src/weights/listDueLoads.ts
@@ -30,10 +30,10 @@
 
 /** Urgency of a load that only keeps half of the samplers at the newest version. */
 function urgencyOfEarlyLoad(need: PolicyNeed): number {
-    if (need.isQuiet) {
+    if (need.isIdle) {
         return loadUrgency.quiet;
     }
-    return need.namedMs > maxLoadDelayMs ? loadUrgency.overdue : loadUrgency.notNow;
+    return need.ageMs > maxLoadDelayMs ? loadUrgency.overdue : loadUrgency.notNow;
 }
 
 /**
--- a/packages/runner/src/weights/planLoads.test.ts
+++ b/packages/runner/src/weights/planLoads.test.ts
@@ -18,12 +18,12 @@
     });
 
 const six = ["a", "b", "c", "d", "e", "f"].map(name => sampler(name));
-const needs = (target: number | undefined, isQuiet: boolean, namedMs = 0) =>
+const needs = (target: number | undefined, isIdle: boolean, ageMs = 0) =>
     policies.map(policy => ({
         policy,
         target: target === undefined ? undefined : at(target),
-        namedMs,
-        isQuiet,
+        ageMs,
+        isIdle,
         jobTokens: undefined,
         jobItems: undefined,
     }));
@@ -76,24 +76,24 @@
         {
             policy: policies[0]!,
             target: at(4),
-            namedMs: 0,
-            isQuiet: false,
+            ageMs: 0,
+            isIdle: false,
             jobTokens: undefined,
             jobItems: undefined,
         },
         {
             policy: policies[1]!,
             target: at(4),
-            namedMs: 0,
-            isQuiet: true,
+            ageMs: 0,
+            isIdle: true,
             jobTokens: undefined,
             jobItems: undefined,
         },
         {
             policy: policies[2]!,
             target: at(4),
-            namedMs: 0,
-            isQuiet: false,
+            ageMs: 0,
+            isIdle: false,
             jobTokens: undefined,
             jobItems: undefined,
         },
--- a/packages/runner/src/weights/widenShares.ts
+++ b/packages/runner/src/weights/widenShares.ts
@@ -19,10 +19,10 @@
  */
 export function widenShares(
     shares: readonly number[],
-    { samplers, slotsPerSampler: placesPerSampler, jobItems }: WidenQuery,
+    { samplers, slotsPerSampler, jobItems }: WidenQuery,
 ): number[] {
     const shortfalls = shares.map((share, at) => {
-        const wanted = Math.ceil((jobItems[at] ?? 0) / Math.max(1, placesPerSampler));
+        const wanted = Math.ceil((jobItems[at] ?? 0) / Math.max(1, slotsPerSampler));
         return Math.max(0, Math.min(samplers, wanted) - share);
     });
     const total = shortfalls.reduce((sum, each) => sum + each, 0);
--- a/packages/sidecar/src/AttemptTable.ts
+++ b/packages/sidecar/src/AttemptTable.ts
@@ -1,10 +1,10 @@
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import type { AttemptState } from "@auburnarch/types/AttemptState";
-import type { AttemptStanding } from "./AttemptStanding.js";
+import type { AttemptStatus } from "./AttemptStatus.js";
 
 /** Attempts of one incarnation: running ones, recently ended ones, and tombstones. */
 export interface AttemptTable {
-    standing(attempt: AttemptId): AttemptStanding;
+    statusOf(attempt: AttemptId): AttemptStatus;
     start(attempt: AttemptId): void;
     /** Ends a started attempt that ran. */
     finish(attempt: AttemptId): void;
--- a/packages/sidecar/src/SidecarGuards.ts
+++ b/packages/sidecar/src/SidecarGuards.ts
@@ -1,6 +1,6 @@
 import type { FencingNumber } from "@auburnarch/types/FencingNumber";
 import type { WeightVersion } from "@auburnarch/types/WeightVersion";
-import type { AttemptStanding } from "./AttemptStanding.js";
+import type { AttemptStatus } from "./AttemptStatus.js";
 
 /**
  * The checks that enforce a sidecar's guarantees, one function each; every one returns true to let something pass. The
@@ -8,9 +8,9 @@
  */
 export interface SidecarGuards {
     /** An attempt that was reported as not run must not run. */
-    tombstone(standing: AttemptStanding): boolean;
+    tombstone(status: AttemptStatus): boolean;
     /** An attempt id runs at most once. */
-    duplicate(standing: AttemptStanding): boolean;
+    duplicate(status: AttemptStatus): boolean;
     /** Work before this incarnation has received the active limits and the quarantine list. */
     informed(isInformed: boolean): boolean;
     leaving(isLeaving: boolean): boolean;
--- a/packages/sidecar/src/admitPlain.ts
+++ b/packages/sidecar/src/admitPlain.ts
@@ -31,7 +31,7 @@
     const refusal = findCommonRefusal(context, request) ?? findDownRefusal(context)
         ?? findQueueRefusal(context, request);
     if (refusal !== undefined) {
-        if (attempts.standing(request.attempt) === undefined) {
+        if (attempts.statusOf(request.attempt) === undefined) {
             attempts.refuse(request.attempt);
         }
         return refuse(context, request, refusal);
--- a/packages/sidecar/src/createAttemptTable.test.ts
+++ b/packages/sidecar/src/createAttemptTable.test.ts
@@ -24,7 +24,7 @@
                     const remembered = ranMs !== undefined && nowMs - ranMs < attemptRetentionMs;
                     expect(remembered && table.query(id) === "neverSeen").toBe(false);
                 }
-                else if (table.standing(id) === undefined && ranMs === undefined) {
+                else if (table.statusOf(id) === undefined && ranMs === undefined) {
                     table.start(id);
                     table.finish(id);
                     ranAtMs.set(attempt, nowMs);
@@ -42,5 +42,5 @@
     const ids = ["a", "b", "c"] as AttemptId[];
     expect(ids.map(id => table.query(id))).toEqual(["neverSeen", "neverSeen", "finished"]);
     nowMs += 3_599_000;
-    expect(ids.map(id => table.standing(id))).toEqual(["tombstone", "tombstone", undefined]);
+    expect(ids.map(id => table.statusOf(id))).toEqual(["tombstone", "tombstone", undefined]);
 });
--- a/packages/sidecar/src/createAttemptTable.ts
+++ b/packages/sidecar/src/createAttemptTable.ts
@@ -1,7 +1,7 @@
 import type { AttemptId } from "@auburnarch/types/AttemptId";
 import { attemptRetentionMs } from "@auburnarch/types/attemptRetentionMs";
 import type { AttemptState } from "@auburnarch/types/AttemptState";
-import type { AttemptStanding } from "./AttemptStanding.js";
+import type { AttemptStatus } from "./AttemptStatus.js";
 import type { AttemptTable } from "./AttemptTable.js";
 import { createAgingMap } from "./createAgingMap.js";
 
@@ -38,7 +38,7 @@
         capacity: Number.POSITIVE_INFINITY,
     });
 
-    function standing(attempt: AttemptId): AttemptStanding {
+    function statusOf(attempt: AttemptId): AttemptStatus {
         return running.has(attempt) ? "running" : tombstones.get(attempt) ?? ended.get(attempt);
     }
 
@@ -48,7 +48,7 @@
     }
 
     function query(attempt: AttemptId): AttemptState["state"] {
-        const known = standing(attempt);
+        const known = statusOf(attempt);
         if (known === "tombstone") {
             return "neverSeen";
         }
@@ -63,7 +63,7 @@
     }
 
     return {
-        standing,
+        statusOf,
         start: attempt => void running.add(attempt),
         finish: attempt => end(attempt, "finished"),
         refuse: attempt => end(attempt, "refused"),
--- a/packages/sidecar/src/createSampleRunner.ts
+++ b/packages/sidecar/src/createSampleRunner.ts
@@ -60,7 +60,7 @@
         const refusal = findCommonRefusal(context, attempt) ?? findSampleRefusal(context, attempt)
             ?? findQueueRefusal(context, attempt);
         if (refusal !== undefined) {
-            if (context.attempts.standing(attempt.attempt) === undefined) {
+            if (context.attempts.statusOf(attempt.attempt) === undefined) {
                 context.attempts.refuse(attempt.attempt);
             }
             return refuse(attempt, refusal);
--- a/packages/sidecar/src/createSuspects.ts
+++ b/packages/sidecar/src/createSuspects.ts
@@ -9,8 +9,8 @@
 
 interface Suspicion {
     /** Number of contents in flight at each crash, by the engine incarnation that crashed; undefined if unknown. */
-    deaths: Map<string, number | undefined>;
-    lastMs: number;
+    crashes: Map<string, number | undefined>;
+    lastAtMs: number;
 }
 
 /** Long enough for every entry to receive the suspicion in reports; from then on the quarantine list keeps it. */
@@ -37,18 +37,18 @@
 
     function dropExpired(): void {
         for (const [digest, suspicion] of suspicions) {
-            if (suspicion.lastMs + suspicionRetentionMs < deps.nowMs() || suspicions.size > maxSuspects) {
+            if (suspicion.lastAtMs + suspicionRetentionMs < deps.nowMs() || suspicions.size > maxSuspects) {
                 suspicions.delete(digest);
             }
         }
     }
 
     function recordSuspicion(digest: ContentDigest, bootId: string, contents?: number): void {
-        const suspicion = suspicions.get(digest) ?? { deaths: new Map(), lastMs: 0 };
+        const suspicion = suspicions.get(digest) ?? { crashes: new Map(), lastAtMs: 0 };
         // Each attempt broken by a crash records it, with fewer contents left in flight each time, so the first count
         // is kept.
-        suspicion.deaths.set(bootId, suspicion.deaths.get(bootId) ?? contents);
-        suspicion.lastMs = deps.nowMs();
+        suspicion.crashes.set(bootId, suspicion.crashes.get(bootId) ?? contents);
+        suspicion.lastAtMs = deps.nowMs();
         suspicions.delete(digest);
         suspicions.set(digest, suspicion);
     }
@@ -81,7 +81,7 @@
             dropExpired();
             return [...suspicions].map(([digest, suspicion]) => ({
                 digest,
-                deaths: [...suspicion.deaths].map(([bootId, contents]) => ({
+                deaths: [...suspicion.crashes].map(([bootId, contents]) => ({
                     vm: deps.vm,
                     bootId,
                     ...(contents === undefined ? {} : { contents }),
--- a/packages/sidecar/src/defaultSidecarGuards.ts
+++ b/packages/sidecar/src/defaultSidecarGuards.ts
@@ -5,8 +5,8 @@
 
 /** The guards used outside the fault bench. */
 export const defaultSidecarGuards: SidecarGuards = {
-    tombstone: standing => standing !== "tombstone" && standing !== "refused",
-    duplicate: standing => standing !== "running" && standing !== "finished",
+    tombstone: status => status !== "tombstone" && status !== "refused",
+    duplicate: status => status !== "running" && status !== "finished",
     informed: isInformed => isInformed,
     leaving: isLeaving => !isLeaving,
     shuttingDown: isShuttingDown => !isShuttingDown,
--- a/packages/sidecar/src/findCommonRefusal.ts
+++ b/packages/sidecar/src/findCommonRefusal.ts
@@ -11,12 +11,12 @@
     work: { attempt: AttemptId; digest: ContentDigest; isTrial?: boolean; },
 ): ResultCode | undefined {
     const { guards, flags } = context;
-    const standing = context.attempts.standing(work.attempt);
-    if (!guards.tombstone(standing)) {
+    const status = context.attempts.statusOf(work.attempt);
+    if (!guards.tombstone(status)) {
         return resultCodes.tombstoned;
     }
     // The first message with this id runs or ran, so the only correct outcome is "unknown".
-    if (!guards.duplicate(standing)) {
+    if (!guards.duplicate(status)) {
         return resultCodes.connectionBroken;
     }
     if (!guards.leaving(flags.leaving)) {
--- a/packages/usage/src/StartCountRegistry.ts
+++ b/packages/usage/src/StartCountRegistry.ts
@@ -4,7 +4,7 @@
 /** Counts of the requests that began to run at each process, as far as this process has received them. */
 export interface StartCountRegistry {
     /** Merges a report; late and repeated reports change nothing. */
-    learn(report: StartReport): void;
+    merge(report: StartReport): void;
     /** All known reports, for another registry. */
     reports(): StartReport[];
     /** Requests of each team that began in a window, summed over all processes; teams without requests are omitted. */
--- a/packages/usage/src/createStartCountRegistry.ts
+++ b/packages/usage/src/createStartCountRegistry.ts
@@ -34,7 +34,7 @@
     }
 
     return {
-        learn: report => {
+        merge: report => {
             const known = sources.get(report.source);
             const isNewer = known === undefined || report.countedUntilMs > known.report.countedUntilMs;
             const counts = mergeByMaximum(keyOf, maximum, known?.report.counts ?? [], report.counts);
--- a/packages/usage/src/starts.test.ts
+++ b/packages/usage/src/starts.test.ts
@@ -23,11 +23,11 @@
     const end = meter.open(hule);
     const startedAtMs = clock.monotonicMs();
     await clock.advance(300);
-    registry.learn(meter.report());
+    registry.merge(meter.report());
     expect(registry.isCountedUntil(1_005_000)).toBe(false);
     end(startedAtMs);
     meter.open(fida)(undefined);
-    registry.learn(meter.report());
+    registry.merge(meter.report());
     expect(registry.isCountedUntil(1_005_000)).toBe(true);
     expect([...registry.countsOf(200)]).toEqual([["hule", 1]]);
     expect([...registry.countsOf(201)]).toEqual([]);
@@ -44,8 +44,8 @@
                 meter.open(hule)(clock.monotonicMs());
                 return meter.report();
             });
-            order.forEach(pick => registry.learn(reports[pick % reports.length]!));
-            meters.forEach(meter => registry.learn(meter.report()));
+            order.forEach(pick => registry.merge(reports[pick % reports.length]!));
+            meters.forEach(meter => registry.merge(meter.report()));
             expect(registry.countsOf(200).get(hule)).toBe(processes.length);
         }),
         { seed: 31, numRuns: 300 },
@@ -56,9 +56,9 @@
     const { clock, meterOf, registry } = createFixture();
     const [silent, reporting] = [meterOf("dead"), meterOf("live")];
     silent.open(hule)(clock.monotonicMs());
-    registry.learn(silent.report());
+    registry.merge(silent.report());
     await clock.advance(8_000);
-    registry.learn(reporting.report());
+    registry.merge(reporting.report());
     expect(registry.isCountedUntil(1_005_000)).toBe(true);
     expect([...registry.countsOf(200)]).toEqual([["hule", 1]]);
 });
@@ -67,8 +67,8 @@
     const { clock, meterOf, registry } = createFixture();
     const meter = meterOf("g1");
     meter.open(hule)(clock.monotonicMs());
-    registry.learn(meter.report());
+    registry.merge(meter.report());
     const other = createStartCountRegistry(clock);
-    registry.reports().forEach(report => other.learn(report));
+    registry.reports().forEach(report => other.merge(report));
     expect([...other.countsOf(200)]).toEqual([["hule", 1]]);
 });
