--- a/packages/clock/src/createReportedTime.ts
+++ b/packages/clock/src/createReportedTime.ts
@@ -20,7 +20,7 @@
         readings = readings.filter(reading => nowMs - reading.atMs < readingTtlMs);
         return readings.length === 0
             ? clock.wallMs() - nowMs
-            : Math.max(...readings.map(told => told.offsetMs));
+            : Math.max(...readings.map(reading => reading.offsetMs));
     }
 
     return {
--- a/packages/daemon/src/serveInternal.ts
+++ b/packages/daemon/src/serveInternal.ts
@@ -1,5 +1,5 @@
 import { createPeerServer } from "@auburnarch/entry/createPeerServer";
-import { readRequest } from "@auburnarch/streams/readRequest";
+import { readRequestBody } from "@auburnarch/streams/readRequestBody";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { RoleContext } from "./RoleContext.js";
 
@@ -23,7 +23,7 @@
         if (message.method === "GET") {
             return { type: "text/plain; version=0.0.4", text: await metrics.render() };
         }
-        const body = Buffer.from(await readRequest(message, maxRpcBytes)).toString("utf8");
+        const body = Buffer.from(await readRequestBody(message, maxRpcBytes)).toString("utf8");
         const result = await peers.receive(JSON.parse(body));
         return { type: "application/json", text: JSON.stringify(result) };
     }
--- a/packages/daemon/src/testing/createPlatformBed.ts
+++ b/packages/daemon/src/testing/createPlatformBed.ts
@@ -5,8 +5,8 @@
 import { createLogger } from "@auburnarch/log/createLogger";
 import { createMetrics } from "@auburnarch/metrics/createMetrics";
 import { findFreePort } from "@auburnarch/platform/testing/findFreePort";
-import { servePlatformStore } from "@auburnarch/platform/testing/servePlatformStore";
-import { serveSampler } from "@auburnarch/platform/testing/serveSampler";
+import { serveFakePlatformStore } from "@auburnarch/platform/testing/serveFakePlatformStore";
+import { serveFakeSampler } from "@auburnarch/platform/testing/serveFakeSampler";
 import { request } from "node:http";
 import type { RoleContext } from "../RoleContext.js";
 import type { RunningRole } from "../RunningRole.js";
@@ -24,7 +24,7 @@
 /** Runs gateways and runners as in production, against fakes of the platform that implement its protocol over HTTP. */
 export async function createPlatformBed() {
     const clock = createSystemClock(true);
-    const store = await servePlatformStore();
+    const store = await serveFakePlatformStore();
     const lines: string[] = [];
     const violations: string[] = [];
     const contexts = new Map<string, RoleContext>();
@@ -85,9 +85,9 @@
         return startRunner(await createContext("runner", name, overrides));
     }
 
-    async function addSampler(options: Parameters<typeof serveSampler>[0]) {
+    async function addSampler(options: Parameters<typeof serveFakeSampler>[0]) {
         const put = (entry: Record<string, unknown>): void => store.put("servers", options.id, entry);
-        const sampler = await serveSampler({ onEntry: put, ...options });
+        const sampler = await serveFakeSampler({ onEntry: put, ...options });
         put(sampler.entry());
         closers.push(sampler.close);
         return sampler;
--- a/packages/daemon/src/usage.test.ts
+++ b/packages/daemon/src/usage.test.ts
@@ -1,5 +1,5 @@
 import { encodeTestConfiguration } from "@auburnarch/platform/testing/encodeTestConfiguration";
-import { serveUsageReports } from "@auburnarch/platform/testing/serveUsageReports";
+import { serveFakeUsageReports } from "@auburnarch/platform/testing/serveFakeUsageReports";
 import { expect, test } from "vitest";
 import { createPlatformBed } from "./testing/createPlatformBed.js";
 
@@ -16,7 +16,7 @@
 
 test("started requests of teams are reported once per window by one holder despite rejected reports", async () => {
     const bed = await createPlatformBed();
-    const reports = await serveUsageReports();
+    const reports = await serveFakeUsageReports();
     bed.store.put("config", "main", config);
     const usage = { address: `127.0.0.1:${reports.port}`, windowS: windowMs / 1_000, dueS: 6 };
     const gateways = [
--- a/packages/entry/src/writeAnswer.ts
+++ b/packages/entry/src/writeAnswer.ts
@@ -1,5 +1,5 @@
+import { createResponseSink } from "@auburnarch/streams/createResponseSink";
 import { pipeBody } from "@auburnarch/streams/pipeBody";
-import { responseSink } from "@auburnarch/streams/responseSink";
 import { toNodeHeaders } from "@auburnarch/transport/toNodeHeaders";
 import type { Clock } from "@auburnarch/types/Clock";
 import type { PlainAnswer } from "@auburnarch/types/PlainAnswer";
@@ -16,5 +16,5 @@
     answer: PlainAnswer,
 ): Promise<void> {
     const headers = { ...toNodeHeaders(answer.headers), [forwardHeaders.outcome]: "ran" };
-    await pipeBody(clock, answer.body, responseSink(response, answer.status, headers));
+    await pipeBody(clock, answer.body, createResponseSink(response, answer.status, headers));
 }
--- a/packages/sidecar/src/createPlainHandler.ts
+++ b/packages/sidecar/src/createPlainHandler.ts
@@ -1,8 +1,8 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
+import { createResponseSink } from "@auburnarch/streams/createResponseSink";
 import { pipeBody } from "@auburnarch/streams/pipeBody";
-import { readRequest } from "@auburnarch/streams/readRequest";
-import { responseSink } from "@auburnarch/streams/responseSink";
+import { readRequestBody } from "@auburnarch/streams/readRequestBody";
 import { sidecarHeaders } from "@auburnarch/transport/sidecarHeaders";
 import { toForwardedHeaders } from "@auburnarch/transport/toForwardedHeaders";
 import { toNodeHeaders } from "@auburnarch/transport/toNodeHeaders";
@@ -45,7 +45,7 @@
             return;
         }
         try {
-            plain.body = await readRequest(request, deps.maxBodyBytes);
+            plain.body = await readRequestBody(request, deps.maxBodyBytes);
         }
         catch (error) {
             writeErrorAnswer(response, incarnation, codeOf(error), "body");
@@ -72,7 +72,7 @@
 
     async function writeAnswer(response: ServerResponse, answer: PlainAnswer): Promise<void> {
         const streamed = answer.headers["content-type"]?.startsWith("text/event-stream") ?? false;
-        const sink = responseSink(response, answer.status, {
+        const sink = createResponseSink(response, answer.status, {
             ...toNodeHeaders(answer.headers),
             [sidecarHeaders.outcome]: "ran",
             [sidecarHeaders.incarnation]: incarnation,
--- a/packages/sidecar/src/createRpcHandler.ts
+++ b/packages/sidecar/src/createRpcHandler.ts
@@ -1,7 +1,7 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import { ResultError } from "@auburnarch/errors/ResultError";
-import { readRequest } from "@auburnarch/streams/readRequest";
+import { readRequestBody } from "@auburnarch/streams/readRequestBody";
 import { samplerOrderSchema } from "@auburnarch/transport/samplerOrderSchema";
 import { sidecarHeaders } from "@auburnarch/transport/sidecarHeaders";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
@@ -34,7 +34,7 @@
     const server = createRpcServer(deps);
 
     async function answer(request: IncomingMessage): Promise<string> {
-        const body = await readRequest(request, maxRpcBytes);
+        const body = await readRequestBody(request, maxRpcBytes);
         const message: unknown = JSON.parse(Buffer.from(body).toString("utf8"));
         if (Array.isArray(message) && message.length > maxBatchedCalls) {
             throw new ResultError(resultCodes.badRequest, "one call a message");
--- a/packages/sidecar/src/createSampleHandler.ts
+++ b/packages/sidecar/src/createSampleHandler.ts
@@ -1,6 +1,6 @@
 import { codeOf } from "@auburnarch/errors/codeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
-import { readRequest } from "@auburnarch/streams/readRequest";
+import { readRequestBody } from "@auburnarch/streams/readRequestBody";
 import { sampleAttemptSchema } from "@auburnarch/transport/sampleAttemptSchema";
 import { sidecarHeaders } from "@auburnarch/transport/sidecarHeaders";
 import type { AttemptId } from "@auburnarch/types/AttemptId";
@@ -40,7 +40,7 @@
     const aborts = new Map<AttemptId, AbortController>();
 
     async function readAttempt(request: IncomingMessage): Promise<SampleAttempt> {
-        const body = await readRequest(request, deps.maxBodyBytes);
+        const body = await readRequestBody(request, deps.maxBodyBytes);
         return sampleAttemptSchema.parse(JSON.parse(Buffer.from(body).toString("utf8")));
     }
 
--- a/packages/soak/src/createSoakTestBed.ts
+++ b/packages/soak/src/createSoakTestBed.ts
@@ -2,9 +2,9 @@
 import { encodeTestConfiguration } from "@auburnarch/platform/testing/encodeTestConfiguration";
 import type { FakeSampler } from "@auburnarch/platform/testing/FakeSampler";
 import { findFreePort } from "@auburnarch/platform/testing/findFreePort";
-import { servePlatformStore } from "@auburnarch/platform/testing/servePlatformStore";
-import { serveSampler } from "@auburnarch/platform/testing/serveSampler";
-import { serveUsageReports } from "@auburnarch/platform/testing/serveUsageReports";
+import { serveFakePlatformStore } from "@auburnarch/platform/testing/serveFakePlatformStore";
+import { serveFakeSampler } from "@auburnarch/platform/testing/serveFakeSampler";
+import { serveFakeUsageReports } from "@auburnarch/platform/testing/serveFakeUsageReports";
 import type { Clock } from "@auburnarch/types/Clock";
 import { mkdtemp, rm } from "node:fs/promises";
 import { tmpdir } from "node:os";
@@ -34,8 +34,8 @@
 export async function createSoakTestBed(clock: Clock, options: SoakTestBedOptions): Promise<SoakTestBed> {
     const { models } = options;
     const folder = await mkdtemp(join(tmpdir(), "auburnarch-soak-"));
-    const store = await servePlatformStore();
-    const usageReports = await serveUsageReports();
+    const store = await serveFakePlatformStore();
+    const usageReports = await serveFakeUsageReports();
     const writes = createPlatformWrites(store);
     const storeLinks = new Map<string, LinkProxy>();
     const programs: Program[] = [];
@@ -51,7 +51,7 @@
     }
 
     async function startSampler(id: string, service: string, port: () => number): Promise<FakeSampler> {
-        const sampler = await serveSampler({
+        const sampler = await serveFakeSampler({
             id,
             service,
             events: eventsPerItem,
--- a/packages/streams/src/responseSink.ts
+++ b/packages/streams/src/createResponseSink.ts
@@ -4,7 +4,7 @@
 const maxSingleWriteBytes = 8_192;
 
 /** Creates a sink that writes to a server response. A body that is complete at the start is sent with its length. */
-export function responseSink(
+export function createResponseSink(
     response: ServerResponse,
     status: number,
     headers: OutgoingHttpHeaders,
--- a/packages/streams/src/createSpanAssembler.test.ts
+++ b/packages/streams/src/createSpanAssembler.test.ts
@@ -17,11 +17,11 @@
         fc.property(fc.array(span), fc.array(span), (resume, streamed) => {
             const assembler = createSpanAssembler(resume);
             streamed.forEach(assembler.add);
-            const whole = assembler.spans();
-            expect(whole).toEqual(mergeSpans([...resume, ...streamed]));
-            expect(countTokens(whole)).toBe(countTokens(resume) + assembler.addedTokens());
+            const assembled = assembler.spans();
+            expect(assembled).toEqual(mergeSpans([...resume, ...streamed]));
+            expect(countTokens(assembled)).toBe(countTokens(resume) + assembler.addedTokens());
             expect(assembler.addedSpans()).toBe(streamed.length);
-            const neighbours = whole.slice(1).map((next, at) => next.version === whole[at]!.version);
+            const neighbours = assembled.slice(1).map((next, at) => next.version === assembled[at]!.version);
             expect(neighbours).not.toContain(true);
         }),
         { seed: 3, numRuns: 300 },
--- a/packages/streams/src/readRequest.ts
+++ b/packages/streams/src/readRequestBody.ts
@@ -8,7 +8,7 @@
  * Reads the body of an incoming request. Rejects with `bodyTooLarge` beyond `maxBytes`, without buffering more than
  * that, and with `connectionBroken` if the sender disconnects.
  */
-export function readRequest(request: IncomingMessage, maxBytes: number): Promise<Uint8Array> {
+export function readRequestBody(request: IncomingMessage, maxBytes: number): Promise<Uint8Array> {
     const declared = Number(request.headers["content-length"] ?? Number.NaN);
     if (declared > maxBytes) {
         return Promise.reject(new ResultError(resultCodes.bodyTooLarge, `${declared} bytes`));
--- a/packages/validation/src/findSampleProblem.ts
+++ b/packages/validation/src/findSampleProblem.ts
@@ -7,10 +7,10 @@
 /** Checks a completed sample against its task; undefined if it counts. */
 export function findSampleProblem(
     job: JobId,
-    made: GeneratedSample,
+    sample: GeneratedSample,
     bounds: VersionBounds,
 ): SampleProblem | undefined {
-    const { task, answer } = made;
+    const { task, answer } = sample;
     if (task.sample !== `${job}/${task.step}/${task.group}/${task.index}`) {
         return "wrongIdentity";
     }
