--- a/packages/bench/src/faults/Simulation.ts
+++ b/packages/bench/src/faults/Simulation.ts
@@ -7,9 +7,9 @@
 import type { VmId } from "@auburnarch/types/VmId";
 import type { VmList } from "@auburnarch/types/VmList";
 import type { VmRecord } from "@auburnarch/types/VmRecord";
+import type { RunObserver } from "./checks/RunObserver.js";
+import type { Violations } from "./checks/Violations.js";
 import type { FaultGuards } from "./FaultGuards.js";
-import type { RunObserver } from "./judges/RunObserver.js";
-import type { Violations } from "./judges/Violations.js";
 import type { Network } from "./Network.js";
 
 /** State shared by all components of one run. */
--- a/packages/bench/src/faults/createEntryPorts.ts
+++ b/packages/bench/src/faults/createEntryPorts.ts
@@ -7,9 +7,9 @@
 import type { TestProcess } from "@auburnarch/ownership/testing/TestProcess";
 import type { SamplerReport } from "@auburnarch/types/SamplerReport";
 import type { SidecarPort } from "@auburnarch/types/SidecarPort";
+import { createCheckedSidecar } from "./checks/createCheckedSidecar.js";
 import { createSidecarLink } from "./createSidecarLink.js";
 import type { EntryNode } from "./EntryNode.js";
-import { createCheckedSidecar } from "./judges/createCheckedSidecar.js";
 import type { SamplerNode } from "./SamplerNode.js";
 import type { Simulation } from "./Simulation.js";
 
--- a/packages/bench/src/faults/createObservedEngine.ts
+++ b/packages/bench/src/faults/createObservedEngine.ts
@@ -3,7 +3,7 @@
 import type { EngineFinish } from "@auburnarch/types/EngineFinish";
 import type { EnginePort } from "@auburnarch/types/EnginePort";
 import type { EngineRequest } from "@auburnarch/types/EngineRequest";
-import type { RunObserver } from "./judges/RunObserver.js";
+import type { RunObserver } from "./checks/RunObserver.js";
 import type { SidecarProcess } from "./SidecarProcess.js";
 
 interface ObservedEngineDeps {
--- a/packages/bench/src/faults/createSimulation.ts
+++ b/packages/bench/src/faults/createSimulation.ts
@@ -5,12 +5,12 @@
 import type { Clock } from "@auburnarch/types/Clock";
 import type { Logger } from "@auburnarch/types/Logger";
 import type { QuarantineRecord } from "@auburnarch/types/QuarantineRecord";
+import { createCheckedStore } from "./checks/createCheckedStore.js";
+import { createRunObserver } from "./checks/createRunObserver.js";
+import { createViolations } from "./checks/createViolations.js";
 import { createNetwork } from "./createNetwork.js";
 import { createNoopLogger } from "./createNoopLogger.js";
 import type { FaultGuards } from "./FaultGuards.js";
-import { createCheckedStore } from "./judges/createCheckedStore.js";
-import { createRunObserver } from "./judges/createRunObserver.js";
-import { createViolations } from "./judges/createViolations.js";
 import type { Simulation } from "./Simulation.js";
 
 /** Calls take time in every other run, so that faults also occur between effect and answer. */
--- a/packages/bench/src/faults/runWithFaults.ts
+++ b/packages/bench/src/faults/runWithFaults.ts
@@ -2,6 +2,7 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ObjectVersion } from "@auburnarch/types/ObjectVersion";
 import type { Random } from "@auburnarch/types/Random";
+import { checkRun } from "./checks/checkRun.js";
 import { createManifest } from "./createManifest.js";
 import { createRunParts } from "./createRunParts.js";
 import { createSimulation } from "./createSimulation.js";
@@ -10,7 +11,6 @@
 import { faultKinds } from "./faultKinds.js";
 import type { FaultRun } from "./FaultRun.js";
 import { injectFault } from "./injectFault.js";
-import { checkRun } from "./judges/checkRun.js";
 import type { RunParts } from "./RunParts.js";
 import { watchRun } from "./watchRun.js";
 
