--- a/packages/dispatch/src/roomBesideOthers.ts
+++ b/packages/dispatch/src/roomBesideOthers.ts
@@ -5,8 +5,8 @@
 
 /**
  * Room for the free slots; on a sampler that is full because of other senders, for two attempts that wait there. More
- * would be bound to one sampler early and queue behind other jobs while slots elsewhere become free. With none, the
- * other teams would get this team's share, since the sampler's sidecar schedules only attempts that wait there.
+ * would be bound to one sampler early and queue behind other jobs while slots elsewhere become free. If none waited
+ * there, the other teams would get this team's share, since the sampler's sidecar schedules only waiting attempts.
  */
 export const roomBesideOthers: RoomRule = ({ limit, load, outstanding, started }) => {
     const free = Math.max(1, limit) - load;
--- a/packages/feeds/src/createFeedBackedStore.ts
+++ b/packages/feeds/src/createFeedBackedStore.ts
@@ -91,8 +91,8 @@
     }
 
     /**
-     * A runner that has just lost the store redirects to another one, which may not know that yet and redirect back.
-     * So each runner that redirected is listed as avoided in the queries after it.
+     * A runner that can no longer reach the store redirects to another one, which may not have detected that yet and
+     * redirects back. So each runner that redirected is listed as avoided in the queries after it.
      */
     async function askRunners(query: FeedQuery): Promise<DataAnswer | undefined> {
         const avoided = [...query.avoided ?? []];
--- a/packages/forwarding/src/ForwardingOutcome.ts
+++ b/packages/forwarding/src/ForwardingOutcome.ts
@@ -1,7 +1,7 @@
 import type { ResultCode } from "@auburnarch/types/ResultCode";
 import type { SamplerReply } from "./SamplerReply.js";
 
-/** Result for the caller: a sampler's answer, or a code whose family tells whether the request may have run. */
+/** Result for the caller: a sampler's answer, or a code whose family states whether the request may have run. */
 export type ForwardingOutcome =
     | Extract<SamplerReply, { kind: "answered"; }>
     | { kind: "failed"; code: ResultCode; detail: string; retryAfterMs?: number; };
--- a/packages/ownership/src/defaultOwnerGuards.ts
+++ b/packages/ownership/src/defaultOwnerGuards.ts
@@ -15,7 +15,7 @@
     isUndelivered: (delivered, group) => !hasGroup(delivered, group),
     isFresh,
     findSampleProblem,
-    // A trainer that lost an answer reads again; only identical bytes let it tell a repeat from new groups.
+    // A trainer that misses an answer reads again; only identical bytes let it distinguish a repeat from new groups.
     repeatsPage: () => true,
     isHigherVersion: (version, current) => version > current,
 };
--- a/packages/routing/src/Credential.ts
+++ b/packages/routing/src/Credential.ts
@@ -3,6 +3,6 @@
 /** The credential that a caller sent. */
 export type Credential =
     | { kind: "none"; }
-    /** Malformed; `fault` says why without containing the credential. */
+    /** Malformed; `fault` states the reason without containing the credential. */
     | { kind: "unusable"; fault: string; }
     | { kind: "key"; digest: KeyDigest; };
--- a/packages/runner/src/RunnerDeps.ts
+++ b/packages/runner/src/RunnerDeps.ts
@@ -33,7 +33,7 @@
     storeSilentMs: () => number;
     /** Milliseconds since the store last answered this process. */
     sinceStoreAnswerMs: () => number;
-    /** Milliseconds since store calls began to succeed again; infinite if none ever failed. */
+    /** Milliseconds since store calls began to succeed again after failures; infinite if none ever failed. */
     storeRegainedMs: () => number;
     routing: RoutingView;
     directory: SamplerDirectory;
--- a/packages/runner/src/duties/createDutyHolder.ts
+++ b/packages/runner/src/duties/createDutyHolder.ts
@@ -41,7 +41,7 @@
     const stopped = new AbortController();
     let isHeld = (): boolean => false;
 
-    /** Time for which the last call of an earlier holder may still be too recent. */
+    /** Time to wait after acquiring the lease, since the last call of an earlier holder may be too recent. */
     function quietMsAfter(found: Lease["found"]): number {
         if (found === "nothing" || found === "ownEarlier") {
             return 0;
--- a/packages/runner/src/duties/createPauseDetector.ts
+++ b/packages/runner/src/duties/createPauseDetector.ts
@@ -12,9 +12,9 @@
 const tickMs = 200;
 
 /**
- * Detects that the process was paused or its VM suspended. Judged by the monotonic clock alone, a lease looks valid
- * after a suspension although another holder already acts. After a pause nothing is done for `restMs`, within which
- * the lease is renewed or found to be lost.
+ * Detects that the process was paused or its VM suspended. By the monotonic clock alone, a lease seems valid after a
+ * suspension although another holder already acts. The clocks count as untrusted for `restMs` after a pause; within
+ * this time the lease is renewed, or its loss is detected.
  */
 export function createPauseDetector(clock: Clock, logger: Logger, restMs: number): PauseDetector {
     let lastSteadyMs = clock.monotonicMs();
--- a/packages/runner/src/jobs/chooseOwner.ts
+++ b/packages/runner/src/jobs/chooseOwner.ts
@@ -31,7 +31,7 @@
 
 /**
  * A runner that reaches none of several peers is more likely to be partitioned than they are to have crashed. Their
- * batch jobs stay with them for this time; if they did crash, the delay occurs once.
+ * batch jobs stay with them for this time; if they did crash, their batch jobs are taken over this much later.
  */
 const isolationGraceMs = 6_000;
 
--- a/packages/runner/src/peers/chooseFeeder.ts
+++ b/packages/runner/src/peers/chooseFeeder.ts
@@ -6,7 +6,7 @@
 /**
  * Chooses the runner that reads changes from the store on behalf of all: the first by name of the eligible ones. Two
  * runners with different views of their peers may both do so, which only costs store calls. Processes that cannot use
- * the chosen runner pass it in `avoided`, so that all of them turn to the same next one. Undefined if no runner is
+ * the chosen runner pass it in `avoided`, so that all of them use the same next one. Undefined if no runner is
  * eligible.
  */
 export function chooseFeeder(
--- a/packages/runner/src/peers/createPeerRegistry.ts
+++ b/packages/runner/src/peers/createPeerRegistry.ts
@@ -12,7 +12,7 @@
     registered: WatchedKind<RunnerAddress>;
     /** Requests a peer's status; rejects if it does not answer in time. */
     probe: (address: RunnerAddress, timeoutMs: number) => Promise<RunnerStatus>;
-    /** Called when a peer is found dead, answers again, or changes what it runs. */
+    /** Called when a peer counts as crashed, answers again, or changes what it runs. */
     onChange: () => void;
     clock: Clock;
     logger: Logger;
@@ -24,17 +24,17 @@
     isProbing: boolean;
 }
 
-/** A runner's batch jobs stand still until its crash is detected; each probe costs both sides about a millisecond. */
+/** A runner's batch jobs stall until its crash is detected; each probe costs both sides about a millisecond. */
 const probeIntervalMs = 400;
 const probeTimeoutMs = 350;
 /**
- * Three consecutive probes may be lost before a peer counts as dead, so that a short pause of a process is not taken
- * for a crash.
+ * Three consecutive probes may be lost before a peer counts as crashed, so that a short pause of a process is not
+ * taken for a crash.
  */
 const deadAfterMs = 1_300;
 /**
  * A registered peer that has never answered this process counts as removed after two probes: batch jobs wait until
- * each peer has answered or is considered dead, and a removed VM leaves its registration behind.
+ * each peer has answered or counts as crashed, and a removed VM leaves its registration behind.
  */
 const firstAnswerTimeoutMs = 600;
 /**
--- a/packages/runner/src/results/createGroupNeed.ts
+++ b/packages/runner/src/results/createGroupNeed.ts
@@ -4,7 +4,7 @@
 
 /**
  * Tracks the complete groups of a batch job against those that its trainer waits for: a number of groups in any
- * selection, and each group that was already submitted with an earlier batch job, as `isResubmitted` tells. A batch
+ * selection, and each group for which `isResubmitted` returns true because an earlier batch job contained it. A batch
  * job without such a number is needed in full.
  */
 export function createGroupNeed(batchJob: BatchJob, isResubmitted: (group: string) => boolean): GroupNeed {
--- a/packages/runner/src/results/recordPauseMs.ts
+++ b/packages/runner/src/results/recordPauseMs.ts
@@ -41,10 +41,10 @@
 }
 
 /**
- * Time for which a result waits for others to share its chunk. Each chunk costs a store call, and a reader that is
- * answered for every few results spends its time between two polls: when the last result that it needs is added, it
- * polls half a second later. Results that complete a trainer's need are therefore recorded at once, and all others
- * are batched for as long as they can still be read when the step is due.
+ * Time for which a result waits for others to share its chunk. Each chunk costs a store call. It also answers the
+ * waiting reader, whose next poll comes up to half a second later: if the reader is answered for every few results,
+ * the last result that it needs is likely to be added between two polls. Results that complete a trainer's need are
+ * therefore recorded at once, and all others are batched for as long as they can still be read when the step is due.
  */
 export function recordPauseMs(state: RecordingState): number {
     const { total, made, isNeedMet, isNeedRecorded, untilDueMs, waitedMs } = state;
--- a/packages/runner/src/weights/createLoadScheduler.ts
+++ b/packages/runner/src/weights/createLoadScheduler.ts
@@ -26,9 +26,9 @@
 const failurePauseMs = 300;
 
 /**
- * A sampler that restarted under its name counts its orders from zero. With the count of its other start an order
- * would be refused as long as the two counts differ, or, where they are equal, be void for a load that was never
- * made.
+ * A sampler that restarted under its name counts its orders from zero. An order with the count of the sampler's other
+ * start is refused while the two counts differ. Where they are equal, the order may be void although the load was never
+ * performed.
  */
 const isOfDifferentStart = (status: EngineStatus, sampler: RegisteredSampler): boolean =>
     status.bornAtMs !== undefined && sampler.bornAtMs !== undefined && status.bornAtMs !== sampler.bornAtMs;
--- a/packages/runner/src/weights/widenShares.ts
+++ b/packages/runner/src/weights/widenShares.ts
@@ -15,7 +15,7 @@
 /**
  * Widens shares for steps whose items arrive all at once. A share in proportion to the work keeps up over time, but
  * the items of a step beyond its slots wait while slots of other policies' samplers are free. A step also ends with
- * its longest items, which run slower beside more others.
+ * its longest items, which run slower the more items share their sampler.
  */
 export function widenShares(
     shares: readonly number[],
--- a/packages/sidecar/src/SidecarGuards.ts
+++ b/packages/sidecar/src/SidecarGuards.ts
@@ -4,7 +4,7 @@
 
 /**
  * The checks that enforce a sidecar's guarantees, one function each; every one returns true to let something pass. The
- * fault bench replaces one at a time by a function that always returns true, and must then see a guarantee violated.
+ * fault bench replaces one at a time by a function that always returns true, and must then detect a violated guarantee.
  */
 export interface SidecarGuards {
     /** An attempt that was reported as not run must not run. */
--- a/packages/sidecar/src/createAgingMap.ts
+++ b/packages/sidecar/src/createAgingMap.ts
@@ -15,8 +15,8 @@
 }
 
 /**
- * Creates a map that expires entries by dropping its older half as a whole. Deleting the oldest entry of one large map
- * instead makes each insertion step over the holes that earlier deletions left.
+ * Creates a map that expires entries by dropping its older half as a whole. If instead each insertion deleted the
+ * oldest entry of one large map, finding that entry would mean skipping the slots of all entries deleted before it.
  */
 export function createAgingMap<Key, Value>(options: AgingMapOptions): AgingMap<Key, Value> {
     const { nowMs, memoryMs } = options;
--- a/packages/sidecar/src/createPlainHandler.ts
+++ b/packages/sidecar/src/createPlainHandler.ts
@@ -53,7 +53,8 @@
         }
         const abort = new AbortController();
         response.once("close", () => {
-            // An abort costs an exception with its stack; most connections close after a complete response.
+            // Aborting creates an exception with its stack, which most connections, closed after a complete response,
+            // do not need.
             if (!response.writableFinished) {
                 abort.abort();
             }
--- a/packages/sidecar/src/findQuarantineRefusal.ts
+++ b/packages/sidecar/src/findQuarantineRefusal.ts
@@ -10,9 +10,9 @@
 
 /**
  * Makes the quarantine checks, before work is queued and again before it starts. Two contents that a crash counts
- * against never run here at once: if the engine crashed under them, the innocent one would have its second crash and be
- * refused everywhere, like the one that caused it. A trial passes, since its sender has already counted it; while a
- * trial waits or runs here, no other work passes.
+ * against never run here at once: if the engine crashed, the second crash would count against the harmless one too,
+ * and it would be refused everywhere, like the one that caused the crash. A trial passes, since its sender has already
+ * counted it; while a trial waits or runs here, no other work passes.
  */
 export function findQuarantineRefusal(context: SidecarContext, work: SuspectWork): ResultCode | undefined {
     const { guards, quarantine, suspects, trialReservation } = context;
