--- a/packages/admission/src/createKeyRange.test.ts
+++ b/packages/admission/src/createKeyRange.test.ts
@@ -87,7 +87,7 @@
 }
 
 test("a request sent again after a broken connection does not run twice", async () => {
-    // Guards against a fetch that ran twice, which showed a customer conflicting alerts.
+    // Guards against a fetch that runs twice and shows a customer conflicting alerts.
     const { service, createOwner, send, mint } = createFixture();
     const owner = createOwner();
     const key = mint();
--- a/packages/feeds/src/createFeedHub.test.ts
+++ b/packages/feeds/src/createFeedHub.test.ts
@@ -130,7 +130,7 @@
     hub.stop();
 });
 
-test("a change is seen within two seconds although the feeding runner has lost the store", async () => {
+test("a change is seen within two seconds although the feeding runner cannot reach the store", async () => {
     // Guards against a draining sampler that gets new requests for three seconds.
     const { clock, state, hub, follow, put } = createFixture();
     await put("servers/a");
@@ -162,7 +162,7 @@
     hub.stop();
 });
 
-test("a change is seen within two seconds although the store drops its history as the runner loses the store", async () => {
+test("a change is seen within two seconds although the store drops its history while the runner is disconnected", async () => {
     // Guards against a route refused as unknown 4.2 s after the configuration that added it was acknowledged.
     const { clock, state, hub, follow, put } = createFixture();
     await put("servers/a");
--- a/packages/feeds/src/createOutageTracker.test.ts
+++ b/packages/feeds/src/createOutageTracker.test.ts
@@ -23,7 +23,7 @@
     return { clock, evidence, lose, regain };
 }
 
-test("a loss of the store by this process alone is not an outage", async () => {
+test("a store that only this process cannot reach is not an outage", async () => {
     const { clock, evidence, lose, regain } = createFixture();
     lose();
     await clock.advance(10_000);
--- a/packages/gateway/src/createGateway.test.ts
+++ b/packages/gateway/src/createGateway.test.ts
@@ -213,7 +213,7 @@
 
 test("a gateway is not ready without a store or known samplers, or after markNotReady", async () => {
     // Guards against the load balancer sending clients to a gateway that cannot reach the store: without this check all
-    // batch jobs of one failure domain were lost for nine seconds.
+    // batch jobs of one failure domain are lost for nine seconds.
     const { gateway, state } = createFixture();
     const seen = [gateway.isReady()];
     state.storeSilentMs = 1_000;
--- a/packages/runner/src/items/createItemSidecar.test.ts
+++ b/packages/runner/src/items/createItemSidecar.test.ts
@@ -123,7 +123,7 @@
 });
 
 test("a run resumed after its last event is complete, even if the answer states no weight version", async () => {
-    // Guards against a step standing still for 12 s while one item was sent 250 times a second.
+    // Guards against a step that stalls for 12 s while one item is sent 250 times a second.
     const { outcome } = await run(answered(200, 0), [], [span(4, "e1\n"), span(5, "e2\n")]);
     expect(outcome).toBe("ran 4:e1 5:e2");
 });
--- a/packages/runner/src/jobs/chooseOwner.test.ts
+++ b/packages/runner/src/jobs/chooseOwner.test.ts
@@ -68,9 +68,8 @@
     );
 });
 
-test("a peer that lost the store keeps its batch jobs unless the store is reachable here", () => {
-    // Guards against one runner taking over all batch jobs during a store outage and running them again beside their
-    // owners.
+test("a peer that cannot reach the store keeps its batch jobs unless the store is reachable here", () => {
+    // Guards against one runner taking over all batch jobs during a store outage, so that their items run twice.
     const peers = [peer("r2", { running: running("a"), storeSilentMs: 3_000 })];
     expect(
         chooseOwner({
--- a/packages/runner/src/jobs/yieldsTo.test.ts
+++ b/packages/runner/src/jobs/yieldsTo.test.ts
@@ -3,8 +3,8 @@
 import { yieldsTo } from "./yieldsTo.js";
 
 test("when several runners start a batch job together, exactly one continues", () => {
-    // Guards against duplicate runs: a step of 112 items made 594 attempts and ended after 11.7 s, and the next step
-    // waited for it.
+    // Guards against duplicate runs, with which a step of 112 items makes 594 attempts, ends after 11.7 s and delays
+    // the next step.
     const runs = [{ name: "burgos-1", runMs: 235 }, { name: "logrono-1", runMs: 2 }, {
         name: "lugo-1",
         runMs: 0,
--- a/packages/runner/src/peers/createPeerRegistry.test.ts
+++ b/packages/runner/src/peers/createPeerRegistry.test.ts
@@ -68,7 +68,7 @@
     };
 }
 
-test("a peer counts as dead after three unanswered probes and as alive again after the next answer", async () => {
+test("a peer counts as crashed after three unanswered probes and as alive again after the next answer", async () => {
     const { clock, answers, alive } = createFixture(["r1", "r2", "r3"]);
     await clock.advance(1_000);
     const seen = [alive()];
@@ -84,7 +84,7 @@
 });
 
 test("a registered VM that no longer exists delays others by no more than two probes", async () => {
-    // Guards against batch jobs standing still for 1.3 s after a power loss of all VMs.
+    // Guards against batch jobs that stall for 1.3 s after a power loss of all VMs.
     const { clock, registry } = createFixture(["r1", "r2", "r3"], ["r3"]);
     await clock.advance(300);
     expect(registry.isSettled()).toBe(false);
--- a/packages/runner/src/peers/isStoreOutage.test.ts
+++ b/packages/runner/src/peers/isStoreOutage.test.ts
@@ -7,7 +7,7 @@
 const dead = createPeerView("r4", { storeSilentMs: 700 }, false);
 const unanswered = { ...withStore, status: undefined };
 
-test("a runner does not mistake its own loss of the store for an outage", () => {
+test("the store counts as down only if no peer that answers can reach it", () => {
     const judged = [
         ["its calls succeed", isStoreOutage(0, [withoutStore])],
         ["a peer has the store", isStoreOutage(500, [withStore, withoutStore])],
--- a/packages/runner/src/results/createRecorder.test.ts
+++ b/packages/runner/src/results/createRecorder.test.ts
@@ -186,8 +186,8 @@
 });
 
 test("the last items of a batch job are recorded as they finish", async () => {
-    // Guards against a pause before the last items, which a trainer waits for and no later result could share a chunk
-    // with: it cost 80 ms of a step.
+    // Guards against a pause that delays a step by 80 ms: the trainer waits for the last items, and no later result
+    // could share their chunk.
     const { clock, start } = createFixture(5);
     const recorder = start();
     ["a", "b", "c", "d"].forEach(item => recorder.add(result(item)));
--- a/packages/runner/src/results/recordPause.load.test.ts
+++ b/packages/runner/src/results/recordPause.load.test.ts
@@ -12,7 +12,7 @@
 
 type Pause = typeof recordPauseMs;
 
-/** An earlier rule for comparison: results shortly before the due time were recorded every 200 ms. */
+/** Baseline: records results every second, and every 200 ms in the last two seconds before the due time. */
 const pauseBefore: Pause = state => state.made >= items ? 0 : state.untilDueMs < 2_000 ? 200 : 1_000;
 
 /** Finish times of the items of a step: most finish early, a tenth takes five times as long. */
--- a/packages/runner/src/testing/ReportCall.ts
+++ b/packages/runner/src/testing/ReportCall.ts
@@ -8,6 +8,6 @@
     window: number;
     counts: string;
     isAccepted: boolean;
-    /** The sender had just been paused, which excuses the order of its calls. */
+    /** The sender was paused at this call or shortly before, so it may arrive after calls of a later holder. */
     isAfterPause: boolean;
 }
--- a/packages/runner/src/testing/createReportingProcess.ts
+++ b/packages/runner/src/testing/createReportingProcess.ts
@@ -34,7 +34,7 @@
 
 const leaseTtlMs = 2_500;
 const handOverMs = 3_000;
-/** Calls of a sender are excused for this long after it was resumed. */
+/** Calls of a sender may arrive out of order for this long after it was resumed. */
 const resumeGraceMs = 300;
 const networkDelayMs = 4;
 const tickMs = 150;
--- a/packages/sidecar/src/createOrderRunner.test.ts
+++ b/packages/sidecar/src/createOrderRunner.test.ts
@@ -81,7 +81,7 @@
 });
 
 test("samples with a newer minimum version are refused within one heartbeat of a restart with old weights", async () => {
-    // Guards against a trainer that learns from stale policy versions for weeks.
+    // Guards against a trainer that learns from outdated policy versions for weeks.
     const setup = await createReadySidecar();
     expect(await order(setup, setup.load(3, 5))).toBe("done");
     setup.control.crash();
--- a/packages/sidecar/src/createTrialReservation.test.ts
+++ b/packages/sidecar/src/createTrialReservation.test.ts
@@ -65,8 +65,8 @@
 });
 
 test("a trial with a small budget is refused while half of the budget is left", async () => {
-    // Guards against a sampler that stays idle for a caller that has gone, and an innocent content that is refused for
-    // an hour longer.
+    // Guards against a sampler that stays idle for a caller that has disconnected, and a harmless content that is
+    // refused for an hour longer.
     const { clock, sidecar, attempt, run, ends } = await createReadySidecar(2);
     const body = JSON.stringify({ model: "plume", prompt: "long", max_tokens: 64 });
     const request = { service: "model", team: "team", method: "POST", path: "/v1/completions", headers: {} };
