--- a/packages/admission/src/KeyRangeGuards.ts
+++ b/packages/admission/src/KeyRangeGuards.ts
@@ -3,9 +3,9 @@
     /** Whether a range may accept new keys, given whether its lease is held according to the owner's clock. */
     mayAccept(isHeld: boolean): boolean;
     /** Whether a key was created too late for an earlier owner to have run it. */
-    isAfterTakeover(mintedAtMs: number, takenOverAtMs: number, skewMs: number): boolean;
+    isAfterTakeover(createdAtMs: number, takenOverAtMs: number, skewMs: number): boolean;
     /** Whether a key is recent enough that the owner would still have a record of it. */
-    isRemembered(mintedAtMs: number, nowMs: number, windowMs: number): boolean;
+    isRemembered(createdAtMs: number, nowMs: number, windowMs: number): boolean;
     /** Whether a key with a record counts as seen. */
     isSeen(isFound: boolean): boolean;
 }
--- a/packages/admission/src/admission.test.ts
+++ b/packages/admission/src/admission.test.ts
@@ -7,7 +7,7 @@
 import { expect, test } from "vitest";
 import { authenticate } from "./authenticate.js";
 import { createTeamLimit } from "./createTeamLimit.js";
-import { mintTime } from "./mintTime.js";
+import { keyCreatedAtMs } from "./keyCreatedAtMs.js";
 import { rangeCount } from "./rangeCount.js";
 import { rangeOf } from "./rangeOf.js";
 
@@ -57,18 +57,18 @@
 test("a key has a creation time only if it is a UUIDv7", () => {
     fc.assert(
         fc.property(fc.integer({ min: 0, max: 2 ** 47 }), msecs => {
-            expect(mintTime(v7({ msecs }))).toBe(msecs);
-            expect(mintTime(v7({ msecs }).toUpperCase())).toBe(msecs);
+            expect(keyCreatedAtMs(v7({ msecs }))).toBe(msecs);
+            expect(keyCreatedAtMs(v7({ msecs }).toUpperCase())).toBe(msecs);
         }),
         { seed: 3 },
     );
     fc.assert(
         fc.property(fc.string(), text => {
-            expect(mintTime(text)).toBeUndefined();
+            expect(keyCreatedAtMs(text)).toBeUndefined();
         }),
         { seed: 3 },
     );
-    expect(mintTime(v4())).toBeUndefined();
+    expect(keyCreatedAtMs(v4())).toBeUndefined();
 });
 
 test("keys are distributed evenly over the ranges, regardless of their creation time", () => {
--- a/packages/admission/src/createKeyRange.ts
+++ b/packages/admission/src/createKeyRange.ts
@@ -7,10 +7,10 @@
 import { bufferAnswer } from "./bufferAnswer.js";
 import type { CachedAnswer } from "./CachedAnswer.js";
 import { defaultKeyRangeGuards } from "./defaultKeyRangeGuards.js";
+import { keyCreatedAtMs } from "./keyCreatedAtMs.js";
 import type { KeyedRequest } from "./KeyedRequest.js";
 import type { KeyRange } from "./KeyRange.js";
 import type { KeyRangeDeps } from "./KeyRangeDeps.js";
-import { mintTime } from "./mintTime.js";
 import { replayAnswer } from "./replayAnswer.js";
 
 type Outcome = AttemptOutcome<PlainAnswer>;
@@ -74,20 +74,20 @@
 
     /** Why a key without a record may not run; undefined if it may. */
     function findRefusal(key: string): Outcome | undefined {
-        const mintedAtMs = mintTime(key);
-        if (mintedAtMs === undefined) {
+        const createdAtMs = keyCreatedAtMs(key);
+        if (createdAtMs === undefined) {
             return notRun(resultCodes.keyNotUuidV7);
         }
         if (!guards.mayAccept(lease.isHeld())) {
             return notRun(resultCodes.notOwner);
         }
-        if (mintedAtMs > nonDecreasingWallMs() + skewMs) {
+        if (createdAtMs > nonDecreasingWallMs() + skewMs) {
             return notRun(resultCodes.keyTooOld);
         }
-        if (!guards.isRemembered(mintedAtMs, nonDecreasingWallMs(), windowMs)) {
+        if (!guards.isRemembered(createdAtMs, nonDecreasingWallMs(), windowMs)) {
             return unknown(resultCodes.keyTooOld);
         }
-        if (takenOverAtMs !== undefined && !guards.isAfterTakeover(mintedAtMs, takenOverAtMs, skewMs)) {
+        if (takenOverAtMs !== undefined && !guards.isAfterTakeover(createdAtMs, takenOverAtMs, skewMs)) {
             return unknown(resultCodes.keyTakenOver);
         }
         return entries.size >= maxKeys ? notRun(resultCodes.overloaded, overloadedRetryAfterMs) : undefined;
--- a/packages/admission/src/createQuarantineRecords.ts
+++ b/packages/admission/src/createQuarantineRecords.ts
@@ -54,11 +54,14 @@
     }
 
     function logChange(before: QuarantineRecord | undefined, after: QuarantineRecord): void {
-        const was = before !== undefined && isConvictedNow(before);
-        const is = isConvictedNow(after);
-        if (was !== is) {
+        const wasQuarantined = before !== undefined && isConvictedNow(before);
+        const isQuarantined = isConvictedNow(after);
+        if (wasQuarantined !== isQuarantined) {
             const vms = new Set(after.deaths.map(crash => crash.vm)).size;
-            logger.warn(is ? "contentQuarantined" : "contentReleased", { digest: after.digest, vms });
+            logger.warn(isQuarantined ? "contentQuarantined" : "contentReleased", {
+                digest: after.digest,
+                vms,
+            });
         }
     }
 
--- a/packages/admission/src/createTrials.test.ts
+++ b/packages/admission/src/createTrials.test.ts
@@ -12,7 +12,7 @@
 const hourMs = 3_600_000;
 const silent: Logger = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
 const digestOf = (name: string): ContentDigest => name as ContentDigest;
-const innocent = digestOf("innocent");
+const harmlessContent = digestOf("innocent");
 
 function createFixture(entryCount: number) {
     const clock = createFakeClock();
@@ -47,106 +47,106 @@
 test("a refused content never alone at a crash gets a trial, and its clean finish clears it everywhere", async () => {
     // Guards against a step that never ends.
     const { clock, entries: [first, second], crashEngine, distribute } = createFixture(2);
-    crashEngine("vm-1", innocent, digestOf("killer"));
-    crashEngine("vm-2", innocent, digestOf("other"));
-    crashEngine("vm-3", innocent, digestOf("third"));
-    expect(first!.isRefused(innocent)).toBe(true);
-    expect(dueOf(first!, innocent)).toEqual([5_000, 5_000]);
-    expect(await first!.takeTrial(innocent, "sample")).toBeUndefined();
+    crashEngine("vm-1", harmlessContent, digestOf("killer"));
+    crashEngine("vm-2", harmlessContent, digestOf("other"));
+    crashEngine("vm-3", harmlessContent, digestOf("third"));
+    expect(first!.isRefused(harmlessContent)).toBe(true);
+    expect(dueOf(first!, harmlessContent)).toEqual([5_000, 5_000]);
+    expect(await first!.takeTrial(harmlessContent, "sample")).toBeUndefined();
     await clock.advance(5_000);
-    expect(await first!.takeTrial(innocent, "sample")).toBeDefined();
+    expect(await first!.takeTrial(harmlessContent, "sample")).toBeDefined();
     distribute();
     // One trial in total, not one per entry.
-    expect(await second!.takeTrial(innocent, "sample")).toBeUndefined();
+    expect(await second!.takeTrial(harmlessContent, "sample")).toBeUndefined();
     await clock.advance(200);
-    first!.recordCleanFinish(innocent);
+    first!.recordCleanFinish(harmlessContent);
     await first!.publish();
     distribute();
-    expect([first!, second!].map(entry => entry.isRefused(innocent))).toEqual([false, false]);
+    expect([first!, second!].map(entry => entry.isRefused(harmlessContent))).toEqual([false, false]);
 });
 
 test("a content that is cleared later still counts as in flight at its earlier crashes", async () => {
     // Guards against a harmless content that counts as confirmed crash-inducing.
     const { clock, entries: [entry], crashEngine } = createFixture(1);
-    crashEngine("vm-1", innocent, digestOf("beside"));
-    crashEngine("vm-2", innocent, digestOf("beside too"));
+    crashEngine("vm-1", harmlessContent, digestOf("beside"));
+    crashEngine("vm-2", harmlessContent, digestOf("beside too"));
     entry!.recordCleanFinish(digestOf("beside"));
     entry!.recordCleanFinish(digestOf("beside too"));
     await clock.advance(5_000);
-    expect(dueOf(entry!, innocent)).toEqual([0, 0]);
+    expect(dueOf(entry!, harmlessContent)).toEqual([0, 0]);
 });
 
 test("a content that was alone at two crashes waits a minute for a sample and an hour for a request", () => {
     const { entries: [entry], crashEngine } = createFixture(1);
-    crashEngine("vm-1", innocent);
-    crashEngine("vm-2", innocent);
-    expect(dueOf(entry!, innocent)).toEqual([60_000, hourMs]);
+    crashEngine("vm-1", harmlessContent);
+    crashEngine("vm-2", harmlessContent);
+    expect(dueOf(entry!, harmlessContent)).toEqual([60_000, hourMs]);
 });
 
 test("entries that request a trial concurrently get one trial together", async () => {
     const { clock, entries, crashEngine } = createFixture(4);
-    crashEngine("vm-1", innocent, digestOf("a"));
-    crashEngine("vm-2", innocent, digestOf("b"));
+    crashEngine("vm-1", harmlessContent, digestOf("a"));
+    crashEngine("vm-2", harmlessContent, digestOf("b"));
     await clock.advance(5_000);
-    const taken = await Promise.all(entries.map(entry => entry.takeTrial(innocent, "sample")));
+    const taken = await Promise.all(entries.map(entry => entry.takeTrial(harmlessContent, "sample")));
     expect(taken.filter(trial => trial !== undefined)).toHaveLength(1);
 });
 
 test("a trial that did not run goes to the next request", async () => {
     const { clock, entries: [entry], crashEngine } = createFixture(1);
-    crashEngine("vm-1", innocent, digestOf("a"));
-    crashEngine("vm-2", innocent, digestOf("b"));
+    crashEngine("vm-1", harmlessContent, digestOf("a"));
+    crashEngine("vm-2", harmlessContent, digestOf("b"));
     await clock.advance(5_000);
-    const trial = await entry!.takeTrial(innocent, "request");
-    entry!.returnTrial(innocent, trial!);
-    expect(dueOf(entry!, innocent)).toEqual([0, 0]);
-    expect(await entry!.takeTrial(innocent, "request")).toBe(trial);
-    expect(await entry!.takeTrial(innocent, "request")).toBeUndefined();
+    const trial = await entry!.takeTrial(harmlessContent, "request");
+    entry!.returnTrial(harmlessContent, trial!);
+    expect(dueOf(entry!, harmlessContent)).toEqual([0, 0]);
+    expect(await entry!.takeTrial(harmlessContent, "request")).toBe(trial);
+    expect(await entry!.takeTrial(harmlessContent, "request")).toBeUndefined();
 });
 
 test("a trial is granted and counted once after an outage of the object API and a lost answer to the write", async () => {
     // Guards against a harmless content that waits an hour for its trial.
     const { clock, control, entries: [entry], crashEngine } = createFixture(1);
-    crashEngine("vm-1", innocent, digestOf("a"));
-    crashEngine("vm-2", innocent, digestOf("b"));
+    crashEngine("vm-1", harmlessContent, digestOf("a"));
+    crashEngine("vm-2", harmlessContent, digestOf("b"));
     await clock.advance(5_000);
     control.setOutage(true);
-    expect(await entry!.takeTrial(innocent, "sample")).toBeUndefined();
+    expect(await entry!.takeTrial(harmlessContent, "sample")).toBeUndefined();
     control.setOutage(false);
     control.loseAnswers(1);
-    expect(await entry!.takeTrial(innocent, "sample")).toBeUndefined();
-    expect(await entry!.takeTrial(innocent, "sample")).toBeDefined();
+    expect(await entry!.takeTrial(harmlessContent, "sample")).toBeUndefined();
+    expect(await entry!.takeTrial(harmlessContent, "sample")).toBeDefined();
     expect(entry!.list().flatMap(record => record.trials ?? [])).toHaveLength(1);
 });
 
 test("a trial with unknown outcome is repeated after a minute", async () => {
     // Guards against a step that never ends.
     const { clock, entries: [entry], crashEngine } = createFixture(1);
-    crashEngine("vm-1", innocent, digestOf("a"));
-    crashEngine("vm-2", innocent, digestOf("b"));
+    crashEngine("vm-1", harmlessContent, digestOf("a"));
+    crashEngine("vm-2", harmlessContent, digestOf("b"));
     await clock.advance(5_000);
-    expect(await entry!.takeTrial(innocent, "sample")).toBeDefined();
-    expect(dueOf(entry!, innocent)).toEqual([60_000, 60_000]);
+    expect(await entry!.takeTrial(harmlessContent, "sample")).toBeDefined();
+    expect(dueOf(entry!, harmlessContent)).toEqual([60_000, 60_000]);
     await clock.advance(60_000);
-    expect(await entry!.takeTrial(innocent, "sample")).toBeDefined();
+    expect(await entry!.takeTrial(harmlessContent, "sample")).toBeDefined();
     await clock.advance(10);
-    crashEngine("vm-3", innocent);
-    expect(dueOf(entry!, innocent)[0]).toBeGreaterThan(3_500_000);
+    crashEngine("vm-3", harmlessContent);
+    expect(dueOf(entry!, harmlessContent)[0]).toBeGreaterThan(3_500_000);
 });
 
 test("a clean finish also clears a trial recorded by an entry whose clock is ahead", async () => {
     // Guards against a content that just finished cleanly waiting an hour after its next two crashes.
     const { clock, entries: [entry], crashEngine } = createFixture(1);
-    crashEngine("vm-1", innocent, digestOf("a"));
-    crashEngine("vm-2", innocent, digestOf("b"));
-    const [record] = entry!.list().filter(each => each.digest === innocent);
+    crashEngine("vm-1", harmlessContent, digestOf("a"));
+    crashEngine("vm-2", harmlessContent, digestOf("b"));
+    const [record] = entry!.list().filter(each => each.digest === harmlessContent);
     const trials = [{ trial: "t" as TrialId, atMs: clock.wallMs() + 2_000 }];
     entry!.offer({ version: 1, value: { records: [{ ...record!, trials }] } });
-    entry!.recordCleanFinish(innocent);
+    entry!.recordCleanFinish(harmlessContent);
     await clock.advance(3_000);
-    crashEngine("vm-3", innocent, digestOf("c"));
-    crashEngine("vm-4", innocent, digestOf("d"));
-    expect(dueOf(entry!, innocent)).toEqual([5_000, 5_000]);
+    crashEngine("vm-3", harmlessContent, digestOf("c"));
+    crashEngine("vm-4", harmlessContent, digestOf("d"));
+    expect(dueOf(entry!, harmlessContent)).toEqual([5_000, 5_000]);
 });
 
 /** Sends crash-inducing contents repeatedly to each entry; counts the samplers that crash in trials, by hour. */
--- a/packages/admission/src/defaultKeyRangeGuards.ts
+++ b/packages/admission/src/defaultKeyRangeGuards.ts
@@ -6,7 +6,7 @@
  */
 export const defaultKeyRangeGuards: KeyRangeGuards = {
     mayAccept: isHeld => isHeld,
-    isAfterTakeover: (mintedAtMs, takenOverAtMs, skewMs) => mintedAtMs > takenOverAtMs + 2 * skewMs,
-    isRemembered: (mintedAtMs, nowMs, windowMs) => mintedAtMs >= nowMs - windowMs,
+    isAfterTakeover: (createdAtMs, takenOverAtMs, skewMs) => createdAtMs > takenOverAtMs + 2 * skewMs,
+    isRemembered: (createdAtMs, nowMs, windowMs) => createdAtMs >= nowMs - windowMs,
     isSeen: isFound => isFound,
 };
--- a/packages/admission/src/mintTime.ts
+++ b/packages/admission/src/keyCreatedAtMs.ts
@@ -3,7 +3,7 @@
 const timeChars = 12;
 
 /** Creation time of a UUIDv7 in milliseconds of wall time; undefined for any other text. */
-export function mintTime(key: string): number | undefined {
+export function keyCreatedAtMs(key: string): number | undefined {
     if (!validate(key) || version(key) !== 7) {
         return undefined;
     }
--- a/packages/batches/src/createBatchJobReader.test.ts
+++ b/packages/batches/src/createBatchJobReader.test.ts
@@ -14,12 +14,12 @@
     results: [{ item, state: "completed", output: item, versions: [], score: "s" } as unknown as ItemResult],
 });
 const signal = new AbortController().signal;
-const show = (page: ResultsPage | undefined): string =>
+const describePage = (page: ResultsPage | undefined): string =>
     `${page?.results.map(each => each.item).join("") ?? "-"}>${page?.next}`;
 
 function createFixture() {
     const clock = createFakeClock();
-    const state = { isRunnerThere: true, chunks: [] as ResultChunk[], reads: 0, mostChunks: 100 };
+    const state = { isRunnerReachable: true, chunks: [] as ResultChunk[], reads: 0, maxChunksPerAnswer: 100 };
     const store = {
         readEntry: async () => {
             state.reads++;
@@ -37,19 +37,19 @@
         },
     } as unknown as BatchJobStore;
     const reader = createBatchJobReader(store, clock, async (_lot, from, waitMs) => {
-        if (!state.isRunnerThere) {
+        if (!state.isRunnerReachable) {
             return undefined;
         }
         for (let waited = 0; waited < waitMs && state.chunks.length <= from; waited += 50) {
             await clock.sleep(50);
         }
-        const chunks = state.chunks.slice(from, from + state.mostChunks);
+        const chunks = state.chunks.slice(from, from + state.maxChunksPerAnswer);
         return { total: 3, team: undefined, chunks, hasMore: from + chunks.length < state.chunks.length };
     });
     const read = async (after: number, waitMs: number): Promise<string> => {
         const reading = reader.read(batchJobId, undefined, after, waitMs, signal);
         await clock.advance(waitMs + 100);
-        return show(await reading);
+        return describePage(await reading);
     };
     return { clock, state, reader, read };
 }
@@ -64,16 +64,16 @@
     await clock.advance(200);
     state.chunks.push(chunkOf(1, "b"));
     await clock.advance(100);
-    seen.push(show(await waiting), await read(0, 1_000));
+    seen.push(describePage(await waiting), await read(0, 1_000));
     expect([seen, state.reads]).toEqual([["a>1", ">1", "b>2", "ab>2"], 0]);
 });
 
 test("without a runner the store is read, and no result is listed twice once a runner answers again", async () => {
     const { state, read } = createFixture();
-    state.isRunnerThere = false;
+    state.isRunnerReachable = false;
     state.chunks.push(chunkOf(0, "a"));
     const seen = [await read(0, 1_000), await read(1, 1_000)];
-    state.isRunnerThere = true;
+    state.isRunnerReachable = true;
     state.chunks.push(chunkOf(1, "b"), chunkOf(2, "c"));
     seen.push(await read(1, 1_000), await read(0, 0));
     expect([seen, state.reads > 0]).toEqual([["a>1", ">1", "bc>3", "abc>3"], true]);
@@ -85,7 +85,11 @@
     await clock.advance(100);
     state.chunks.push(chunkOf(0, "a"));
     const [now] = await Promise.all([reader.read(batchJobId, undefined, 0, 0, signal), clock.advance(200)]);
-    expect([show(now), show(await waiting), show(await reader.read(batchJobId, undefined, 0, 0, signal))])
+    expect([
+        describePage(now),
+        describePage(await waiting),
+        describePage(await reader.read(batchJobId, undefined, 0, 0, signal)),
+    ])
         .toEqual([
             "a>1",
             "a>1",
@@ -107,6 +111,6 @@
     // Guards against a position that was read at one gateway being missing at another.
     const { state, read } = createFixture();
     state.chunks.push(chunkOf(0, "a"), chunkOf(1, "b"), chunkOf(2, "c"));
-    state.mostChunks = 1;
+    state.maxChunksPerAnswer = 1;
     expect([await read(2, 0), await read(0, 0), state.reads]).toEqual(["c>3", "abc>3", 0]);
 });
--- a/packages/bench/src/policy/ablations.ts
+++ b/packages/bench/src/policy/ablations.ts
@@ -2,11 +2,11 @@
 import { defaultDispatchPolicy } from "@auburnarch/dispatch/defaultDispatchPolicy";
 import type { DispatchPolicy } from "@auburnarch/dispatch/DispatchPolicy";
 import { holdNever } from "@auburnarch/dispatch/holdNever";
+import { keepLimit } from "@auburnarch/dispatch/keepLimit";
 import { moveNever } from "@auburnarch/dispatch/moveNever";
 import { priorityByNeed } from "@auburnarch/dispatch/priorityByNeed";
 import { roomUnbounded } from "@auburnarch/dispatch/roomUnbounded";
 import { roomWithinLimit } from "@auburnarch/dispatch/roomWithinLimit";
-import { thinNever } from "@auburnarch/dispatch/thinNever";
 import { orderByArrival } from "@auburnarch/queue/orderByArrival";
 import { pickEarliestFinish } from "@auburnarch/selection/pickEarliestFinish";
 import { pickLeastFinish } from "@auburnarch/selection/pickLeastFinish";
@@ -38,7 +38,7 @@
     without("room beside others", { room: roomWithinLimit }),
     without("waiting for faster", { pick: pickLeastFinish }),
     without("holding for freshness", { hold: holdNever }),
-    without("thin batches", { thin: thinNever }),
+    without("thin batches", { stragglerLimit: keepLimit }),
     without("prefix hints", { pick: pickWithoutHints }),
     without("moves", { move: moveNever }),
     { ...without("", { priority: priorityByNeed }), name: "with need priority" },
--- a/packages/bench/src/policy/benchPolicies.ts
+++ b/packages/bench/src/policy/benchPolicies.ts
@@ -4,10 +4,10 @@
 import type { DispatchPolicy } from "@auburnarch/dispatch/DispatchPolicy";
 import { hasExceededExpectedLength } from "@auburnarch/dispatch/hasExceededExpectedLength";
 import { holdNever } from "@auburnarch/dispatch/holdNever";
+import { keepLimit } from "@auburnarch/dispatch/keepLimit";
 import { moveNever } from "@auburnarch/dispatch/moveNever";
 import { priorityByNeed } from "@auburnarch/dispatch/priorityByNeed";
 import { roomWithinLimit } from "@auburnarch/dispatch/roomWithinLimit";
-import { thinNever } from "@auburnarch/dispatch/thinNever";
 import { orderByLatestStart } from "@auburnarch/queue/orderByLatestStart";
 import { orderByStepAndLength } from "@auburnarch/queue/orderByStepAndLength";
 import { pickLeastFinish } from "@auburnarch/selection/pickLeastFinish";
@@ -25,7 +25,7 @@
     pick: pickLeastFinish,
     hold: holdNever,
     room: roomWithinLimit,
-    thin: thinNever,
+    stragglerLimit: keepLimit,
     movable: hasExceededExpectedLength,
     move: moveNever,
     priority: priorityByNeed,
@@ -40,7 +40,7 @@
     ...defaultDispatchPolicy,
     name: "ours-3",
     hold: holdNever,
-    thin: thinNever,
+    stragglerLimit: keepLimit,
     priority: priorityByNeed,
 };
 
--- a/packages/daemon/src/startCommon.ts
+++ b/packages/daemon/src/startCommon.ts
@@ -44,7 +44,7 @@
     breaks: BreakRegistry;
     storeSilentMs: () => number;
     sinceStoreAnswerMs: () => number;
-    storeRegainedMs: () => number;
+    sinceStoreRecoveryMs: () => number;
     tables: WatchedKind<RoutingTable>;
     routing: RoutingView;
     directory: SamplerDirectory;
@@ -102,7 +102,7 @@
     });
     const outages = createOutageTracker({
         storeSilentMs: health.silentMs,
-        storeRegainedMs: health.regainedMs,
+        sinceStoreRecoveryMs: health.regainedMs,
         clock,
     });
     const store = createFeedBackedStore({
@@ -139,7 +139,7 @@
         breaks: extras.breaks,
         storeSilentMs: health.silentMs,
         sinceStoreAnswerMs: health.sinceAnswerMs,
-        storeRegainedMs: health.regainedMs,
+        sinceStoreRecoveryMs: health.regainedMs,
         tables,
         routing: createRoutingView(tables, logger),
         directory: createSamplerDirectory({
--- a/packages/daemon/src/testing/createFeedFleet.ts
+++ b/packages/daemon/src/testing/createFeedFleet.ts
@@ -125,7 +125,7 @@
         }
         const outages = createOutageTracker({
             storeSilentMs: health.silentMs,
-            storeRegainedMs: health.regainedMs,
+            sinceStoreRecoveryMs: health.regainedMs,
             clock,
         });
         const fed = createFeedBackedStore({
--- a/packages/dispatch/src/DispatchPolicy.ts
+++ b/packages/dispatch/src/DispatchPolicy.ts
@@ -6,7 +6,7 @@
 import type { MoveRule } from "./MoveRule.js";
 import type { PriorityRule } from "./PriorityRule.js";
 import type { RoomRule } from "./RoomRule.js";
-import type { ThinRule } from "./ThinRule.js";
+import type { StragglerLimitRule } from "./StragglerLimitRule.js";
 
 /** The rules of a dispatcher. Each is a pure function, so that the policy bench can replace one at a time. */
 export interface DispatchPolicy {
@@ -20,7 +20,7 @@
     /** How many more attempts are sent to a sampler; the others wait at the dispatcher. */
     room: RoomRule;
     /** Concurrency limit of a sampler that runs a straggler which the trainer waits for. */
-    thin: ThinRule;
+    stragglerLimit: StragglerLimitRule;
     /** Which running attempts are considered for a move. */
     movable: MovableRule;
     /** Which of them continue on another sampler, and on which. */
--- a/packages/dispatch/src/ThinRule.ts
+++ b/packages/dispatch/src/StragglerLimitRule.ts
@@ -1,2 +1,2 @@
 /** Reduces the concurrency limit of a sampler that runs a straggler which the trainer waits for. */
-export type ThinRule = (limit: number) => number;
+export type StragglerLimitRule = (limit: number) => number;
--- a/packages/dispatch/src/createBaselinePolicy.ts
+++ b/packages/dispatch/src/createBaselinePolicy.ts
@@ -4,10 +4,10 @@
 import type { DispatchPolicy } from "./DispatchPolicy.js";
 import { hasExceededExpectedLength } from "./hasExceededExpectedLength.js";
 import { holdNever } from "./holdNever.js";
+import { keepLimit } from "./keepLimit.js";
 import { moveNever } from "./moveNever.js";
 import { priorityFixed } from "./priorityFixed.js";
 import { roomUnbounded } from "./roomUnbounded.js";
-import { thinNever } from "./thinNever.js";
 
 /** Creates a baseline for comparison: first come, first served, sent at once to the sampler that `pick` chooses. */
 export function createBaselinePolicy(name: string, pick: SamplerPicker): DispatchPolicy {
@@ -17,7 +17,7 @@
         pick,
         hold: holdNever,
         room: roomUnbounded,
-        thin: thinNever,
+        stragglerLimit: keepLimit,
         movable: hasExceededExpectedLength,
         move: moveNever,
         priority: priorityFixed,
--- a/packages/dispatch/src/createPlacement.ts
+++ b/packages/dispatch/src/createPlacement.ts
@@ -48,7 +48,7 @@
         if (record.pausedUntilMs <= nowMs) {
             const { outstanding } = candidate;
             const { limit: reported } = view.report;
-            const limit = critical.has(view.report.sampler) ? policy.thin(reported) : reported;
+            const limit = critical.has(view.report.sampler) ? policy.stragglerLimit(reported) : reported;
             const load = correctedLoad(candidate);
             candidate.room = policy.room({ limit, load, outstanding, started });
         }
--- a/packages/dispatch/src/defaultDispatchPolicy.ts
+++ b/packages/dispatch/src/defaultDispatchPolicy.ts
@@ -4,10 +4,10 @@
 import type { DispatchPolicy } from "./DispatchPolicy.js";
 import { hasExceededExpectedLength } from "./hasExceededExpectedLength.js";
 import { holdForFreshness } from "./holdForFreshness.js";
+import { limitStragglerBatch } from "./limitStragglerBatch.js";
 import { moveToFaster } from "./moveToFaster.js";
 import { priorityFixed } from "./priorityFixed.js";
 import { roomBesideOthers } from "./roomBesideOthers.js";
-import { thinForStraggler } from "./thinForStraggler.js";
 
 /** The policy used in production. */
 export const defaultDispatchPolicy: DispatchPolicy = {
@@ -16,7 +16,7 @@
     pick: pickEarliestFinish,
     hold: holdForFreshness,
     room: roomBesideOthers,
-    thin: thinForStraggler,
+    stragglerLimit: limitStragglerBatch,
     movable: hasExceededExpectedLength,
     move: moveToFaster,
     priority: priorityFixed,
--- a/packages/dispatch/src/rules.test.ts
+++ b/packages/dispatch/src/rules.test.ts
@@ -12,12 +12,12 @@
 import { findCriticalSamplers } from "./findCriticalSamplers.js";
 import { holdForFreshness } from "./holdForFreshness.js";
 import { joinSpans } from "./joinSpans.js";
+import { limitStragglerBatch } from "./limitStragglerBatch.js";
 import { moveToFaster } from "./moveToFaster.js";
 import { priorityByNeed } from "./priorityByNeed.js";
 import { roomBesideOthers } from "./roomBesideOthers.js";
 import type { RunningAttempt } from "./RunningAttempt.js";
 import type { SampleWork } from "./SampleWork.js";
-import { thinForStraggler } from "./thinForStraggler.js";
 
 type Span = Parameters<typeof joinSpans>[0][number];
 const span = (
@@ -228,5 +228,5 @@
     state.unfinished.set(waiting.task.sample, waiting);
     state.queue.add(waiting);
     expect([...findCriticalSamplers(state, 16_000)]).toEqual([]);
-    expect([thinForStraggler(8), thinForStraggler(2)]).toEqual([3, 2]);
+    expect([limitStragglerBatch(8), limitStragglerBatch(2)]).toEqual([3, 2]);
 });
--- a/packages/entry/src/createKeyedRequestHandler.ts
+++ b/packages/entry/src/createKeyedRequestHandler.ts
@@ -1,5 +1,5 @@
+import { keyCreatedAtMs } from "@auburnarch/admission/keyCreatedAtMs";
 import type { KeyRange } from "@auburnarch/admission/KeyRange";
-import { mintTime } from "@auburnarch/admission/mintTime";
 import { rangeOf } from "@auburnarch/admission/rangeOf";
 import { resultCodes } from "@auburnarch/errors/resultCodes";
 import type { AttemptOutcome } from "@auburnarch/types/AttemptOutcome";
@@ -77,7 +77,7 @@
 
     return async (request, digest, budgetMs, execute, signal) => {
         const key = request.idempotencyKey!;
-        if (mintTime(key) === undefined) {
+        if (keyCreatedAtMs(key) === undefined) {
             return { kind: "notRun", code: resultCodes.keyNotUuidV7, retryAfterMs: undefined };
         }
         const range = rangeOf(key);
--- a/packages/feeds/src/createFeedBackedStore.ts
+++ b/packages/feeds/src/createFeedBackedStore.ts
@@ -45,7 +45,7 @@
 /** All processes reach a recovered store within this time of the first; the feeding runner needs an answer first. */
 const recoveryDelayMs = 400;
 /** Maximum of prefixes currently followed at the store itself; larger than the number of kinds. */
-const maxDirect = 64;
+const maxFollowedDirectly = 64;
 
 const isDataAnswer = (answer: FeedAnswer | undefined): answer is DataAnswer =>
     answer?.kind === "listed" || answer?.kind === "changed";
@@ -59,7 +59,7 @@
     const { inner, clock, caller, self, outages } = deps;
     let feeder: string | undefined;
     let nextAskAtMs = -Infinity;
-    const direct = new Set<string>();
+    const followedDirectly = new Set<string>();
     const unsureUntilMs = new Map<string, number>();
 
     function listAvoided(): string[] {
@@ -126,7 +126,7 @@
     /** The second query waits only briefly, so that changes are not hidden beyond the time at which they are due. */
     async function askTwoRunners(query: FeedQuery): Promise<DataAnswer | undefined> {
         const short = { ...query, waitMs: Math.min(query.waitMs, secondWaitMs) };
-        const answer = direct.has(query.prefix) ? undefined : await askOnce(query);
+        const answer = followedDirectly.has(query.prefix) ? undefined : await askOnce(query);
         return answer ?? askOnce(short);
     }
 
@@ -136,7 +136,7 @@
             nextAskAtMs = clock.monotonicMs() + retryDelayMs;
         }
         else {
-            direct.delete(query.prefix);
+            followedDirectly.delete(query.prefix);
         }
         return answer;
     }
@@ -151,10 +151,10 @@
     }
 
     function markDirect(prefix: string): void {
-        if (direct.size >= maxDirect) {
-            direct.clear();
+        if (followedDirectly.size >= maxFollowedDirectly) {
+            followedDirectly.clear();
         }
-        direct.add(prefix);
+        followedDirectly.add(prefix);
     }
 
     /**
@@ -166,7 +166,7 @@
         since: ObjectVersion,
         waitMs: number,
     ): ReturnType<ObjectStore["watch"]> {
-        if (direct.has(prefix)) {
+        if (followedDirectly.has(prefix)) {
             return inner.watch(prefix, since, Math.min(waitMs, directWaitMs));
         }
         const { objects, revision } = await inner.list(prefix);
--- a/packages/feeds/src/createFeedHub.test.ts
+++ b/packages/feeds/src/createFeedHub.test.ts
@@ -19,7 +19,7 @@
     const state = {
         isCutOff: false,
         isFeederSilent: false,
-        isHistoryGoing: false,
+        isHistoryDropped: false,
         storeAnsweredAtMs: 0,
         feeder: "r1",
         direct: 0,
@@ -58,7 +58,7 @@
         },
         watch: async (prefix, since, waitMs) => {
             state.direct++;
-            if (state.isHistoryGoing) {
+            if (state.isHistoryDropped) {
                 await clock.sleep(waitMs);
             }
             return store.watch(prefix, since, waitMs);
@@ -168,7 +168,7 @@
     await put("servers/a");
     const { watch, names } = follow();
     await clock.advance(2_000);
-    state.isHistoryGoing = true;
+    state.isHistoryDropped = true;
     state.isCutOff = true;
     await put("servers/b");
     await clock.advance(1_800);
--- a/packages/feeds/src/createOutageTracker.test.ts
+++ b/packages/feeds/src/createOutageTracker.test.ts
@@ -7,40 +7,41 @@
 
 function createFixture() {
     const clock = createFakeClock();
-    const own = { lostAtMs: undefined as number | undefined, regainedAtMs: -Infinity };
-    const evidence = createOutageTracker({
-        storeSilentMs: () => own.lostAtMs === undefined ? 0 : clock.monotonicMs() - own.lostAtMs,
-        storeRegainedMs: () => clock.monotonicMs() - own.regainedAtMs,
+    const own = { disconnectedAtMs: undefined as number | undefined, reconnectedAtMs: -Infinity };
+    const tracker = createOutageTracker({
+        storeSilentMs: () =>
+            own.disconnectedAtMs === undefined ? 0 : clock.monotonicMs() - own.disconnectedAtMs,
+        sinceStoreRecoveryMs: () => clock.monotonicMs() - own.reconnectedAtMs,
         clock,
     });
-    const lose = (): void => {
-        own.lostAtMs = clock.monotonicMs();
+    const disconnect = (): void => {
+        own.disconnectedAtMs = clock.monotonicMs();
     };
-    const regain = (): void => {
-        own.lostAtMs = undefined;
-        own.regainedAtMs = clock.monotonicMs();
+    const reconnect = (): void => {
+        own.disconnectedAtMs = undefined;
+        own.reconnectedAtMs = clock.monotonicMs();
     };
-    return { clock, evidence, lose, regain };
+    return { clock, tracker, disconnect, reconnect };
 }
 
 test("a store that only this process cannot reach is not an outage", async () => {
-    const { clock, evidence, lose, regain } = createFixture();
-    lose();
+    const { clock, tracker, disconnect, reconnect } = createFixture();
+    disconnect();
     await clock.advance(10_000);
-    regain();
-    expect(evidence.sinceOutageMs()).toBe(Infinity);
+    reconnect();
+    expect(tracker.sinceOutageMs()).toBe(Infinity);
 });
 
 test("an outage reported by a runner lasts until this process reaches the store again", async () => {
-    const { clock, evidence, lose, regain } = createFixture();
-    lose();
-    evidence.recordOutage(0);
+    const { clock, tracker, disconnect, reconnect } = createFixture();
+    disconnect();
+    tracker.recordOutage(0);
     await clock.advance(10_000);
-    regain();
+    reconnect();
     await clock.advance(300);
-    const soonMs = evidence.sinceOutageMs();
+    const soonMs = tracker.sinceOutageMs();
     await clock.advance(gracePeriodMs);
-    expect([soonMs >= 300, soonMs <= 500, evidence.sinceOutageMs() > gracePeriodMs]).toEqual([
+    expect([soonMs >= 300, soonMs <= 500, tracker.sinceOutageMs() > gracePeriodMs]).toEqual([
         true,
         true,
         true,
@@ -48,16 +49,16 @@
 });
 
 test("a report of no outage is accepted, and a report of an outage is not while this process reaches the store", async () => {
-    const { clock, evidence, lose, regain } = createFixture();
-    lose();
-    evidence.recordOutage(0);
+    const { clock, tracker, disconnect, reconnect } = createFixture();
+    disconnect();
+    tracker.recordOutage(0);
     await clock.advance(5_000);
-    regain();
-    evidence.recordStoreUp();
-    const firstSinceOutageMs = evidence.sinceOutageMs();
+    reconnect();
+    tracker.recordStoreUp();
+    const firstSinceOutageMs = tracker.sinceOutageMs();
     await clock.advance(4_000);
-    evidence.recordOutage(0);
-    expect([firstSinceOutageMs, evidence.sinceOutageMs()]).toEqual([Infinity, 4_000]);
+    tracker.recordOutage(0);
+    expect([firstSinceOutageMs, tracker.sinceOutageMs()]).toEqual([Infinity, 4_000]);
 });
 
 test("the outage field is parsed from answers, and is absent in those of an earlier version", () => {
--- a/packages/feeds/src/createOutageTracker.ts
+++ b/packages/feeds/src/createOutageTracker.ts
@@ -5,7 +5,7 @@
     /** Milliseconds since this process's calls began to fail without any success since; 0 while calls succeed. */
     storeSilentMs: () => number;
     /** Milliseconds since this process's calls began to succeed again after failures; infinite if none has failed. */
-    storeRegainedMs: () => number;
+    sinceStoreRecoveryMs: () => number;
     clock: Clock;
 }
 
@@ -15,7 +15,7 @@
 
 /** Creates the outage tracker of one process. */
 export function createOutageTracker(
-    { storeSilentMs, storeRegainedMs, clock }: OutageTrackerDeps,
+    { storeSilentMs, sinceStoreRecoveryMs, clock }: OutageTrackerDeps,
 ): OutageTracker {
     let outageAtMs = -Infinity;
 
@@ -33,7 +33,7 @@
     return {
         // If this process reaches the store, the store is up, regardless of reports from runners that do not.
         sinceOutageMs: () =>
-            Math.max(clock.monotonicMs() - outageAtMs, storeSilentMs() > 0 ? 0 : storeRegainedMs()),
+            Math.max(clock.monotonicMs() - outageAtMs, storeSilentMs() > 0 ? 0 : sinceStoreRecoveryMs()),
         recordOutage: sinceOutageMs => {
             outageAtMs = clock.monotonicMs() - sinceOutageMs;
         },
--- a/packages/feeds/src/feedSchemas.ts
+++ b/packages/feeds/src/feedSchemas.ts
@@ -7,7 +7,7 @@
 
 const sinceOutageMs = z.number().nonnegative().optional();
 
-const breakMark = z.object({
+const breakReport = z.object({
     content: z.string().transform(value => value as ContentDigest),
     breaks: z.number().int().nonnegative(),
     ageMs: z.number().nonnegative(),
@@ -28,5 +28,5 @@
         z.object({ kind: z.literal("unsure"), sinceOutageMs }),
     ]),
     /** Sent along with a query or an answer; a process of an earlier version sends none. */
-    breaks: z.object({ breaks: z.array(breakMark).default([]) }),
+    breaks: z.object({ breaks: z.array(breakReport).default([]) }),
 };
--- a/packages/forwarding/src/createRequestForwarder.test.ts
+++ b/packages/forwarding/src/createRequestForwarder.test.ts
@@ -73,7 +73,7 @@
     return { clock, sent, cancelled, ask };
 }
 
-const show = ({ outcome, atMs }: { outcome?: ForwardingOutcome; atMs?: number; }): string =>
+const describeOutcome = ({ outcome, atMs }: { outcome?: ForwardingOutcome; atMs?: number; }): string =>
     outcome === undefined
         ? "open"
         : `${outcome.kind === "answered" ? outcome.status : outcome.code.name} @${atMs}`;
@@ -89,7 +89,7 @@
         });
         const { settled } = ask("idempotent");
         await clock.advance(1_000);
-        shown.push(show(settled));
+        shown.push(describeOutcome(settled));
     }
     expect(shown).toEqual(["200 @20", "200 @20", "200 @20", "200 @20"]);
 });
@@ -98,7 +98,7 @@
     const { clock, sent, cancelled, ask } = createFixture({ a: [{ afterMs: 0, reply: "never" }], b: [] });
     const { settled } = ask("idempotent");
     await clock.advance(2_000);
-    expect(show(settled)).toBe("200 @100");
+    expect(describeOutcome(settled)).toBe("200 @100");
     expect(sent).toEqual(["a@0 1500", "b@90 1410"]);
     expect(cancelled).toEqual(["a@350"]);
 });
@@ -111,8 +111,8 @@
     const second = broken.ask("nonIdempotent");
     await refused.clock.advance(1_000);
     await broken.clock.advance(1_000);
-    expect([show(first.settled), refused.sent.length]).toEqual(["200 @15", 2]);
-    expect([show(second.settled), broken.sent.length]).toEqual(["connectionBroken @5", 1]);
+    expect([describeOutcome(first.settled), refused.sent.length]).toEqual(["200 @15", 2]);
+    expect([describeOutcome(second.settled), broken.sent.length]).toEqual(["connectionBroken @5", 1]);
 });
 
 test("a request is refused as not run only if no attempt may have run", async () => {
@@ -123,7 +123,7 @@
     for (const { fixture } of asked) {
         await fixture.clock.advance(1_000);
     }
-    expect(asked.map(({ settled }) => show(settled))).toEqual([
+    expect(asked.map(({ settled }) => describeOutcome(settled))).toEqual([
         "noSampler @10",
         "connectionBroken @10",
         "noSampler @0",
@@ -135,7 +135,7 @@
     const { clock, cancelled, ask } = createFixture({ a: [never], b: [never], c: [never] });
     const { settled } = ask("idempotent", { timeoutMs: 400 });
     await clock.advance(2_000);
-    expect(show(settled)).toBe("deadlineWhileRunning @400");
+    expect(describeOutcome(settled)).toBe("deadlineWhileRunning @400");
     expect(cancelled.every(entry => entry.endsWith("@400"))).toBe(true);
 });
 
@@ -145,7 +145,7 @@
     await clock.advance(50);
     caller.abort();
     await clock.advance(10);
-    expect([show(settled), cancelled]).toEqual(["cancelled @50", ["a@50"]]);
+    expect([describeOutcome(settled), cancelled]).toEqual(["cancelled @50", ["a@50"]]);
 });
 
 test("at most as many samplers are tried as the route allows", async () => {
@@ -153,7 +153,7 @@
     const { clock, sent, ask } = createFixture({ a: bad(), b: bad(), c: bad(), d: bad() });
     const { settled } = ask("idempotent", { maxAttempts: 2 });
     await clock.advance(1_000);
-    expect([sent.length, show(settled)]).toEqual([2, "connectionBroken @10"]);
+    expect([sent.length, describeOutcome(settled)]).toEqual([2, "connectionBroken @10"]);
 });
 
 test("a sampler in the forwarder's own failure domain is preferred over an equally fast one elsewhere", async () => {
--- a/packages/forwarding/src/startForwarding.ts
+++ b/packages/forwarding/src/startForwarding.ts
@@ -32,7 +32,7 @@
 const hedgeMsOf = ({ hedgeMs, route }: RoutedRequest): number =>
     hedgeMs ?? Math.max(minHedgeMs, hedgeRatio * (route.targetLatencyMs ?? defaultTargetMs));
 
-const callerLeft: ForwardingOutcome = {
+const callerDisconnected: ForwardingOutcome = {
     kind: "failed",
     code: resultCodes.cancelled,
     detail: "the caller left",
@@ -56,7 +56,7 @@
     const tried = new Set<IncarnationId>();
     const cancel = new AbortController();
     const endedAttempts: string[] = [];
-    let underWay = 0;
+    let attemptsInFlight = 0;
     let mayHaveRun = false;
     let lastAnswer: Extract<ForwardingOutcome, { kind: "answered"; }> | undefined;
     let isSettled = false;
@@ -70,7 +70,7 @@
 
     /** Reports that nothing ran only if no attempt is in flight or ended with unknown outcome. */
     function failure(notRun: ResultCode, detail: string): ForwardingOutcome {
-        if (!mayHaveRun && underWay === 0) {
+        if (!mayHaveRun && attemptsInFlight === 0) {
             return { kind: "failed", code: notRun, detail, retryAfterMs };
         }
         const isLate = leftMs() < minBudgetMs;
@@ -91,8 +91,8 @@
         runStart.close();
         logForwardingOutcome(logger, request, outcome, {
             tries: endedAttempts.join(","),
-            underWay,
-            mayHaveRun: mayHaveRun || underWay > 0,
+            underWay: attemptsInFlight,
+            mayHaveRun: mayHaveRun || attemptsInFlight > 0,
             tookMs: Math.round(clock.monotonicMs() - startedAtMs),
             limitMs: Math.round(limitMs),
             samplersAgeMs: Math.round(deps.directory.ageMs()),
@@ -100,7 +100,7 @@
         if (outcome.kind === "failed") {
             cancelAll();
         }
-        else if (underWay > 0) {
+        else if (attemptsInFlight > 0) {
             clock.startTimer(unusedAttemptGraceMs, cancelAll);
         }
         settle(outcome);
@@ -120,23 +120,23 @@
         const sampler = mayTry() ? samplers.pick(request, tried) : undefined;
         const budgetMs = Math.floor(leftMs());
         if (sampler === undefined || budgetMs < minBudgetMs) {
-            if (underWay === 0) {
+            if (attemptsInFlight === 0) {
                 finish(lastAnswer ?? failure(resultCodes.noSampler, `${tried.size} tried`));
             }
             return;
         }
-        const isFirstRun = isRepeatable || (!mayHaveRun && underWay === 0);
+        const isFirstRun = isRepeatable || (!mayHaveRun && attemptsInFlight === 0);
         deps.invariants.check(resultCodes.ranTwice, isFirstRun, {
             request: request.requestId,
             tries: endedAttempts.length,
         });
         tried.add(sampler.incarnation);
-        underWay++;
+        attemptsInFlight++;
         runStart.recordSent(sampler.incarnation);
         content.recordSent();
         scheduleHedge();
         const outcome = await samplers.run(request, sampler, budgetMs, cancel.signal);
-        underWay--;
+        attemptsInFlight--;
         runStart.recordEnd(sampler.incarnation, outcome);
         endedAttempts.push(describeAttempt(sampler.incarnation, outcome));
         recordEnd(outcome);
@@ -161,7 +161,7 @@
             return;
         }
         if (signal.aborted) {
-            finish(callerLeft);
+            finish(callerDisconnected);
         }
         else if (outcome.kind === "done" && (!isRepeatable || outcome.answer.status < 500)) {
             finish(outcome.answer);
@@ -175,7 +175,7 @@
     }
 
     if (signal.aborted) {
-        finish(callerLeft);
+        finish(callerDisconnected);
         return;
     }
     void start();
--- a/packages/gateway/src/createGateway.test.ts
+++ b/packages/gateway/src/createGateway.test.ts
@@ -114,7 +114,7 @@
     const ask = async (call: ClientCall): Promise<string> => {
         const answering = gateway.answer(call, new AbortController().signal);
         await clock.advance(5_000);
-        return show(await answering);
+        return describeAnswer(await answering);
     };
     const post = (
         path: string,
@@ -138,7 +138,7 @@
     return { gateway, state, control, ask, post, forwardedRequests };
 }
 
-const show = (answer: ClientAnswer): string => {
+const describeAnswer = (answer: ClientAnswer): string => {
     if (answer.kind === "failed") {
         return `${answer.code.httpStatus} ${answer.code.name} ${answer.retryAfterMs ?? "-"}`;
     }
@@ -200,14 +200,14 @@
 
 test("a batch job whose acceptance is unknown is not answered as refused", async () => {
     // Guards against items that run although every submission of their batch job was answered with 503.
-    const lose = (real: BatchJobStore): BatchJobStore => ({
+    const loseAcceptAnswer = (real: BatchJobStore): BatchJobStore => ({
         ...real,
         accept: async (...args) => {
             await real.accept(...args);
             throw new ResultError(resultCodes.storeUnavailable, "answer lost");
         },
     });
-    const { post } = createFixture({ batchJobStore: lose });
+    const { post } = createFixture({ batchJobStore: loseAcceptAnswer });
     expect(await post("/plume/1")).toBe("502 acceptanceUnknown -");
 });
 
--- a/packages/gateway/src/createRunnerResults.ts
+++ b/packages/gateway/src/createRunnerResults.ts
@@ -17,15 +17,15 @@
 /** Time for an answer beyond the wait of the query; the round trip between failure domains takes a few milliseconds. */
 const answerGraceMs = 300;
 /** Number of batch jobs whose runner is cached. */
-const maxRememberedRunners = 256;
+const maxCachedRunners = 256;
 
 /** Queries runners for results: for an unknown batch job any runner, which then names the one that runs the job. */
 export function createRunnerResults(deps: RunnerResultsDeps): ResultsSource {
     const runnerByBatchJob = new Map<BatchJobId, string>();
 
-    function remember(batchJobId: BatchJobId, runner: string): void {
+    function cacheRunner(batchJobId: BatchJobId, runner: string): void {
         runnerByBatchJob.set(batchJobId, runner);
-        if (runnerByBatchJob.size > maxRememberedRunners) {
+        if (runnerByBatchJob.size > maxCachedRunners) {
             runnerByBatchJob.delete(runnerByBatchJob.keys().next().value!);
         }
     }
@@ -39,7 +39,7 @@
         if (found?.answer.kind !== "known") {
             return undefined;
         }
-        remember(batchJobId, found.runner);
+        cacheRunner(batchJobId, found.runner);
         const { total, team, chunks, hasMore } = found.answer;
         return { total, team, chunks, hasMore };
     };
--- a/packages/ownership/src/createOwnerTakeover.test.ts
+++ b/packages/ownership/src/createOwnerTakeover.test.ts
@@ -224,7 +224,7 @@
 // The old owner is also disconnected from the object API, so it can't see there that it was replaced.
 test("an owner without access to the store continues until it receives a newer fencing number", async () => {
     const world = createTestWorld();
-    let isCut = false;
+    let isDisconnected = false;
     const first = await settle(
         world,
         world.startOwner({
@@ -232,14 +232,14 @@
                 ...deps,
                 store: {
                     ...deps.store,
-                    read: key => isCut ? Promise.reject(new Error("cut")) : deps.store.read(key),
+                    read: key => isDisconnected ? Promise.reject(new Error("cut")) : deps.store.read(key),
                 },
             }),
         }),
     );
     await settle(world, first.owner.openStep(spec));
     await world.clock.advance(1_000);
-    isCut = true;
+    isDisconnected = true;
     first.setHeld(false);
     await world.clock.advance(2_000);
     const old = await read(world, first.owner);
--- a/packages/ownership/src/createWeightUpdater.ts
+++ b/packages/ownership/src/createWeightUpdater.ts
@@ -33,20 +33,21 @@
     const { state, guards, invariants, logger, dispatcher, roller, producer } = deps;
 
     /** Regenerates samples that exceed the bound, except those on the page that the trainer may be receiving now. */
-    function remakeStaleGroups(step: OpenStep): void {
-        const offered = step.issuedPages.get(pageKey(step.furthestCursor))?.groups.map(group => group.group)
-            ?? [];
+    function regenerateStaleGroups(step: OpenStep): void {
+        const issuedGroups =
+            step.issuedPages.get(pageKey(step.furthestCursor))?.groups.map(group => group.group)
+                ?? [];
         step.document.prompts
             .map((_, group) => group)
             .filter(group =>
-                guards.isUndelivered(step.furthestCursor.delivered, group) && !offered.includes(group)
+                guards.isUndelivered(step.furthestCursor.delivered, group) && !issuedGroups.includes(group)
             )
             .forEach(group => producer.regenerateStale(step, group));
     }
 
     function applyBounds(): void {
         dispatcher.raiseMinVersion(state.publishedVersion, state.bounds().minVersion);
-        state.steps.forEach(remakeStaleGroups);
+        state.steps.forEach(regenerateStaleGroups);
     }
 
     function raiseVersion(weights: PublishedWeights): void {
--- a/packages/ownership/src/testing/TestWorld.ts
+++ b/packages/ownership/src/testing/TestWorld.ts
@@ -38,5 +38,5 @@
     /** Sets whether the lease is unexpired by the holder's own clock. */
     setHeld(held: boolean): void;
     /** Simulates that the lease was seen with another holder. */
-    lose(): void;
+    loseLease(): void;
 }
--- a/packages/ownership/src/testing/createTestTrainer.ts
+++ b/packages/ownership/src/testing/createTestTrainer.ts
@@ -158,7 +158,7 @@
     }
 
     /** Presents the cursors of finished steps to an owner that may not know them. */
-    async function showFinishedCursors(): Promise<void> {
+    async function presentFinishedCursors(): Promise<void> {
         for (const [step, cursor] of [...finished]) {
             await readPage(step, cursor);
         }
@@ -166,7 +166,7 @@
 
     async function run(): Promise<void> {
         await publish(1);
-        let shownTo = caller.highestFencing();
+        let presentedTo = caller.highestFencing();
         const mayEnd = options.mayEnd ?? (() => true);
         for (let step = 0; step < options.steps || !mayEnd(); step++) {
             for (; opened <= step + (options.openAhead ?? 0); opened++) {
@@ -176,9 +176,9 @@
             report.stepsDone++;
             await clock.sleep(options.trainMs);
             await publish(published + 1);
-            while (shownTo !== caller.highestFencing()) {
-                shownTo = caller.highestFencing();
-                await showFinishedCursors();
+            while (presentedTo !== caller.highestFencing()) {
+                presentedTo = caller.highestFencing();
+                await presentFinishedCursors();
             }
         }
         isFinished = true;
--- a/packages/ownership/src/testing/createTestWorld.ts
+++ b/packages/ownership/src/testing/createTestWorld.ts
@@ -122,7 +122,7 @@
             setHeld: held => {
                 isHeld = held;
             },
-            lose: () => lost.abort(),
+            loseLease: () => lost.abort(),
         };
     };
 
--- a/packages/runner/src/RunnerDeps.ts
+++ b/packages/runner/src/RunnerDeps.ts
@@ -34,7 +34,7 @@
     /** Milliseconds since the store last answered this process. */
     sinceStoreAnswerMs: () => number;
     /** Milliseconds since store calls began to succeed again after failures; infinite if none ever failed. */
-    storeRegainedMs: () => number;
+    sinceStoreRecoveryMs: () => number;
     routing: RoutingView;
     directory: SamplerDirectory;
     entries: WatchedKind<BatchJobEntry>;
--- a/packages/runner/src/createRunner.ts
+++ b/packages/runner/src/createRunner.ts
@@ -135,7 +135,7 @@
         isStoreReachable: () =>
             deps.storeSilentMs() === 0
             && deps.sinceStoreAnswerMs() < maxStoreAnswerAgeMs
-            && deps.storeRegainedMs() > storeRecoveryGraceMs,
+            && deps.sinceStoreRecoveryMs() > storeRecoveryGraceMs,
         probeStore: createStoreProbe({ ...deps, probe: () => deps.store.read(deps.registration) }),
         startRun: (batchJobId, entry) =>
             createBatchJobRun({
@@ -147,7 +147,7 @@
                 seenGroups,
                 dispatcherFor: dispatch.dispatcherFor,
                 register: dispatch.register,
-                forget: dispatch.forget,
+                unregister: dispatch.unregister,
                 scoreItem,
                 textCache: deps.textCache,
                 findRoute: routeOf,
--- a/packages/runner/src/duties/createDutyHolder.ts
+++ b/packages/runner/src/duties/createDutyHolder.ts
@@ -46,8 +46,8 @@
         if (found === "nothing" || found === "ownEarlier") {
             return 0;
         }
-        const apartMs = deps.handOverMs + handOverSlackMs;
-        return found === "lapsed" ? Math.max(0, apartMs + actWindowMs - deps.leaseTtlMs) : apartMs;
+        const minCallGapMs = deps.handOverMs + handOverSlackMs;
+        return found === "lapsed" ? Math.max(0, minCallGapMs + actWindowMs - deps.leaseTtlMs) : minCallGapMs;
     }
 
     async function runDuties(lease: Lease): Promise<void> {
--- a/packages/runner/src/items/ItemDispatch.ts
+++ b/packages/runner/src/items/ItemDispatch.ts
@@ -7,7 +7,7 @@
 /** The dispatchers of one runner and the items registered with them. */
 export interface ItemDispatch {
     dispatcherFor(batchJob: BatchJob): Dispatcher;
-    register(task: SampleId, run: ItemRun, onMade: (made: GeneratedSample) => void): void;
-    forget(task: SampleId): void;
+    register(task: SampleId, run: ItemRun, onGenerated: (generated: GeneratedSample) => void): void;
+    unregister(task: SampleId): void;
     stop(): Promise<void>;
 }
--- a/packages/runner/src/items/OpenItems.ts
+++ b/packages/runner/src/items/OpenItems.ts
@@ -16,5 +16,5 @@
      */
     withdrawAll(): void;
     /** Discards all open items. */
-    forgetAll(): void;
+    discardAll(): void;
 }
--- a/packages/runner/src/items/createItemDispatch.ts
+++ b/packages/runner/src/items/createItemDispatch.ts
@@ -49,7 +49,7 @@
 
 interface RegisteredItem {
     run: ItemRun;
-    onMade: (made: GeneratedSample) => void;
+    onGenerated: (generated: GeneratedSample) => void;
 }
 
 /**
@@ -160,7 +160,7 @@
                 listSamplers: () => listSamplers(batchJob),
                 sidecar: findSidecar,
                 mayAct: () => true,
-                onSampleGenerated: made => tasks.get(made.task.sample)?.onMade(made),
+                onSampleGenerated: generated => tasks.get(generated.task.sample)?.onGenerated(generated),
                 takeRetry: alwaysRetry,
                 measuredTokensPerSecond: sampler =>
                     samplerHealth.eventsPerSecond(sampler as string as IncarnationId),
@@ -173,8 +173,8 @@
 
     return {
         dispatcherFor,
-        register: (task, run, onMade) => void tasks.set(task, { run, onMade }),
-        forget: task => void tasks.delete(task),
+        register: (task, run, onGenerated) => void tasks.set(task, { run, onGenerated }),
+        unregister: task => void tasks.delete(task),
         stop: async () => {
             await Promise.all([...dispatchers.values()].map(dispatcher => dispatcher.stop()));
         },
--- a/packages/runner/src/items/createItemFinisher.ts
+++ b/packages/runner/src/items/createItemFinisher.ts
@@ -30,9 +30,9 @@
         const versions = versionsOf(spans);
         const isFresh = versions.every(version => version >= batchJob.minVersion);
         deps.invariants.check(resultCodes.staleDelivered, isFresh, { lot: batchJob.lot, item: item.item });
-        const made = { item: item.item, output: textOf(spans), versions };
+        const generated = { item: item.item, output: textOf(spans), versions };
         if (item.reward === undefined) {
-            return { ...made, state: "completed", score: undefined };
+            return { ...generated, state: "completed", score: undefined };
         }
         const attempts = deps.findRoute(batchJob.host, item.path)?.maxAttempts ?? 1;
         const scored = await deps.scoreItem(item.reward, {}, attempts, signal);
@@ -40,7 +40,7 @@
             return undefined;
         }
         return scored.kind === "scored"
-            ? { ...made, state: "completed", score: scored.score }
+            ? { ...generated, state: "completed", score: scored.score }
             : { item: item.item, state: "terminated", output: "", versions: [], score: undefined };
     };
 }
--- a/packages/runner/src/items/createItemPolicy.ts
+++ b/packages/runner/src/items/createItemPolicy.ts
@@ -2,8 +2,8 @@
 import type { DispatchPolicy } from "@auburnarch/dispatch/DispatchPolicy";
 import { hasMeasurableSpeed } from "@auburnarch/dispatch/hasMeasurableSpeed";
 import { holdNever } from "@auburnarch/dispatch/holdNever";
+import { keepLimit } from "@auburnarch/dispatch/keepLimit";
 import { priorityFixed } from "@auburnarch/dispatch/priorityFixed";
-import { thinNever } from "@auburnarch/dispatch/thinNever";
 import { orderByStepAndLength } from "@auburnarch/queue/orderByStepAndLength";
 import { pickEarliestFinish } from "@auburnarch/selection/pickEarliestFinish";
 import { countFreeSlots } from "./countFreeSlots.js";
@@ -30,7 +30,7 @@
         pick: pickEarliestFinish,
         hold: holdNever,
         room: countFreeSlots,
-        thin: thinNever,
+        stragglerLimit: keepLimit,
         movable: hasMeasurableSpeed,
         move: moveRule,
         priority: priorityFixed,
--- a/packages/runner/src/items/createItemSidecar.test.ts
+++ b/packages/runner/src/items/createItemSidecar.test.ts
@@ -81,14 +81,14 @@
     } as unknown as SampleAttempt;
     const outcome = await sidecar.runSample(attempt, each => spans.push(each), new AbortController().signal);
     return {
-        outcome: show(outcome),
+        outcome: describeOutcome(outcome),
         terminated,
         sent,
         spans: spans.map(each => `${each.version}:${each.text.trim()}`),
     };
 }
 
-const show = (outcome: AttemptOutcome<SampleAnswer>): string =>
+const describeOutcome = (outcome: AttemptOutcome<SampleAnswer>): string =>
     outcome.kind === "ran"
         ? `ran ${outcome.answer.spans.map(each => `${each.version}:${each.text.trim()}`).join(" ")}`
         : `${outcome.kind} ${outcome.code.name}`;
--- a/packages/runner/src/items/createItemSidecar.ts
+++ b/packages/runner/src/items/createItemSidecar.ts
@@ -119,7 +119,7 @@
         spans: TokenSpan[],
     ): Promise<Ended> {
         const { batchJob, item } = run;
-        const made = countEvents(attempt.resume);
+        const receivedEvents = countEvents(attempt.resume);
         const reply = await deps.callSampler({
             sampler,
             requestId: item.item,
@@ -130,7 +130,7 @@
             headers: item.headers,
             body: Buffer.from(item.bodyBase64, "base64"),
             budgetMs: runBudgetMs,
-            ...(made > 0 ? { lastEventNumber: made } : {}),
+            ...(receivedEvents > 0 ? { lastEventNumber: receivedEvents } : {}),
         }, signal);
         if (reply.kind === "notRun") {
             samplerHealth.recordActivity(sampler.incarnation);
--- a/packages/runner/src/items/createOpenItems.ts
+++ b/packages/runner/src/items/createOpenItems.ts
@@ -74,7 +74,7 @@
             expectedEvents: expectedOutputTokens === undefined ? undefined : toEvents(expectedOutputTokens),
             failures: 0,
             terminate: reason => terminate(item.item, reason),
-        }, made => void finish(batchJob, item, made.answer.spans));
+        }, generated => void finish(batchJob, item, generated.answer.spans));
         const maxEvents = toEvents(item.maxOutputTokens);
         const resume = cached?.spans ?? [];
         return toSampleTask(batchJob, item, { task, index, group, needAtMs, maxEvents, resume });
@@ -112,7 +112,7 @@
         start,
         close: item => {
             open.delete(item);
-            deps.forget(taskOf(item));
+            deps.unregister(taskOf(item));
             withdraw([item]);
         },
         terminateAll: reason => [...open].forEach(item => terminate(item, reason)),
@@ -127,6 +127,6 @@
             }
             withdraw([...open]);
         },
-        forgetAll: () => open.forEach(item => deps.forget(taskOf(item))),
+        discardAll: () => open.forEach(item => deps.unregister(taskOf(item))),
     };
 }
--- a/packages/runner/src/jobs/BatchJobRunDeps.ts
+++ b/packages/runner/src/jobs/BatchJobRunDeps.ts
@@ -30,8 +30,8 @@
     tokensPerEvent: (batchJob: BatchJob) => number;
     scoreItem: ScoreItem;
     /** Registers a task for the sidecars, with the callback that receives its finished text. */
-    register: (task: SampleId, run: ItemRun, onMade: (made: GeneratedSample) => void) => void;
-    forget: (task: SampleId) => void;
+    register: (task: SampleId, run: ItemRun, onGenerated: (generated: GeneratedSample) => void) => void;
+    unregister: (task: SampleId) => void;
     seenGroups: ReturnType<typeof createSeenGroups>;
     textCache: TextCache;
     clock: Clock;
--- a/packages/runner/src/jobs/chooseOwner.ts
+++ b/packages/runner/src/jobs/chooseOwner.ts
@@ -24,10 +24,11 @@
 /** A peer that has not reached the store for this long loses its batch jobs to runners that can reach it. */
 const maxStoreSilenceMs = 1_500;
 
-const hasLostStore = (peer: PeerView): boolean => (peer.status?.storeSilentMs ?? 0) > maxStoreSilenceMs;
+const isStoreUnreachableFrom = (peer: PeerView): boolean =>
+    (peer.status?.storeSilentMs ?? 0) > maxStoreSilenceMs;
 
 const canRun = (peer: PeerView, isStoreReachable: boolean): boolean =>
-    peer.isAlive && peer.status?.isLeaving !== true && !(isStoreReachable && hasLostStore(peer));
+    peer.isAlive && peer.status?.isLeaving !== true && !(isStoreReachable && isStoreUnreachableFrom(peer));
 
 /**
  * A runner that reaches none of several peers is more likely to be partitioned than they are to have crashed. Their
--- a/packages/runner/src/jobs/createBatchJobRun.ts
+++ b/packages/runner/src/jobs/createBatchJobRun.ts
@@ -100,7 +100,7 @@
             }
             stopped.abort();
             recorder.stop();
-            items.forgetAll();
+            items.discardAll();
             resultCache.close(batchJobId);
             const recorded = recorder.recorded();
             logger.info("lotStopped", { lot: batchJobId, recorded, total: entry.total, isHandedOver });
--- a/packages/runner/src/results/createContestedBatchJobs.ts
+++ b/packages/runner/src/results/createContestedBatchJobs.ts
@@ -9,14 +9,14 @@
     const incarnations = new Map<string, string>();
     return peers => {
         const running = new Set(peers.flatMap(({ status }) => status?.running.map(each => each.lot) ?? []));
-        let isAnyNew = false;
+        let hasAnyRestarted = false;
         for (const { name, status } of peers) {
             const before = incarnations.get(name);
             if (status !== undefined && before !== status.incarnation) {
-                isAnyNew ||= before !== undefined;
+                hasAnyRestarted ||= before !== undefined;
                 incarnations.set(name, status.incarnation);
             }
         }
-        return batchJobId => isAnyNew || running.has(batchJobId);
+        return batchJobId => hasAnyRestarted || running.has(batchJobId);
     };
 }
--- a/packages/runner/src/results/createRecorder.test.ts
+++ b/packages/runner/src/results/createRecorder.test.ts
@@ -111,9 +111,11 @@
         group: `g${Math.floor(at / 8)}`,
         endsAtMs: 300 + 4_700 * random.nextUnit() ** 3,
     }));
-    const wholeAt = new Map<string, number>();
-    items.forEach(({ group, endsAtMs }) => wholeAt.set(group, Math.max(endsAtMs, wholeAt.get(group) ?? 0)));
-    const neededAtMs = [...wholeAt.values()].sort((a, b) => a - b)[7]!;
+    const groupEndsAtMs = new Map<string, number>();
+    items.forEach(({ group, endsAtMs }) =>
+        groupEndsAtMs.set(group, Math.max(endsAtMs, groupEndsAtMs.get(group) ?? 0))
+    );
+    const neededAtMs = [...groupEndsAtMs.values()].sort((a, b) => a - b)[7]!;
     return { items, neededAtMs, source: { lot: batchJobId, neededGroups: 8, items } as unknown as BatchJob };
 }
 
@@ -128,10 +130,10 @@
     await clock.advance(7_000);
     const recordedBy = (atMs: number): number =>
         records.filter(record => record.atMs <= atMs).at(-1)?.items ?? 0;
-    const madeBy = items.filter(({ endsAtMs }) => endsAtMs <= neededAtMs).length;
+    const finishedCount = items.filter(({ endsAtMs }) => endsAtMs <= neededAtMs).length;
     return {
         records: records.length,
-        isInTime: recordedBy(neededAtMs + 20) >= madeBy,
+        isInTime: recordedBy(neededAtMs + 20) >= finishedCount,
         all: recordedBy(7_000),
     };
 }
@@ -160,8 +162,8 @@
     const items = ["a", "b", "c"].map(name => ({ item: name as SampleId, group: name }));
     const needOf = (neededGroups: number | undefined, again: string) =>
         createGroupNeed({ neededGroups, items } as unknown as BatchJob, group => group === again);
-    const metAfter = (need: GroupNeed, ...made: string[]): boolean => {
-        made.forEach(item => need.markFinished(item as SampleId));
+    const metAfter = (need: GroupNeed, ...finishedItems: string[]): boolean => {
+        finishedItems.forEach(item => need.markFinished(item as SampleId));
         return need.isMet();
     };
     expect([
--- a/packages/runner/src/results/createRecorder.ts
+++ b/packages/runner/src/results/createRecorder.ts
@@ -107,7 +107,7 @@
     function pauseMs(waitedMs: number): number {
         return recordPauseMs({
             total: deps.total,
-            made: recordedItems.size + waiting.length,
+            finished: recordedItems.size + waiting.length,
             isNeedMet: need?.isMet(),
             isNeedRecorded,
             untilDueMs: dueAtMs - clock.monotonicMs(),
--- a/packages/runner/src/results/createResultCache.test.ts
+++ b/packages/runner/src/results/createResultCache.test.ts
@@ -58,12 +58,12 @@
     const query = async (fromChunk: number, waitMs = 0): Promise<string> => {
         const asked = resultCache.answer(batchJobId, fromChunk, waitMs);
         await clock.advance(waitMs);
-        return show(await asked);
+        return describeAnswer(await asked);
     };
     return { clock, state, resultCache, append, query };
 }
 
-function show(answer: ResultsAnswer): string {
+function describeAnswer(answer: ResultsAnswer): string {
     if (answer.kind !== "known") {
         return JSON.stringify(answer);
     }
@@ -82,7 +82,7 @@
     const waiting = resultCache.answer(batchJobId, 1, 1_000);
     await clock.advance(300);
     append("b", "c");
-    expect(show(await waiting)).toBe("b+c/3");
+    expect(describeAnswer(await waiting)).toBe("b+c/3");
     resultCache.close(batchJobId);
     expect([await query(0), await query(2, 1_000), state.reads]).toEqual(["a,b+c/3", "/3", 0]);
 });
--- a/packages/runner/src/results/recordPause.load.test.ts
+++ b/packages/runner/src/results/recordPause.load.test.ts
@@ -10,10 +10,11 @@
 /** A trainer reads at most twice a second, and acts on the results at its next poll. */
 const pollMs = 500;
 
-type Pause = typeof recordPauseMs;
+type PauseRule = typeof recordPauseMs;
 
 /** Baseline: records results every second, and every 200 ms in the last two seconds before the due time. */
-const pauseBefore: Pause = state => state.made >= items ? 0 : state.untilDueMs < 2_000 ? 200 : 1_000;
+const baselinePauseMs: PauseRule = state =>
+    state.finished >= items ? 0 : state.untilDueMs < 2_000 ? 200 : 1_000;
 
 /** Finish times of the items of a step: most finish early, a tenth takes five times as long. */
 function endsOf(seed: number): number[] {
@@ -26,17 +27,23 @@
 }
 
 /** Time at which each chunk is recorded, with the number of results recorded by then. */
-function recordsOf(ends: number[], pause: Pause): { atMs: number; results: number; }[] {
+function recordsOf(ends: number[], pause: PauseRule): { atMs: number; results: number; }[] {
     const records: { atMs: number; results: number; }[] = [];
     let recorded = 0;
     while (recorded < items) {
         const sinceMs = Math.max(ends[recorded]!, records.at(-1)?.atMs ?? 0);
         let atMs = sinceMs;
         for (;; atMs += 10) {
-            const made = ends.filter(endMs => endMs <= atMs).length;
-            const isNeedMet = made >= items;
+            const finished = ends.filter(endMs => endMs <= atMs).length;
+            const isNeedMet = finished >= items;
             const waitedMs = atMs - sinceMs;
-            const state = { total: items, made, isNeedMet, isNeedRecorded: false, untilDueMs: dueMs - atMs };
+            const state = {
+                total: items,
+                finished,
+                isNeedMet,
+                isNeedRecorded: false,
+                untilDueMs: dueMs - atMs,
+            };
             if (waitedMs >= pause({ ...state, waitedMs })) {
                 break;
             }
@@ -66,13 +73,13 @@
     return { endedMs: nowMs, readInTime };
 }
 
-function simulateSteps(pause: Pause): { lateMs: number; records: number; unread: number; } {
+function simulateSteps(pause: PauseRule): { lateMs: number; records: number; unread: number; } {
     const steps = Array.from({ length: 40 }, (_, seed) => endsOf(seed));
     const simulated = steps.map(ends => {
         const records = recordsOf(ends, pause);
         const { endedMs, readInTime } = readAll(records);
-        const made = ends.filter(endMs => endMs <= dueMs - pollMs).length;
-        return { lateMs: endedMs - ends.at(-1)!, records: records.length, unread: made - readInTime };
+        const finished = ends.filter(endMs => endMs <= dueMs - pollMs).length;
+        return { lateMs: endedMs - ends.at(-1)!, records: records.length, unread: finished - readInTime };
     });
     const meanOf = (value: (step: (typeof simulated)[number]) => number): number =>
         Math.round(simulated.reduce((sum, step) => sum + value(step), 0) / simulated.length);
@@ -85,7 +92,8 @@
 
 test("a trainer that waits for its last items acts sooner, and results finished in time are read in time", () => {
     // Guards against a page returned just before the last result, which delays the trainer by up to a second.
-    expect({ before: simulateSteps(pauseBefore), now: simulateSteps(recordPauseMs) }).toMatchInlineSnapshot(`
+    expect({ before: simulateSteps(baselinePauseMs), now: simulateSteps(recordPauseMs) })
+        .toMatchInlineSnapshot(`
       {
         "before": {
           "lateMs": 267,
--- a/packages/runner/src/results/recordPauseMs.ts
+++ b/packages/runner/src/results/recordPauseMs.ts
@@ -1,7 +1,7 @@
 interface RecordingState {
     /** Number of items of the batch job, and of those that have a result. */
     total: number;
-    made: number;
+    finished: number;
     /** Whether the groups that the trainer waits for are complete; undefined if those are not known. */
     isNeedMet: boolean | undefined;
     /** Whether these groups are also recorded. */
@@ -33,11 +33,11 @@
 /** After the last items no result follows that could share their chunk. */
 const unpausedItems = 3;
 
-function pauseForUnknownNeedMs(made: number, total: number): number {
-    if (made >= total - unpausedItems) {
+function pauseForUnknownNeedMs(finished: number, total: number): number {
+    if (finished >= total - unpausedItems) {
         return 0;
     }
-    return made > finalPhaseRatio * total ? finalPauseMs : defaultPauseMs;
+    return finished > finalPhaseRatio * total ? finalPauseMs : defaultPauseMs;
 }
 
 /**
@@ -47,11 +47,11 @@
  * therefore recorded at once, and all others are batched for as long as they can still be read when the step is due.
  */
 export function recordPauseMs(state: RecordingState): number {
-    const { total, made, isNeedMet, isNeedRecorded, untilDueMs, waitedMs } = state;
+    const { total, finished, isNeedMet, isNeedRecorded, untilDueMs, waitedMs } = state;
     if (isNeedMet === undefined) {
-        return pauseForUnknownNeedMs(made, total);
+        return pauseForUnknownNeedMs(finished, total);
     }
-    if (made >= total || isNeedMet && !isNeedRecorded) {
+    if (finished >= total || isNeedMet && !isNeedRecorded) {
         return 0;
     }
     if (isNeedMet) {
--- a/packages/runner/src/weights/createLoadScheduler.test.ts
+++ b/packages/runner/src/weights/createLoadScheduler.test.ts
@@ -36,7 +36,12 @@
     const accepted = new Map(names.map(name => [name, 0]));
     const named = new Map<string, NamedVersion>();
     const sent: string[] = [];
-    const state = { mayOrder: true, loading: 0, most: 0, reportedBornAtMs: undefined as number | undefined };
+    const state = {
+        mayOrder: true,
+        loading: 0,
+        maxConcurrent: 0,
+        reportedBornAtMs: undefined as number | undefined,
+    };
 
     const samplerOf = (name: string): RegisteredSampler =>
         ({
@@ -75,7 +80,7 @@
                 if (outcome === "accepted") {
                     accepted.set(name, accepted.get(name)! + 1);
                     state.loading++;
-                    state.most = Math.max(state.most, state.loading);
+                    state.maxConcurrent = Math.max(state.maxConcurrent, state.loading);
                     clock.startTimer(loadMs, () => {
                         state.loading--;
                         versions.set(name, order.version);
@@ -122,7 +127,7 @@
         seen.push([...versions.values()].sort().join(" "));
     }
     expect(seen).toEqual(["1 1 2 2", "2 2 3 3", "3 3 4 4", "4 4 5 5"]);
-    expect([state.most, sent.length]).toEqual([2, 8]);
+    expect([state.maxConcurrent, sent.length]).toEqual([2, 8]);
     expect(sent.filter(order => order.startsWith("a "))).toEqual([
         "a v2 expects 0 accepted",
         "a v4 expects 1 accepted",
--- a/packages/runner/src/weights/listDueLoads.ts
+++ b/packages/runner/src/weights/listDueLoads.ts
@@ -31,7 +31,7 @@
 /** Urgency of a load that only keeps half of the samplers at the newest version. */
 function urgencyOfEarlyLoad(need: PolicyNeed): number {
     if (need.isIdle) {
-        return loadUrgency.quiet;
+        return loadUrgency.idle;
     }
     return need.ageMs > maxLoadDelayMs ? loadUrgency.overdue : loadUrgency.notNow;
 }
--- a/packages/runner/src/weights/planLoads.test.ts
+++ b/packages/runner/src/weights/planLoads.test.ts
@@ -27,7 +27,7 @@
         jobTokens: undefined,
         jobItems: undefined,
     }));
-const shown = (loads: ReturnType<typeof planLoads>): string[] =>
+const describeLoads = (loads: ReturnType<typeof planLoads>): string[] =>
     loads.map(load => `${load.sampler.incarnation} ${load.policy} ${load.version}`).sort();
 
 function createPlan(assigned = new Map<PolicyId, Set<IncarnationId>>()) {
@@ -109,7 +109,7 @@
     expect(plan({ blocked, loading: 2, maxLoading: 2 })).toEqual([]);
     const next = plan({ blocked, loading: 1, maxLoading: 2 });
     expect(next).toHaveLength(1);
-    expect(shown(first)).not.toContain(shown(next)[0]);
+    expect(describeLoads(first)).not.toContain(describeLoads(next)[0]);
 });
 
 test("among policies that are equally behind, the one with the fewest usable samplers is loaded first", () => {
--- a/packages/runner/src/weights/planLoads.ts
+++ b/packages/runner/src/weights/planLoads.ts
@@ -92,7 +92,7 @@
     const shares = sharesOf(input);
     assign(input, shares);
     const chosen: DueLoad[] = [];
-    const taken = new Set<IncarnationId>();
+    const chosenSamplers = new Set<IncarnationId>();
     const maxOverdueLoads = (policy: PolicyId): number =>
         Math.max(1, Math.floor(shares.get(policy)! / loadRounds));
     const due = input.needs.map(need => listDueLoads(need, assignedTo(need, input), input.blocked));
@@ -105,7 +105,7 @@
 
     function nextOf({ loads, missing }: ReturnType<typeof listDueLoads>): DueLoad | undefined {
         return loads.find(({ sampler, policy, urgency }) =>
-            !taken.has(sampler.incarnation)
+            !chosenSamplers.has(sampler.incarnation)
             && (urgency === loadUrgency.unusable || missing > 0)
             && (urgency !== loadUrgency.overdue || inProgress.get(policy)! < maxOverdueLoads(policy))
         );
@@ -120,7 +120,7 @@
             break;
         }
         const { sampler, policy, urgency } = next.load!;
-        taken.add(sampler.incarnation);
+        chosenSamplers.add(sampler.incarnation);
         inProgress.set(policy, inProgress.get(policy)! + 1);
         next.each.usable++;
         next.each.missing -= urgency === loadUrgency.unusable ? 0 : 1;
--- a/packages/selection/src/pickEarliestFinish.ts
+++ b/packages/selection/src/pickEarliestFinish.ts
@@ -40,8 +40,8 @@
  * swap weights is picked only if no other has room, because an attempt that starts there is paused at once.
  */
 export const pickEarliestFinish: SamplerPicker = (candidates, request) => {
-    const staying = candidates.filter(candidate => !candidate.aboutToSwap);
-    const pool = staying.some(candidate => candidate.room > 0) ? staying : candidates;
+    const notSwapping = candidates.filter(candidate => !candidate.aboutToSwap);
+    const pool = notSwapping.some(candidate => candidate.room > 0) ? notSwapping : candidates;
     const finishMs = (candidate: Candidate): number => estimateFinishMs(candidate, request);
     const available = earliest(pool.filter(candidate => candidate.room > 0), finishMs);
     if (available === undefined) {
--- a/packages/selection/src/pickLeastFinish.ts
+++ b/packages/selection/src/pickLeastFinish.ts
@@ -11,8 +11,8 @@
  */
 export const pickLeastFinish: SamplerPicker = (candidates, request) => {
     const available = candidates.filter(candidate => candidate.room > 0);
-    const staying = available.filter(candidate => !candidate.aboutToSwap);
-    const pool = staying.length > 0 ? staying : available;
+    const notSwapping = available.filter(candidate => !candidate.aboutToSwap);
+    const pool = notSwapping.length > 0 ? notSwapping : available;
     let best: Candidate | undefined;
     let bestMs = Infinity;
     for (const candidate of pool) {
