--- a/packages/documents/src/DocumentSet.ts
+++ b/packages/documents/src/DocumentSet.ts
@@ -14,6 +14,6 @@
     applyTransfer(transfer: DocumentTransfer): ApplyResult;
     /** The document as a delta for a process that has `baseVersion`, or in full if no delta is possible. */
     transfer(name: string, baseVersion: number): DocumentTransfer | undefined;
-    /** Documents with a higher version in `theirs` that was not refused here, with the version this process has. */
+    /** Documents whose version in `theirs` is higher and was not refused here; each with this process's version. */
     findOutdated(theirs: DocumentDigest): DocumentDigest;
 }
--- a/packages/documents/src/createDocumentSet.ts
+++ b/packages/documents/src/createDocumentSet.ts
@@ -46,7 +46,7 @@
     }
 
     function refuse(document: SharedDocument, faults: { path: string; message: string; }[]): void {
-        // Remembered, so that the document is not fetched again in each exchange.
+        // Recorded, so that the document is not fetched again in each exchange.
         refusedVersions.set(document.name, document.version);
         for (const fault of faults.slice(0, maxLoggedFaults)) {
             deps.logger.error("documentRefused", {
--- a/packages/documents/src/defaultDocumentSyncGuards.ts
+++ b/packages/documents/src/defaultDocumentSyncGuards.ts
@@ -1,6 +1,6 @@
 import type { DocumentSyncGuards } from "./DocumentSyncGuards.js";
 
-/** The guards used everywhere except in fault benches. */
+/** Guards used in production; only the fault bench and tests replace them. */
 export const defaultDocumentSyncGuards: DocumentSyncGuards = {
     forwardOnly: (held, offered) => offered > held,
 };
--- a/packages/entry/src/EntryGuards.ts
+++ b/packages/entry/src/EntryGuards.ts
@@ -6,7 +6,7 @@
 import type { OwnerParts } from "@auburnarch/ownership/OwnerParts";
 import type { SendGuards } from "@auburnarch/transport/SendGuards";
 
-/** Checks and parts that a bench can replace one at a time; each has a default. */
+/** Checks and parts that the fault bench replaces one at a time; each has a default. */
 export interface EntryGuards {
     owner?: OwnerGuards;
     ownerParts?: OwnerParts;
--- a/packages/entry/src/createPeerCall.ts
+++ b/packages/entry/src/createPeerCall.ts
@@ -25,7 +25,7 @@
         return error;
     }
     if (error instanceof JSONRPCErrorException) {
-        // The library reports a failed send as an error of its own, whose number is not one of our result codes.
+        // The library reports a failed send as an error of its own, whose number is not a result code of this system.
         const data = (error.data ?? {}) as ErrorData;
         return new ResultError(
             codeByNumber(error.code, resultCodes.peerUnreachable),
--- a/packages/entry/src/serveEntry.test.ts
+++ b/packages/entry/src/serveEntry.test.ts
@@ -227,7 +227,7 @@
 });
 
 test("hostile bodies of teams and operators are refused with an action, and nothing changes", async () => {
-    // On a busy machine the entry's own writes came late and looked like changes, so the test waits for them first.
+    // Waits first, because on a busy machine the entry's own writes come late and would look like changes.
     await waitForOwnWrites();
     const before = storeState();
     const { plume, operator } = entry.tokens;
--- a/packages/lease/src/LeaseGuards.ts
+++ b/packages/lease/src/LeaseGuards.ts
@@ -1,4 +1,4 @@
-/** The two time checks that together ensure a single holder of a lease at a time. Fault tests replace them. */
+/** The two time checks that together ensure a single holder of a lease. Tests and the fault bench replace them. */
 export interface LeaseGuards {
     /** On the holder: whether the lease is still valid `ageMs` after the last confirmed renewal was sent. */
     isWithinLease(ageMs: number, ttlMs: number): boolean;
--- a/packages/lease/src/createHeldLease.ts
+++ b/packages/lease/src/createHeldLease.ts
@@ -62,7 +62,10 @@
         acquired.onEnd();
     }
 
-    /** True if the write took effect. A conflict with our own writer shows an earlier write whose response was lost. */
+    /**
+     * True if the write took effect. A conflict whose stamp names this writer shows an earlier write whose response was
+     * lost.
+     */
     function settleRenewal(sent: number, outcome: WriteOutcome): boolean {
         if (outcome.kind === "written") {
             confirm(sent, outcome.version);
@@ -137,7 +140,7 @@
         }
     }
 
-    /** True if the lease is released or no longer ours. */
+    /** True if the lease is released or no longer this process's. */
     function settleRelease(sent: number, outcome: WriteOutcome): boolean {
         if (outcome.kind === "written") {
             return true;
--- a/packages/membership/src/Membership.ts
+++ b/packages/membership/src/Membership.ts
@@ -25,6 +25,6 @@
     listReports(): ReportView[];
     /** Records whether a call to a sampler could connect. */
     recordSamplerContact(sampler: SamplerId, reached: boolean): void;
-    /** True while this entry is among the few that watch the object API. */
+    /** True while this entry is one of the relays, the few entries that watch the object API. */
     isRelay(): boolean;
 }
--- a/packages/membership/src/createEntryRegistry.ts
+++ b/packages/membership/src/createEntryRegistry.ts
@@ -116,7 +116,7 @@
             setHeartbeat(row, { ...row.beat, suspected: true });
         }
         else {
-            // The entry has shown life since; gossip that before the suspicion spreads.
+            // The entry has shown a later sign of life; gossip its heartbeat before the suspicion spreads.
             announce(row);
         }
     }
--- a/packages/membership/src/createGossip.ts
+++ b/packages/membership/src/createGossip.ts
@@ -14,7 +14,7 @@
 import type { MembershipDeps } from "./MembershipDeps.js";
 import type { MembershipTiming } from "./MembershipTiming.js";
 
-/** Share of probes sent to suspected entries, so that two partitions find each other again once reconnected. */
+/** Share of probes sent to suspected entries, so that two partitions discover each other again once reconnected. */
 const suspectedProbeRatio = 0.1;
 /** Share of probes sent to addresses of the VM list or the seeds whose entry is not known yet. */
 const undiscoveredProbeRatio = 0.5;
--- a/packages/persistence/src/createFileGroupStore.test.ts
+++ b/packages/persistence/src/createFileGroupStore.test.ts
@@ -142,7 +142,7 @@
     expect((await store.load("j", 4)).map(stored => stored.group)).toEqual([4]);
 });
 
-test("no job's name leads out of the folder, and no two names share a file", async () => {
+test("no job's name denotes a path outside the folder, and no two names share a file", async () => {
     const store = await openStore();
     const names = ["..", "../x", "a/b", "a%2Fb", "a-4", "a"];
     for (const [group, job] of names.entries()) {
--- a/packages/persistence/src/createFileGroupStore.ts
+++ b/packages/persistence/src/createFileGroupStore.ts
@@ -18,7 +18,7 @@
 const isDiskFullError = (error: unknown): boolean =>
     fullDiskCodes.has((error as NodeJS.ErrnoException).code) || codeOf(error) === resultCodes.diskFull;
 
-/** File name of a step. The job's name is encoded and prefixed, so that no name leads out of the folder. */
+/** File name of a step. The job's name is encoded and prefixed, so that no name denotes a path outside the folder. */
 const fileNameOf = (job: string, step: number): string =>
     `job-${encodeURIComponent(job)}-${step}${fileExtension}`;
 
--- a/packages/transport/src/SendGuards.ts
+++ b/packages/transport/src/SendGuards.ts
@@ -1,6 +1,8 @@
 import type { IncarnationId } from "@auburnarch/types/IncarnationId";
 
-/** Checks that decide the outcome a sender reports; each returns true to allow something. Fault tests replace them. */
+/**
+ * Checks that decide the outcome a sender reports; each returns true to allow something. The fault bench replaces them.
+ */
 export interface SendGuards {
     /** Only the incarnation that an attempt was sent to can prove that it did not run. */
     sameIncarnation(sentTo: IncarnationId | undefined, answered: IncarnationId): boolean;
--- a/packages/transport/src/pauseAfterBreaks.ts
+++ b/packages/transport/src/pauseAfterBreaks.ts
@@ -10,8 +10,8 @@
 /**
  * Returns how long a content waits before its next attempt, after `breaks` consecutive attempts that broke without any
  * output. Without the pause, a crash-inducing request takes down each sampler as soon as it has restarted, together
- * with the requests that run beside it. Growing pauses leave such a request few retries and cost a harmless one a
- * second.
+ * with the requests that run beside it. Growing pauses leave such a request few retries and delay a harmless one by
+ * only a second.
  */
 export function pauseAfterBreaks(breaks: number): number {
     return breaks < breaksBeforePause
--- a/packages/transport/src/sendPlain.ts
+++ b/packages/transport/src/sendPlain.ts
@@ -13,7 +13,7 @@
 /** Returned to the caller of an abandoned request if no sampler stated a delay. */
 const defaultRetryAfterMs = 1_000;
 
-/** A content that crashed this many samplers is not retried: it could crash all of them within moments. */
+/** A content that crashed this many samplers is not retried: it could crash all of them in quick succession. */
 const maxCrashes = 2;
 
 /** Refusals that concern the request itself; another sampler would refuse it too. */
