--- a/packages/clock/src/createMedianTime.ts
+++ b/packages/clock/src/createMedianTime.ts
@@ -2,7 +2,7 @@
 import type { TrueTimeEstimate } from "./TrueTimeEstimate.js";
 
 interface ClockReading {
-    /** The reported time of day minus our monotonic time. */
+    /** The reported time of day minus this process's monotonic time. */
     offsetMs: number;
     atMs: number;
 }
--- a/packages/daemon/src/createStoreHealth.ts
+++ b/packages/daemon/src/createStoreHealth.ts
@@ -39,7 +39,7 @@
 /**
  * Wraps the store, counts its calls and tracks whether it answers; `touch` sends a probe. The cost of probes grows with
  * the number of processes, so a process that does not use the store may probe less often: it notices an outage later,
- * but refuses nothing in the meantime.
+ * but has no calls to refuse until then.
  */
 export function createStoreHealth(
     inner: ObjectStore,
--- a/packages/daemon/src/storeCallsUnderFaults.test.ts
+++ b/packages/daemon/src/storeCallsUnderFaults.test.ts
@@ -42,7 +42,7 @@
 };
 
 test("the number of calls to the store stays low when processes can't use the feeding runner", async () => {
-    // Guards against calls that grow with the number of processes: they rose three- to fourfold on days with faults.
+    // Guards against calls that grow with the number of processes: faults made them three to four times as many.
     const counted: Record<string, number> = {};
     for (const [name, faults] of Object.entries(faultCases)) {
         const { startCalls, calls } = await countCalls(faults, 6_000);
--- a/packages/store/src/KnownOutcome.ts
+++ b/packages/store/src/KnownOutcome.ts
@@ -3,7 +3,7 @@
 
 /**
  * Outcome of a write. `mayHaveTakenEffect` is true if a response was lost and the object now contains another write:
- * ours may have been in effect before it.
+ * this one may have been in effect before it.
  */
 export type KnownOutcome =
     | { kind: "written"; version: ObjectVersion; }
--- a/packages/store/src/writeUntilKnown.ts
+++ b/packages/store/src/writeUntilKnown.ts
@@ -27,8 +27,8 @@
 /**
  * Writes until it is known whether the write took effect. A lost response looks like a failure, and treating it as one
  * would repeat or abandon a write that took effect. The same conditional write is therefore sent again, which cannot
- * take effect twice; a conflict with our own stamp means that an earlier attempt did. Rejects with the last error after
- * `maxAttempts` or once `signal` is aborted: the outcome is then still unknown.
+ * take effect twice; a conflict with this write's stamp means that an earlier attempt did. Rejects with the last error
+ * after `maxAttempts` or once `signal` is aborted: the outcome is then still unknown.
  */
 export async function writeUntilKnown(
     deps: WriterDeps,
--- a/packages/tls/src/createTrust.test.ts
+++ b/packages/tls/src/createTrust.test.ts
@@ -100,7 +100,7 @@
 });
 
 test("a process does not connect to a server with an expired certificate or one of another authority", async () => {
-    // Guards against tokens and prompts that leak to a stranger.
+    // Guards against tokens and prompts that are sent to a process outside the system.
     const agent = (await openTrust(fixtureFiles("first"))).createAgent({});
     for (const name of ["stranger", "expired"]) {
         const { port } = await serve(await openTrust(fixtureFiles(name)));
--- a/packages/types/src/JobManifest.ts
+++ b/packages/types/src/JobManifest.ts
@@ -20,6 +20,6 @@
     stepNeedMs: number;
     /** From 1 to 10; higher is served first within a team. */
     priority: number;
-    /** 0 favours short trainer idle time, 1 favours fresh samples. */
+    /** 0 favours short trainer idle time, 1 favours samples of recent weight versions. */
     freshnessWeight: number;
 }
--- a/packages/types/src/Lease.ts
+++ b/packages/types/src/Lease.ts
@@ -6,7 +6,7 @@
     fencing: FencingNumber;
     /** True if nobody held it before, so that no earlier holder may have acted under it. */
     isFirst?: boolean;
-    /** State of the lease when it was acquired; undefined if the lease keeper does not report it. */
+    /** State of the lease when it was acquired; undefined if the implementation does not report it. */
     found?: "nothing" | "ownEarlier" | "released" | "lapsed";
     /** Milliseconds since the last confirmed renewal was sent, by the holder's own clock. */
     ageMs?(): number;
