--- a/packages/daemon/src/createStoreHealth.test.ts
+++ b/packages/daemon/src/createStoreHealth.test.ts
@@ -47,12 +47,12 @@
     await clock.advance(20_000);
     state.isDown = true;
     await clock.advance(idleProbeIntervalMs);
-    const lostMs = health.silentMs();
+    const silentMsInOutage = health.silentMs();
     const served = health.waitForStore();
     await clock.advance(1_000);
     state.isDown = false;
     await clock.advance(250);
-    expect([lostMs > 0, health.silentMs(), await served, await health.waitForStore()])
+    expect([silentMsInOutage > 0, health.silentMs(), await served, await health.waitForStore()])
         .toEqual([true, 0, true, false]);
 });
 
@@ -65,11 +65,11 @@
         state.isDown = true;
         await clock.advance(6_000 + outage * 100);
         state.isDown = false;
-        const backAtMs = clock.monotonicMs();
+        const recoveredAtMs = clock.monotonicMs();
         while (health.silentMs() > 0) {
             await clock.advance(10);
         }
-        noticedMs.push(clock.monotonicMs() - backAtMs);
+        noticedMs.push(clock.monotonicMs() - recoveredAtMs);
         await clock.advance(5_000);
     }
     expect(noticedMs.filter(ms => ms > 250)).toEqual([]);
--- a/packages/daemon/src/createStoreHealth.ts
+++ b/packages/daemon/src/createStoreHealth.ts
@@ -15,7 +15,7 @@
      */
     waitForStore(): Promise<boolean>;
     /** Milliseconds since calls succeeded again after failures; infinite if none has failed yet. */
-    regainedMs(): number;
+    sinceRecoveryMs(): number;
 }
 
 /**
@@ -164,7 +164,7 @@
         },
         waitForStore,
         sinceAnswerMs: () => clock.monotonicMs() - answeredAtMs,
-        regainedMs: () => clock.monotonicMs() - recoveredAtMs,
+        sinceRecoveryMs: () => clock.monotonicMs() - recoveredAtMs,
         silentMs: () => failingSinceMs === undefined ? 0 : clock.monotonicMs() - failingSinceMs,
     };
 }
--- a/packages/daemon/src/keys.test.ts
+++ b/packages/daemon/src/keys.test.ts
@@ -66,7 +66,7 @@
     budgetMs: 1_000,
 } as never;
 
-async function createBed() {
+async function createTestBed() {
     const checked = validateManifest({
         name: "keys",
         teams: [{ team: "plume", share: 1, tokenDigests: [digestToken(keys.team)] }],
@@ -168,7 +168,7 @@
         backend: [...externalFakes.backends.values()][0]!,
         restart,
         call,
-        untilServed: waitUntilServed,
+        waitUntilServed,
         close: async () => {
             for (const each of [...running.values()].reverse()) {
                 await each.shutdown();
@@ -181,7 +181,7 @@
     };
 }
 
-let bed: Awaited<ReturnType<typeof createBed>>;
+let testBed: Awaited<ReturnType<typeof createTestBed>>;
 const refusals: string[] = [];
 const unauthenticatedStatus = 401;
 
@@ -196,36 +196,36 @@
     lines.length = 0;
     refusals.length = 0;
     subscribe("http.server.response.finish", recordRefusal);
-    bed = await createBed();
+    testBed = await createTestBed();
 });
 
 afterEach(async () => {
     unsubscribe("http.server.response.finish", recordRefusal);
-    await bed.close();
+    await testBed.close();
 });
 
 test("an order to a sidecar from outside the cluster is rejected and changes nothing", async () => {
     // Guards against a sampler that serves weights that no trainer published.
-    await bed.restart("entry", { clusterToken: keys.first, previousClusterToken: undefined });
-    const { address } = await bed.restart("sidecar", {
+    await testBed.restart("entry", { clusterToken: keys.first, previousClusterToken: undefined });
+    const { address } = await testBed.restart("sidecar", {
         clusterToken: keys.first,
         previousClusterToken: undefined,
     });
-    await bed.untilServed();
-    const runs = bed.backend.runsByAttempt().size;
+    await testBed.waitUntilServed();
+    const runs = testBed.backend.runsByAttempt().size;
     for (const clusterToken of [undefined, keys.team, keys.operator, keys.second]) {
-        const stranger = createHttpSidecar({ address, clock: context.clock, clusterToken });
+        const unauthorizedSidecar = createHttpSidecar({ address, clock: context.clock, clusterToken });
         const order = { kind: "loadVersion", policy: "plume", version: 9, job: "j", fencing: 99 };
-        const ordered = stranger.order(order as unknown as SamplerOrder);
+        const ordered = unauthorizedSidecar.order(order as unknown as SamplerOrder);
         expect(await ordered.catch(codeOf)).toBe(resultCodes.sidecarUnreachable);
-        expect(await stranger.readReport().catch(codeOf)).toBe(resultCodes.sidecarUnreachable);
-        const outcome = await stranger.callPlain(plainRequest, new AbortController().signal);
+        expect(await unauthorizedSidecar.readReport().catch(codeOf)).toBe(resultCodes.sidecarUnreachable);
+        const outcome = await unauthorizedSidecar.callPlain(plainRequest, new AbortController().signal);
         expect(outcome).toMatchObject({ kind: "notRun", code: resultCodes.unauthenticated });
-        stranger.close();
+        unauthorizedSidecar.close();
     }
     expect(refusals.length).toBeGreaterThan(0);
-    expect(bed.backend.runsByAttempt().size).toBe(runs);
-    await bed.untilServed();
+    expect(testBed.backend.runsByAttempt().size).toBe(runs);
+    await testBed.waitUntilServed();
 });
 
 test("no process rejects another while a new cluster token is rolled out in three rounds", async () => {
@@ -239,9 +239,9 @@
     for (const [index, tokens] of rounds.entries()) {
         const order = ["entry", "sidecar"] as const;
         for (const role of index === 2 ? order.toReversed() : order) {
-            await bed.restart(role, tokens);
-            if (bed.running.size === order.length) {
-                await bed.untilServed();
+            await testBed.restart(role, tokens);
+            if (testBed.running.size === order.length) {
+                await testBed.waitUntilServed();
             }
         }
     }
@@ -253,13 +253,13 @@
 
 test("operators drain a sampler through its entry", async () => {
     // Guards against `auburnarch drain` failing with an error.
-    await bed.restart("entry", { clusterToken: keys.first, previousClusterToken: undefined });
-    await bed.restart("sidecar", { clusterToken: keys.first, previousClusterToken: undefined });
-    await bed.untilServed();
-    const drained = await bed.call("POST", "/operator/drain", keys.operator, { sampler: "tile-1" });
+    await testBed.restart("entry", { clusterToken: keys.first, previousClusterToken: undefined });
+    await testBed.restart("sidecar", { clusterToken: keys.first, previousClusterToken: undefined });
+    await testBed.waitUntilServed();
+    const drained = await testBed.call("POST", "/operator/drain", keys.operator, { sampler: "tile-1" });
     expect(drained).toMatchObject({ sampler: "tile-1" });
     const sidecar = createHttpSidecar({
-        address: bed.running.get("sidecar")!.address,
+        address: testBed.running.get("sidecar")!.address,
         clock: context.clock,
         clusterToken: keys.first,
     });
@@ -271,19 +271,20 @@
 test("with TLS, processes reject a valid token without a certificate, and callers need no certificate", async () => {
     // Guards against a token stolen from one VM being enough to control all samplers of the fleet.
     const tokens = { clusterToken: keys.first, previousClusterToken: undefined };
-    const entry = await bed.restart("entry", tokens, tlsOf("first"));
-    const sidecar = await bed.restart("sidecar", tokens, tlsOf("second"));
+    const entry = await testBed.restart("entry", tokens, tlsOf("first"));
+    const sidecar = await testBed.restart("sidecar", tokens, tlsOf("second"));
     expect([entry.address, sidecar.address].every(address => address.startsWith("https:"))).toBe(true);
-    await bed.untilServed();
+    await testBed.waitUntilServed();
     expect(refusals).toEqual([]);
 
     const logger = createLogger(context.clock, context.writeLine);
-    const stranger = await createTrust(tlsOf("stranger"), { clock: context.clock, logger });
-    const bare = (options: object) => new HttpsAgent({ ...options, ca: readFileSync(pem("authority.cert")) });
-    for (const createSecureAgent of [stranger.createAgent, bare]) {
+    const untrusted = await createTrust(tlsOf("stranger"), { clock: context.clock, logger });
+    const createAgentWithoutCertificate = (options: object) =>
+        new HttpsAgent({ ...options, ca: readFileSync(pem("authority.cert")) });
+    for (const createSecureAgent of [untrusted.createAgent, createAgentWithoutCertificate]) {
         const callPeer = createPeerCall(keys.first, createSecureAgent);
-        const asked = callPeer(entry.address, "describe", {}, 5_000);
-        expect(await asked.catch(codeOf)).toBe(resultCodes.peerUnreachable);
+        const answer = callPeer(entry.address, "describe", {}, 5_000);
+        expect(await answer.catch(codeOf)).toBe(resultCodes.peerUnreachable);
         const { address } = sidecar;
         const port = createHttpSidecar({
             address,
@@ -294,24 +295,24 @@
         expect(await port.readReport().catch(codeOf)).toBe(resultCodes.sidecarUnreachable);
         port.close();
     }
-    stranger.stop();
+    untrusted.stop();
 
     // Nothing is sent when the handshake fails, so the request is known not to have run.
     const files = { ...tlsOf("first"), caPath: pem("otherAuthority.cert") };
-    const distrustful = await createTrust(files, { clock: context.clock, logger });
+    const otherAuthorityTrust = await createTrust(files, { clock: context.clock, logger });
     const port = createHttpSidecar({
         address: sidecar.address,
         clock: context.clock,
         clusterToken: keys.first,
-        createSecureAgent: distrustful.createAgent,
+        createSecureAgent: otherAuthorityTrust.createAgent,
     });
     const outcome = await port.callPlain(plainRequest, new AbortController().signal);
     expect(outcome).toMatchObject({ kind: "notRun", code: resultCodes.connectFailed });
     port.close();
-    distrustful.stop();
+    otherAuthorityTrust.stop();
     expect([...new Set(refusals)]).toEqual(["/rpc"]);
     expect(await createPeerCall(keys.first)(entry.address, "describe", {}, 5_000).catch(codeOf)).toBe(
         resultCodes.peerUnreachable,
     );
-    await bed.untilServed();
+    await testBed.waitUntilServed();
 });
--- a/packages/daemon/src/processes.test.ts
+++ b/packages/daemon/src/processes.test.ts
@@ -12,7 +12,7 @@
 import { callEntry } from "./callEntry.js";
 import { createTrainerClient } from "./createTrainerClient.js";
 import { digestToken } from "./digestToken.js";
-import { createProcessBed } from "./testing/createProcessBed.js";
+import { createProcessTestBed } from "./testing/createProcessTestBed.js";
 
 const token = "team token";
 const steps = 4;
@@ -51,13 +51,13 @@
 }
 
 let agent: Agent;
-let bed: Awaited<ReturnType<typeof createProcessBed>>;
+let bed: Awaited<ReturnType<typeof createProcessTestBed>>;
 let manifest: Manifest;
 
 beforeEach(async () => {
     agent = new Agent({ keepAlive: true });
     manifest = makeManifest();
-    bed = await createProcessBed(manifest, context);
+    bed = await createProcessTestBed(manifest, context);
 });
 
 afterEach(async () => {
--- a/packages/daemon/src/startCommon.ts
+++ b/packages/daemon/src/startCommon.ts
@@ -56,8 +56,8 @@
  * Changes of samplers within this time are read with one call (each load of weights is such a change). Gateways and
  * idle runners only need to know within two seconds which samplers are draining; busy runners wait for loads to finish.
  */
-const idleGatherMs = 300;
-const busyGatherMs = 50;
+const idleCoalesceMs = 300;
+const busyCoalesceMs = 50;
 
 /**
  * Starts the parts that gateways and runners share: the store, the configuration and the samplers. `isBusy` returns
@@ -69,7 +69,7 @@
     context: RoleContext,
     isBusy: () => boolean,
     idleProbeIntervalMs: number | undefined,
-    hubHolder: { hub?: FeedHub; } = {},
+    hubRef: { hub?: FeedHub; } = {},
 ): Common {
     const { clock, logger, metrics } = context;
     const address = (): { host: string; port: number; } =>
@@ -92,24 +92,24 @@
     );
     const extras = createFeedExtras(context);
     const runnerClient = createRunnerClient(clock, extras);
-    const runnersHolder: { runners?: WatchedKind<RunnerAddress>; } = {};
+    const runnersRef: { runners?: WatchedKind<RunnerAddress>; } = {};
     const caller = createRunnerCaller({
         self: context.settings.name,
         // The runners are watched through this caller; until they are known, calls go to the store itself.
-        runners: () => runnersHolder.runners?.objects(),
+        runners: () => runnersRef.runners?.objects(),
         clock,
         logger,
     });
     const outages = createOutageTracker({
         storeSilentMs: health.silentMs,
-        sinceStoreRecoveryMs: health.regainedMs,
+        sinceStoreRecoveryMs: health.sinceRecoveryMs,
         clock,
     });
     const store = createFeedBackedStore({
         self: context.settings.name,
         waitForStore: health.waitForStore,
         inner: health.store,
-        hub: () => hubHolder.hub,
+        hub: () => hubRef.hub,
         caller,
         send: runnerClient.feed,
         outages,
@@ -117,7 +117,7 @@
     });
     const watched = { store, clock, logger };
     const runners = watchRunners(watched);
-    runnersHolder.runners = runners;
+    runnersRef.runners = runners;
     const decodeTable = (_name: string, value: unknown): RoutingTable | undefined =>
         decodeConfiguration(value);
     const tables = watchKind({ ...watched, kind: platformKinds.configuration, decode: decodeTable });
@@ -125,7 +125,7 @@
         ...watched,
         kind: platformKinds.samplers,
         decode: decodeSampler,
-        coalesceMs: () => isBusy() ? busyGatherMs : idleGatherMs,
+        coalesceMs: () => isBusy() ? busyCoalesceMs : idleCoalesceMs,
     });
     const agentFor = createSamplerAgents();
     return {
@@ -139,7 +139,7 @@
         breaks: extras.breaks,
         storeSilentMs: health.silentMs,
         sinceStoreAnswerMs: health.sinceAnswerMs,
-        sinceStoreRecoveryMs: health.regainedMs,
+        sinceStoreRecoveryMs: health.sinceRecoveryMs,
         tables,
         routing: createRoutingView(tables, logger),
         directory: createSamplerDirectory({
--- a/packages/daemon/src/startRunner.ts
+++ b/packages/daemon/src/startRunner.ts
@@ -23,7 +23,7 @@
 import { startCommon } from "./startCommon.js";
 
 /** Each load of weights changes the sampler's entry; loads of the same version finish at about the same time. */
-const samplerGatherMs = 100;
+const samplerCoalesceMs = 100;
 /** Kinds whose changes may be noticed some seconds late after a silent connection failure. */
 const slowPrefixes: ReadonlySet<string> = new Set([`${platformKinds.retirements}/`, `${runnersKind}/`]);
 /** Part of the grace period that remains when the hand-over times out. */
@@ -33,8 +33,8 @@
 export async function startRunner(context: RoleContext): Promise<RunningRole> {
     const { settings, clock, random, logger } = context;
     let isBusy = (): boolean => false;
-    const hubHolder: { hub?: FeedHub; } = {};
-    const common = startCommon(context, () => isBusy(), undefined, hubHolder);
+    const hubRef: { hub?: FeedHub; } = {};
+    const common = startCommon(context, () => isBusy(), undefined, hubRef);
     const { store } = common;
     const watched = { store, clock, logger };
     const registration = `${runnersKind}/${settings.name}`;
@@ -84,14 +84,14 @@
         self: settings.name,
         feeder: runner.feeder,
         store: common.directStore,
-        coalesceMsOf: prefix => prefix === `${platformKinds.samplers}/` ? samplerGatherMs : 0,
+        coalesceMsOf: prefix => prefix === `${platformKinds.samplers}/` ? samplerCoalesceMs : 0,
         waitMsOf: prefix => slowPrefixes.has(prefix) ? slowWaitMs : undefined,
         sinceStoreAnswerMs: common.sinceStoreAnswerMs,
         sinceOutageMs: runner.sinceOutageMs,
         clock,
         logger,
     });
-    hubHolder.hub = hub;
+    hubRef.hub = hub;
     isBusy = () => {
         const { running, holdsWeights } = runner.status({ wantsStarts: false });
         return running.length > 0 || holdsWeights;
--- a/packages/daemon/src/teams.test.ts
+++ b/packages/daemon/src/teams.test.ts
@@ -1,7 +1,7 @@
 import { encodeTestConfiguration } from "@auburnarch/platform/testing/encodeTestConfiguration";
 import type { FakeSampler } from "@auburnarch/platform/testing/FakeSampler";
 import { afterEach, beforeEach, expect, test } from "vitest";
-import { createPlatformBed } from "./testing/createPlatformBed.js";
+import { createPlatformTestBed } from "./testing/createPlatformTestBed.js";
 
 const model = "m0";
 const firstKey = "first-s3cret-of-hule";
@@ -22,35 +22,35 @@
         ],
     });
 
-let bed: Awaited<ReturnType<typeof createPlatformBed>>;
-let gateway: Awaited<ReturnType<typeof bed.startGatewayAt>>;
+let testBed: Awaited<ReturnType<typeof createPlatformTestBed>>;
+let gateway: Awaited<ReturnType<typeof testBed.startGatewayAt>>;
 let tiles: FakeSampler;
 let engine: FakeSampler;
 
 beforeEach(async () => {
-    bed = await createPlatformBed();
-    bed.store.put("config", "main", config(3, [firstKey, secondKey]));
-    gateway = await bed.startGatewayAt("front-1");
-    tiles = await bed.addSampler({ id: "t-1", service: "tiles" });
-    engine = await bed.addSampler({
+    testBed = await createPlatformTestBed();
+    testBed.store.put("config", "main", config(3, [firstKey, secondKey]));
+    gateway = await testBed.startGatewayAt("front-1");
+    tiles = await testBed.addSampler({ id: "t-1", service: "tiles" });
+    engine = await testBed.addSampler({
         id: "e-1",
         service: "llm",
         models: [model],
         events: 40,
         eventIntervalMs: 15,
     });
-    await bed.waitFor(async () =>
-        (await bed.call(gateway.readyPort, "GET", "/v1/ready")).status === 200 ? true : undefined
+    await testBed.waitFor(async () =>
+        (await testBed.call(gateway.readyPort, "GET", "/v1/ready")).status === 200 ? true : undefined
     );
 });
 
 afterEach(() => {
-    bed.close();
-    expect(bed.violations).toEqual([]);
+    testBed.close();
+    expect(testBed.violations).toEqual([]);
 });
 
 const call = (method: string, path: string, key: string, over: Record<string, string> = {}, body = "") =>
-    bed.call(gateway.port, method, path, { authorization: `bearer ${key}`, ...over }, body);
+    testBed.call(gateway.port, method, path, { authorization: `bearer ${key}`, ...over }, body);
 
 const plain = (id: string, key: string) =>
     call("POST", "/tiles/7", key, { "auburnarch-request-id": id, "auburnarch-tenant": "fida" });
@@ -83,7 +83,7 @@
     runs().map(({ id, team, credential }) => [id, team, credential]);
 
 const readResults = (id: string, key: string): Promise<number> =>
-    bed.waitFor(async () => {
+    testBed.waitFor(async () => {
         const { status, body } = await call("GET", `/v1/lots/${id}?after=0`, key, {
             "auburnarch-wait-ms": "500",
         });
@@ -92,7 +92,7 @@
     });
 
 test("samplers receive the team of the key, not one that a client claims, and reward calls carry none", async () => {
-    await bed.startRunnerAt("runner-1");
+    await testBed.startRunnerAt("runner-1");
     expect((await plain("q-1", firstKey)).status).toBe(200);
     expect((await submit("lot-1", secondKey)).status).toBe(202);
     expect(await readResults("lot-1", firstKey)).toBe(1);
@@ -101,20 +101,20 @@
 });
 
 test("an item continues for its team after its runner has left and its key has been revoked", async () => {
-    const first = await bed.startRunnerAt("runner-1");
+    const first = await testBed.startRunnerAt("runner-1");
     await submit("lot-1", firstKey);
-    await bed.waitFor(() => engine.runs().length > 0 ? true : undefined);
-    bed.store.put("config", "main", config(4, [secondKey]));
+    await testBed.waitFor(() => engine.runs().length > 0 ? true : undefined);
+    testBed.store.put("config", "main", config(4, [secondKey]));
     await first.shutdown();
-    await bed.startRunnerAt("runner-2");
+    await testBed.startRunnerAt("runner-2");
     expect(await readResults("lot-1", secondKey)).toBe(1);
     expect(new Set(engine.runs().map(run => run.team))).toEqual(new Set(["hule"]));
 });
 
 test("a revoked key is rejected on open connections, and no sampler runs its requests", async () => {
     expect((await plain("q-1", firstKey)).status).toBe(200);
-    bed.store.put("config", "main", config(4, [secondKey]));
-    await bed.waitFor(async () => (await plain("q-2", firstKey)).status === 401 ? true : undefined);
+    testBed.store.put("config", "main", config(4, [secondKey]));
+    await testBed.waitFor(async () => (await plain("q-2", firstKey)).status === 401 ? true : undefined);
     const runs = tiles.runs().length;
     const refused = await plain("q-3", firstKey);
     expect([refused.status, JSON.parse(refused.body)]).toMatchObject([401, {
@@ -126,20 +126,23 @@
 });
 
 test("no key appears in log lines, metrics, answers to peers or stored objects", async () => {
-    const runner = await bed.startRunnerAt("runner-1");
+    const runner = await testBed.startRunnerAt("runner-1");
     await submit("lot-1", firstKey);
     await plain("q-1", "unknown-s3cret");
     await call("GET", "/v1/lots/lot-1?after=0", "other s3cret words");
     await call("GET", "/v1/lots/lot-1?after=0", otherKey);
     expect(await readResults("lot-1", firstKey)).toBe(1);
-    const feed = await bed.waitFor(async () => {
-        const answer = await bed.callInternal("runner-1", "runner.feed", { prefix: "config/", waitMs: 200 });
+    const feed = await testBed.waitFor(async () => {
+        const answer = await testBed.callInternal("runner-1", "runner.feed", {
+            prefix: "config/",
+            waitMs: 200,
+        });
         return answer.includes("key-digests") ? answer : undefined;
     });
-    const metrics = await bed.metricsOf("front-1");
-    const ours = bed.store.dump(kind => kind !== "config");
+    const metrics = await testBed.metricsOf("front-1");
+    const storedObjects = testBed.store.dump(kind => kind !== "config");
     await runner.shutdown();
-    const written = [...bed.lines, feed, metrics, ours].filter(text => secrets.test(text));
+    const written = [...testBed.lines, feed, metrics, storedObjects].filter(text => secrets.test(text));
     expect(written).toEqual([]);
-    expect(bed.lines.filter(line => line.includes("event=configPartLeftOut")).length).toBeGreaterThan(0);
+    expect(testBed.lines.filter(line => line.includes("event=configPartLeftOut")).length).toBeGreaterThan(0);
 });
--- a/packages/daemon/src/testing/createFeedFleet.ts
+++ b/packages/daemon/src/testing/createFeedFleet.ts
@@ -125,7 +125,7 @@
         }
         const outages = createOutageTracker({
             storeSilentMs: health.silentMs,
-            sinceStoreRecoveryMs: health.regainedMs,
+            sinceStoreRecoveryMs: health.sinceRecoveryMs,
             clock,
         });
         const fed = createFeedBackedStore({
--- a/packages/daemon/src/testing/createPlatformBed.ts
+++ b/packages/daemon/src/testing/createPlatformTestBed.ts
@@ -22,7 +22,7 @@
 const sleep = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms));
 
 /** Runs gateways and runners as in production, against fakes of the platform that implement its protocol over HTTP. */
-export async function createPlatformBed() {
+export async function createPlatformTestBed() {
     const clock = createSystemClock(true);
     const store = await serveFakePlatformStore();
     const lines: string[] = [];
--- a/packages/daemon/src/testing/createProcessBed.ts
+++ b/packages/daemon/src/testing/createProcessTestBed.ts
@@ -17,9 +17,9 @@
 const token = "a token of the process tests, long enough";
 /** A process that still runs after this time is killed, even if its test did not clean up. */
 const maxLifetimeMs = 240_000;
-const bedFailureDomain = "Lugo" as FailureDomain;
+const testBedFailureDomain = "Lugo" as FailureDomain;
 
-interface BedProcess {
+interface TestBedProcess {
     name: string;
     address: string;
     child: ChildProcess;
@@ -27,17 +27,20 @@
     ended: Promise<number | string>;
 }
 
-interface ProcessBed {
+interface ProcessTestBed {
     externalFakes: ExternalFakes;
     operatorToken: string;
-    startEntry(name: string): Promise<BedProcess>;
-    startSidecar(sampler: SamplerManifest): Promise<BedProcess>;
+    startEntry(name: string): Promise<TestBedProcess>;
+    startSidecar(sampler: SamplerManifest): Promise<TestBedProcess>;
     /** Kills the remaining processes and removes their folder. */
     close(): Promise<void>;
 }
 
 /** Runs entries and sidecars as separate processes on loopback; the fakes run in the process of the test. */
-export async function createProcessBed(manifest: Manifest, context: ProcessContext): Promise<ProcessBed> {
+export async function createProcessTestBed(
+    manifest: Manifest,
+    context: ProcessContext,
+): Promise<ProcessTestBed> {
     const folder = await mkdtemp(join(tmpdir(), "auburnarch-bed-"));
     const externalFakes = await startExternalFakes(
         { manifest, region: "norte", entries: 0, tokensPerSecond: 200, swapMs: 50, plainLatencyMs: 5 },
@@ -45,13 +48,13 @@
     );
     const manifestPath = join(folder, "manifest.json");
     await writeFile(manifestPath, JSON.stringify(manifest));
-    const processes: BedProcess[] = [];
+    const processes: TestBedProcess[] = [];
 
-    async function start(name: string, own: Record<string, unknown>): Promise<BedProcess> {
+    async function start(name: string, own: Record<string, unknown>): Promise<TestBedProcess> {
         const settings = {
             name,
             vm: `vm-${name}`,
-            failureDomain: bedFailureDomain,
+            failureDomain: testBedFailureDomain,
             region: "norte",
             listenHost: "127.0.0.1",
             listenPort: 0,
@@ -97,7 +100,7 @@
             externalFakes.addVm({
                 vm: `vm-${name}` as VmId,
                 address,
-                failureDomain: bedFailureDomain,
+                failureDomain: testBedFailureDomain,
                 region: "norte" as Region,
                 role: "entry",
                 sampler: undefined,
--- a/packages/daemon/src/usage.test.ts
+++ b/packages/daemon/src/usage.test.ts
@@ -1,7 +1,7 @@
 import { encodeTestConfiguration } from "@auburnarch/platform/testing/encodeTestConfiguration";
 import { serveFakeUsageReports } from "@auburnarch/platform/testing/serveFakeUsageReports";
 import { expect, test } from "vitest";
-import { createPlatformBed } from "./testing/createPlatformBed.js";
+import { createPlatformTestBed } from "./testing/createPlatformTestBed.js";
 
 const windowMs = 1_000;
 const key = "key-of-hule";
@@ -15,7 +15,7 @@
 });
 
 test("started requests of teams are reported once per window by one holder despite rejected reports", async () => {
-    const bed = await createPlatformBed();
+    const bed = await createPlatformTestBed();
     const reports = await serveFakeUsageReports();
     bed.store.put("config", "main", config);
     const usage = { address: `127.0.0.1:${reports.port}`, windowS: windowMs / 1_000, dueS: 6 };
@@ -44,8 +44,8 @@
     const ran = tiles.runs().filter(({ team }) => team === "hule").length;
     const lastWindow = Math.floor(Date.now() / windowMs);
     const accepted = await bed.waitFor(() => {
-        const taken = reports.calls().filter(call => call.status === 200);
-        return taken.some(call => call.window > lastWindow) ? taken : undefined;
+        const acceptedCalls = reports.calls().filter(call => call.status === 200);
+        return acceptedCalls.some(call => call.window > lastWindow) ? acceptedCalls : undefined;
     });
     const windows = accepted.map(call => call.window);
     bed.close();
--- a/packages/documents/src/createDocumentSet.ts
+++ b/packages/documents/src/createDocumentSet.ts
@@ -16,7 +16,7 @@
 const maxLoggedFaults = 20;
 const checksumChars = 16;
 
-interface StoredEntry {
+interface StoredDocument {
     document: SharedDocument;
     /** Texts of recent versions, the latest last; only for long documents. */
     baseTexts: { version: number; text: string; }[];
@@ -28,21 +28,21 @@
     guards: DocumentSyncGuards,
     onApplied: (document: SharedDocument) => void,
 ): DocumentSet {
-    const entries = new Map<string, StoredEntry>();
+    const storedDocuments = new Map<string, StoredDocument>();
     const refusedVersions = new Map<string, number>();
     let checksum: string | undefined;
 
-    const versionOf = (name: string): number => entries.get(name)?.document.version ?? 0;
+    const versionOf = (name: string): number => storedDocuments.get(name)?.document.version ?? 0;
 
     function findText(name: string, version: number): string | undefined {
-        return entries.get(name)?.baseTexts.find(baseText => baseText.version === version)?.text;
+        return storedDocuments.get(name)?.baseTexts.find(baseText => baseText.version === version)?.text;
     }
 
-    function appendText(name: string, version: number, text: string): StoredEntry["baseTexts"] {
+    function appendText(name: string, version: number, text: string): StoredDocument["baseTexts"] {
         if (text.length < minDeltaChars) {
             return [];
         }
-        return [...(entries.get(name)?.baseTexts ?? []), { version, text }].slice(-maxBaseTexts);
+        return [...(storedDocuments.get(name)?.baseTexts ?? []), { version, text }].slice(-maxBaseTexts);
     }
 
     function refuse(document: SharedDocument, faults: { path: string; message: string; }[]): void {
@@ -79,7 +79,10 @@
             version,
             before,
         });
-        entries.set(name, { document, baseTexts: appendText(name, version, JSON.stringify(value) ?? "") });
+        storedDocuments.set(name, {
+            document,
+            baseTexts: appendText(name, version, JSON.stringify(value) ?? ""),
+        });
         checksum = undefined;
         deps.logger.info("documentTaken", { document: name, version, before });
         onApplied(document);
@@ -102,7 +105,7 @@
     }
 
     function transfer(name: string, baseVersion: number): DocumentTransfer | undefined {
-        const document = entries.get(name)?.document;
+        const document = storedDocuments.get(name)?.document;
         if (document === undefined) {
             return undefined;
         }
@@ -116,16 +119,19 @@
     }
 
     function digest(): DocumentDigest {
-        return Object.fromEntries([...entries].map(([name, { document }]) => [name, document.version]));
+        return Object.fromEntries(
+            [...storedDocuments].map(([name, { document }]) => [name, document.version]),
+        );
     }
 
     function computeChecksum(): string {
-        const lines = [...entries].map(([name, { document }]) => `${name}=${document.version}`).sort();
+        const lines = [...storedDocuments].map(([name, { document }]) => `${name}=${document.version}`)
+            .sort();
         return hashText(lines.join("\n")).slice(0, checksumChars);
     }
 
     return {
-        get: name => entries.get(name)?.document,
+        get: name => storedDocuments.get(name)?.document,
         digest,
         checksum: () => checksum ??= computeChecksum(),
         apply,
--- a/packages/documents/src/createDocumentSync.test.ts
+++ b/packages/documents/src/createDocumentSync.test.ts
@@ -172,11 +172,11 @@
     await fleet.clock.advance(200);
     fleet.stop();
     fleet.control.setOutage(true);
-    const fresh = fleet.start(0);
+    const startedEntry = fleet.start(0);
     await fleet.clock.advance(20_000);
     fleet.control.setOutage(false);
     await fleet.clock.advance(2_600);
-    expect(fresh.get("manifest")?.version).toBe(version);
+    expect(startedEntry.get("manifest")?.version).toBe(version);
     fleet.stop();
 });
 
--- a/packages/entry/src/createDecisionStore.test.ts
+++ b/packages/entry/src/createDecisionStore.test.ts
@@ -1,9 +1,9 @@
 import { expect, test } from "vitest";
 import { createDecisionStore } from "./createDecisionStore.js";
-import { createTestBench } from "./testing/createTestBench.js";
+import { createTestContext } from "./testing/createTestContext.js";
 
 test("explains a sample with the events of its attempts and vice versa, including bound fields", () => {
-    const { logger, clock, lines } = createTestBench();
+    const { logger, clock, lines } = createTestContext();
     const decisionStore = createDecisionStore(logger, clock);
     const bound = decisionStore.logger.child({ sample: "forecast/1/0/0" });
     bound.info("samplePlaced", { attempt: "a1", sampler: "rollout-1" });
@@ -19,7 +19,7 @@
 });
 
 test("stores only the latest events", () => {
-    const { clock } = createTestBench();
+    const { clock } = createTestContext();
     const silent = { info: () => {}, warn: () => {}, error: () => {}, child: () => silent };
     const decisionStore = createDecisionStore(silent, clock);
     const kept = 8_192;
--- a/packages/entry/src/createDrainer.ts
+++ b/packages/entry/src/createDrainer.ts
@@ -6,7 +6,7 @@
 interface DrainerDeps {
     sidecar: (sampler: SamplerId) => SidecarPort;
     /** Accepts a report that was read outside the regular reporting interval. */
-    takeReport: (report: SamplerReport) => void;
+    acceptReport: (report: SamplerReport) => void;
     logger: Logger;
 }
 
@@ -20,7 +20,7 @@
         const sidecar = deps.sidecar(sampler);
         await sidecar.beginLeaving?.();
         const report = await sidecar.readReport();
-        deps.takeReport(report);
+        deps.acceptReport(report);
         deps.logger.info("samplerDrained", { sampler, running: report.running });
         return report.running;
     };
--- a/packages/entry/src/createJobOwnership.test.ts
+++ b/packages/entry/src/createJobOwnership.test.ts
@@ -4,14 +4,14 @@
 import type { Lease } from "@auburnarch/types/Lease";
 import { expect, test } from "vitest";
 import { createJobOwnership } from "./createJobOwnership.js";
-import { createTestBench } from "./testing/createTestBench.js";
+import { createTestContext } from "./testing/createTestContext.js";
 
 const forecast = { job: "forecast", priority: 5 } as unknown as JobManifest;
 const entries = ["entry-1", "entry-2", "entry-3"] as EntryId[];
 
 /** Starts the job ownership of each entry; they share one lease per job, held by at most one entry at a time. */
 function createFixture() {
-    const bench = createTestBench();
+    const context = createTestContext();
     const holders = new Map<string, { self: EntryId; lost: AbortController; }>();
     const events: string[] = [];
     let jobs = [forecast];
@@ -41,7 +41,7 @@
     const start = (self: EntryId) => {
         const ended = new AbortController();
         const ownership = createJobOwnership({
-            ...bench,
+            ...context,
             self,
             listEntries: () => entries,
             listJobs: () => jobs,
@@ -64,7 +64,7 @@
     const running = entries.map(start);
     const owners = () => running.filter(each => each.get(forecast.job) !== undefined);
     return {
-        ...bench,
+        ...context,
         events,
         holders,
         running,
--- a/packages/entry/src/createKeyedRequestHandler.test.ts
+++ b/packages/entry/src/createKeyedRequestHandler.test.ts
@@ -7,7 +7,7 @@
 import { expect, test } from "vitest";
 import type { CallerRequest } from "./CallerRequest.js";
 import { createKeyedRequestHandler } from "./createKeyedRequestHandler.js";
-import { createTestBench } from "./testing/createTestBench.js";
+import { createTestContext } from "./testing/createTestContext.js";
 
 type Outcome = AttemptOutcome<PlainAnswer>;
 
@@ -23,12 +23,12 @@
     range?: Partial<KeyRange>,
     onForward: (count: number) => void = () => undefined,
 ) {
-    const bench = createTestBench();
+    const context = createTestContext();
     const forwardedRequests: CallerRequest[] = [];
     const caller = new AbortController();
     let executed = 0;
     const handleRequest = createKeyedRequestHandler({
-        ...bench,
+        ...context,
         selfAddress: "http://entry-1",
         findRange: () => range as KeyRange | undefined,
         findOwnerAddress: () => "http://entry-2",
--- a/packages/entry/src/createManifestPublisher.test.ts
+++ b/packages/entry/src/createManifestPublisher.test.ts
@@ -2,18 +2,18 @@
 import { ResultError } from "@auburnarch/errors/ResultError";
 import { expect, test } from "vitest";
 import { createManifestPublisher } from "./createManifestPublisher.js";
-import { createTestBench } from "./testing/createTestBench.js";
+import { createTestContext } from "./testing/createTestContext.js";
 import { testManifest } from "./testing/testManifest.js";
 
 const digests = { plume: "1".repeat(64), ridge: "2".repeat(64) };
 const manifest = (name: string): unknown => testManifest(name, digests);
 
 function createFixture() {
-    const bench = createTestBench();
-    const { store, control } = bench;
+    const context = createTestContext();
+    const { store, control } = context;
     const start = (text?: () => string) => {
         const publisher = createManifestPublisher({
-            ...bench,
+            ...context,
             readFile: text === undefined ? undefined : async () => text(),
             onPublished: () => undefined,
         });
@@ -21,7 +21,7 @@
         return publisher;
     };
     const publishedName = (): string => (control.peek("config/manifest") as { name: string; }).name;
-    return { ...bench, store, start, publishedName };
+    return { ...context, store, start, publishedName };
 }
 
 test("a publication whose answer is lost is recognised as published", async () => {
--- a/packages/entry/src/createOperations.ts
+++ b/packages/entry/src/createOperations.ts
@@ -66,7 +66,7 @@
         views,
         drain: createDrainer({
             sidecar: views.sidecar,
-            takeReport: fleet.membership.acceptReport,
+            acceptReport: fleet.membership.acceptReport,
             logger: parts.decisionStore.logger,
         }),
         publish: parts.publish,
--- a/packages/entry/src/createReplicatedGroupStore.test.ts
+++ b/packages/entry/src/createReplicatedGroupStore.test.ts
@@ -3,7 +3,7 @@
 import { createGroupStoreMethods } from "./createGroupStoreMethods.js";
 import { createReplicatedGroupStore } from "./createReplicatedGroupStore.js";
 import type { GroupStoreHost } from "./GroupStoreHost.js";
-import { createTestBench } from "./testing/createTestBench.js";
+import { createTestContext } from "./testing/createTestContext.js";
 
 type StoredGroup = Parameters<GroupStore["save"]>[0];
 
@@ -28,7 +28,7 @@
 });
 
 function createFixture(names: string[]) {
-    const bench = createTestBench();
+    const context = createTestContext();
     const unreachable = new Set<string>();
     const groupStores = new Map(names.map(name => [name, createMemoryGroupStore()]));
     const shared = createReplicatedGroupStore({
@@ -44,9 +44,9 @@
                 JSON.parse(JSON.stringify(params)),
             );
         },
-        logger: bench.logger,
+        logger: context.logger,
     });
-    return { ...bench, shared, groupStores, unreachable };
+    return { ...context, shared, groupStores, unreachable };
 }
 
 test("all groups can be loaded while one of the hosts is unreachable", async () => {
--- a/packages/entry/src/createServiceHandler.ts
+++ b/packages/entry/src/createServiceHandler.ts
@@ -157,11 +157,11 @@
     return async (request, signal) => {
         const service = requireService(request);
         const digest = digestRequest(request);
-        const dueInMs = deps.quarantine.isRefused(digest)
+        const trialDelayMs = deps.quarantine.isRefused(digest)
             ? deps.quarantine.trialDueInMs(digest, "request")
             : 0;
-        if (dueInMs > 0) {
-            throw new ResultError(resultCodes.quarantined, "", dueInMs);
+        if (trialDelayMs > 0) {
+            throw new ResultError(resultCodes.quarantined, "", trialDelayMs);
         }
         const budgetMs = request.budgetMs ?? deps.manifest()!.limits.defaultDeadlineMs;
         const idempotent = request.idempotent ?? isRepeatable(service, request.method, request.path);
--- a/packages/entry/src/createSnapshotRestore.test.ts
+++ b/packages/entry/src/createSnapshotRestore.test.ts
@@ -10,7 +10,7 @@
 import { createSnapshotRestore } from "./createSnapshotRestore.js";
 import type { Fleet } from "./Fleet.js";
 import type { StartSnapshot } from "./StartSnapshot.js";
-import { createTestBench } from "./testing/createTestBench.js";
+import { createTestContext } from "./testing/createTestContext.js";
 import { testManifest } from "./testing/testManifest.js";
 
 function documentOf(name: string, version: number): SharedDocument {
@@ -21,8 +21,8 @@
 }
 
 function createFixture(snapshot: StartSnapshot | undefined) {
-    const bench = createTestBench();
-    const { clock, store, logger } = bench;
+    const context = createTestContext();
+    const { clock, store, logger } = context;
     const saved: StartSnapshot[] = [];
     const documentSync = createDocumentSync({
         clock,
@@ -43,7 +43,7 @@
     const snapshotRestore = createSnapshotRestore({ fleet, clock, logger, snapshot, save });
     const manifest = createManifestView(documentSync.get);
     return {
-        ...bench,
+        ...context,
         documentSync,
         snapshotRestore,
         saved,
--- a/packages/entry/src/createUsageCollector.test.ts
+++ b/packages/entry/src/createUsageCollector.test.ts
@@ -5,7 +5,7 @@
 import type { UsageCounter } from "@auburnarch/types/UsageCounter";
 import { expect, test } from "vitest";
 import { createUsageCollector } from "./createUsageCollector.js";
-import { createTestBench } from "./testing/createTestBench.js";
+import { createTestContext } from "./testing/createTestContext.js";
 
 const sampler = "rollout-1" as SamplerId;
 const counter = (incarnation: string, engineMs: number): UsageCounter =>
@@ -20,12 +20,12 @@
     }) as never;
 
 function createFixture() {
-    const bench = createTestBench();
+    const context = createTestContext();
     let counters: UsageCounter[] = [];
     let isReachable = true;
     const start = (self = "entry-1") => {
         const collector = createUsageCollector({
-            ...bench,
+            ...context,
             self: self as EntryId,
             listAssignedSamplers: () => [sampler],
             sidecar: () => ({
@@ -36,7 +36,7 @@
         return collector;
     };
     return {
-        ...bench,
+        ...context,
         start,
         setCounters: (next: UsageCounter[]) => {
             counters = next;
--- a/packages/entry/src/serveEntry.test.ts
+++ b/packages/entry/src/serveEntry.test.ts
@@ -131,10 +131,10 @@
     await Promise.all([open("forecast", plume), open("estimates", ridge)]);
     const page = JSON.parse((await send("GET /v1/jobs/forecast/steps/1/groups", { token: plume })).text);
     expect(page).toMatchObject({ job: "forecast", groups: [] });
-    const stolen = await send(`GET /v1/jobs/estimates/steps/1/groups?cursor=${page.cursor}`, {
+    const foreignCursor = await send(`GET /v1/jobs/estimates/steps/1/groups?cursor=${page.cursor}`, {
         token: ridge,
     });
-    expect(stolen.json.code).toBe(resultCodes.cursorInvalid.number);
+    expect(foreignCursor.json.code).toBe(resultCodes.cursorInvalid.number);
     expect(JSON.parse((await send("GET /v1/usage", { token: ridge })).text)).toMatchObject({ team: "ridge" });
 });
 
@@ -311,13 +311,13 @@
 
 test("a slow sender is answered with a code and disconnected", async () => {
     const { plume } = entry.tokens;
-    const beginnings = [
+    const incompleteRequests = [
         "GET /healthz HTTP/1.1\r\nHost: e",
         headOf("POST /v1/services/tiles/alerts", plume, "Content-Length: 10") + "abc",
         headOf("POST /v1/jobs/forecast/steps", plume, "Transfer-Encoding: chunked") + "5\r\nab",
     ];
-    const answers = await Promise.all(beginnings.map(bytes => exchangeRaw(entry.port, bytes)));
-    expect(answers.map(answer => answer.body?.name)).toEqual(beginnings.map(() => "requestTimeout"));
+    const answers = await Promise.all(incompleteRequests.map(bytes => exchangeRaw(entry.port, bytes)));
+    expect(answers.map(answer => answer.body?.name)).toEqual(incompleteRequests.map(() => "requestTimeout"));
     expect(entry.sent).toEqual([]);
 });
 
--- a/packages/entry/src/testing/createTestBench.ts
+++ b/packages/entry/src/testing/createTestContext.ts
@@ -7,7 +7,7 @@
 import type { Logger } from "@auburnarch/types/Logger";
 import type { ObjectStore } from "@auburnarch/types/ObjectStore";
 
-interface TestBench {
+interface TestContext {
     clock: FakeClock;
     store: ObjectStore;
     control: FakeStoreControl;
@@ -21,7 +21,7 @@
 const seed = 5;
 
 /** Creates a fake clock, a fake object store and a logger that collects its lines. */
-export function createTestBench(): TestBench {
+export function createTestContext(): TestContext {
     const clock = createFakeClock();
     const { store, control } = createFakeObjectStore({ clock, random: createRandom(seed), latencyMs: 2 });
     const lines: string[] = [];
--- a/packages/lease/src/leases.test.ts
+++ b/packages/lease/src/leases.test.ts
@@ -172,14 +172,14 @@
     const before = control.calls();
     await clock.advance(100 * ttlMs);
     const after = control.calls();
-    const spent = {
+    const callCounts = {
         write: after.write - before.write,
         watch: after.watch - before.watch,
         read: after.read - before.read,
     };
-    expect(spent.write).toBeLessThanOrEqual(310);
-    expect(spent.watch).toBeLessThanOrEqual(spent.write + 1);
-    expect(spent.read).toBe(0);
+    expect(callCounts.write).toBeLessThanOrEqual(310);
+    expect(callCounts.watch).toBeLessThanOrEqual(callCounts.write + 1);
+    expect(callCounts.read).toBe(0);
 });
 
 test("stale reads do not give the lease to a second holder", async () => {
--- a/packages/membership/src/createFailureDetector.ts
+++ b/packages/membership/src/createFailureDetector.ts
@@ -46,9 +46,9 @@
         }
         subject.expectedGapMs = expectedGapMs;
         const gapMs = nowMs() - subject.lastAliveAtMs;
-        const offMs = Math.abs(gapMs - subject.meanGapMs);
+        const gapErrorMs = Math.abs(gapMs - subject.meanGapMs);
         subject.meanGapMs += gapWeight * (gapMs - subject.meanGapMs);
-        subject.deviationMs += gapWeight * (offMs - subject.deviationMs);
+        subject.deviationMs += gapWeight * (gapErrorMs - subject.deviationMs);
         subject.lastAliveAtMs = nowMs();
         subject.failedConnections = 0;
     }
--- a/packages/membership/src/createGossip.ts
+++ b/packages/membership/src/createGossip.ts
@@ -59,8 +59,8 @@
             }
         }
         const suspected = views.filter(view => view.suspected);
-        const trySuspected = live.length === 0 || random.nextUnit() < suspectedProbeRatio;
-        const view = drawOne(trySuspected && suspected.length > 0 ? suspected : live, random);
+        const shouldProbeSuspected = live.length === 0 || random.nextUnit() < suspectedProbeRatio;
+        const view = drawOne(shouldProbeSuspected && suspected.length > 0 ? suspected : live, random);
         return view === undefined ? undefined : { address: view.record.address, entry: view.record.entry };
     }
 
@@ -99,8 +99,8 @@
 
     async function isReachable(target: Target): Promise<boolean> {
         const others = registry.list().filter(view => !view.suspected && view.record.entry !== target.entry);
-        const asked = drawSome(others, indirectProbes, random);
-        const attempts = asked.map(view => probeIndirectly(view.record.address, target.address));
+        const helpers = drawSome(others, indirectProbes, random);
+        const attempts = helpers.map(view => probeIndirectly(view.record.address, target.address));
         const reached = await Promise.all([probe(target), ...attempts]);
         return reached.includes(true);
     }
--- a/packages/membership/src/createMembership.test.ts
+++ b/packages/membership/src/createMembership.test.ts
@@ -175,8 +175,8 @@
     await fleet.clock.advance(30_000);
     fleet.net.connected = (from, to) => from % 2 === Number(to.split(".")[3]!.split(":")[0]) % 2;
     await fleet.clock.advance(300_000);
-    const nearPeers = fleet.all.map(node => node.listPeers().length);
-    expect(Math.min(...nearPeers)).toBeGreaterThanOrEqual(5);
+    const peerCounts = fleet.all.map(node => node.listPeers().length);
+    expect(Math.min(...peerCounts)).toBeGreaterThanOrEqual(5);
     expect(fleet.all.filter(node => node.isRelay())).toHaveLength(4);
     fleet.net.connected = () => true;
     expect(await fleet.clock.runUntil(fleet.areAllKnown(12), 120_000)).toBe(true);
--- a/packages/membership/src/createReporter.test.ts
+++ b/packages/membership/src/createReporter.test.ts
@@ -70,15 +70,17 @@
 const okAnswer = { documents: [], nextReportMs: 1_000, entries: [], leaving: false };
 
 test("an entry that lacks a document gets it with an immediate next report", async () => {
-    const brought: unknown[] = [];
+    const receivedDocuments: unknown[] = [];
     const { clock, reporter } = build((_address, message) => {
-        brought.push(...message.documents ?? []);
-        return Promise.resolve(brought.length > 0 ? okAnswer : { ...okAnswer, wanted: ["manifest"] });
+        receivedDocuments.push(...message.documents ?? []);
+        return Promise.resolve(
+            receivedDocuments.length > 0 ? okAnswer : { ...okAnswer, wanted: ["manifest"] },
+        );
     });
     reporter.start();
     await clock.advance(100);
     reporter.stop();
-    expect(brought).toContainEqual({ kind: "whole", name: "manifest", version: 3, value: "good" });
+    expect(receivedDocuments).toContainEqual({ kind: "whole", name: "manifest", version: 3, value: "good" });
 });
 
 test("reports go to three entries in three failure domains about once a second", async () => {
--- a/packages/membership/src/createRunningTime.ts
+++ b/packages/membership/src/createRunningTime.ts
@@ -10,14 +10,14 @@
 }
 
 /** A gap between ticks of more than this many intervals counts as a pause of the process. */
-const lateFactor = 3;
+const pauseThresholdTicks = 3;
 
 /**
  * Counts monotonic time, excluding pauses of this process (paused VM, long garbage collection). Otherwise a resumed
  * process would count its own pause as silence of every other process and suspect them all.
  */
 export function createRunningTime(clock: Clock, tickMs: number): RunningTime {
-    const limitMs = tickMs * lateFactor;
+    const limitMs = tickMs * pauseThresholdTicks;
     let lastTickMs = clock.monotonicMs();
     let runningMs = 0;
     let pauses = 0;
--- a/packages/persistence/src/createFileGroupStore.test.ts
+++ b/packages/persistence/src/createFileGroupStore.test.ts
@@ -99,11 +99,11 @@
 
 test("a full disk neither rejects a save nor loses stored groups, and is logged once", async () => {
     // Guards against a job that stops because a disk is full.
-    let room = true;
+    let hasDiskSpace = true;
     const full: FileOperations = {
         ...nodeFileOperations,
         append: async (path, text) => {
-            if (!room) {
+            if (!hasDiskSpace) {
                 await nodeFileOperations.append(path, text.slice(0, 10));
                 throw Object.assign(new Error("no space left on device"), { code: "ENOSPC" });
             }
@@ -112,11 +112,11 @@
     };
     const store = await openStore({ files: full });
     await store.save(groupOf(1));
-    room = false;
+    hasDiskSpace = false;
     await store.save(groupOf(2));
     await store.save(groupOf(3));
     expect(await bodiesOf(store)).toEqual(["1@1 body 1"]);
-    room = true;
+    hasDiskSpace = true;
     await store.save(groupOf(4));
     expect(await bodiesOf(await openStore())).toEqual(["1@1 body 1", "4@1 body 4"]);
     expect(events).toEqual(["dataFolderFull", "dataFolderHasRoom"]);
@@ -156,8 +156,8 @@
 
 test("files unchanged for a day are removed at startup", async () => {
     await (await openStore()).save(groupOf(1));
-    const longAgo = new Date(0);
-    await utimes(await onlyFile(), longAgo, longAgo);
+    const expiredTime = new Date(0);
+    await utimes(await onlyFile(), expiredTime, expiredTime);
     await openStore();
     expect(await readdir(folder)).toEqual([]);
 });
--- a/packages/persistence/src/createStepFile.ts
+++ b/packages/persistence/src/createStepFile.ts
@@ -18,7 +18,7 @@
 }
 
 /** Fencing number and line length of a stored group, without its body. */
-interface LiveEntry {
+interface LiveGroup {
     fencing: number;
     bytes: number;
 }
@@ -64,7 +64,7 @@
     path: string,
     onTorn: (lines: number) => void,
 ): Promise<StepFile> {
-    const live = new Map<number, LiveEntry>();
+    const live = new Map<number, LiveGroup>();
     let sizeBytes = 0;
 
     async function readLive(): Promise<StoredLine[]> {
--- a/packages/store/src/createBudgetedStore.test.ts
+++ b/packages/store/src/createBudgetedStore.test.ts
@@ -87,8 +87,8 @@
     `);
     expect(duringOutage).toBeLessThan(60);
     expect(Math.max(...perSecond)).toBeLessThanOrEqual(11);
-    const firstBack = perSecond.findIndex(count => count > 0);
-    expect(perSecond[firstBack]).toBeLessThanOrEqual(4);
+    const firstSecondWithCalls = perSecond.findIndex(count => count > 0);
+    expect(perSecond[firstSecondWithCalls]).toBeLessThanOrEqual(4);
     expect(perSecond[11]).toBe(10);
 });
 
--- a/packages/weights/src/createSwapRoller.test.ts
+++ b/packages/weights/src/createSwapRoller.test.ts
@@ -26,7 +26,7 @@
     const clock = createFakeClock();
     const reports = new Map<string, SamplerReport>();
     /** Reports that the views show instead of the current ones, with the time of each. */
-    const shown = new Map<string, { report: SamplerReport; atMs: number; }>();
+    const viewedReports = new Map<string, { report: SamplerReport; atMs: number; }>();
     const ordered: string[] = [];
     let maxSwapping = 0;
     const join = (sampler: string, version: number): void =>
@@ -74,8 +74,9 @@
         limits: () => ({ maxSwappingRatio: 0.34 } as LimitsManifest),
         listSamplers: () =>
             [...reports.values()].map((report): SamplerView => ({
-                report: shown.get(report.sampler)?.report ?? report,
-                reportAgeMs: clock.monotonicMs() - (shown.get(report.sampler)?.atMs ?? clock.monotonicMs()),
+                report: viewedReports.get(report.sampler)?.report ?? report,
+                reportAgeMs: clock.monotonicMs()
+                    - (viewedReports.get(report.sampler)?.atMs ?? clock.monotonicMs()),
                 sentAttempts: 0,
                 sentTokens: 0,
                 sentSinceReport: 0,
@@ -92,7 +93,7 @@
         ordered,
         join,
         reports,
-        shown,
+        viewedReports,
         roller: createSwapRoller(deps),
         maxSwapping: () => maxSwapping,
     };
@@ -149,7 +150,7 @@
 
 test("a sampler that restarted on another VM is ordered once before its first report arrives", async () => {
     // Guards against a thousand orders per second to one sampler.
-    const { clock, ordered, reports, shown, roller } = start(["a"]);
+    const { clock, ordered, reports, viewedReports: shown, roller } = start(["a"]);
     shown.set("a", { report: reports.get("a")!, atMs: 0 });
     reports.set("a", {
         ...reports.get("a")!,
