--- a/packages/runner/src/createRunner.ts
+++ b/packages/runner/src/createRunner.ts
@@ -136,7 +136,7 @@
             deps.storeSilentMs() === 0
             && deps.sinceStoreAnswerMs() < maxStoreAnswerAgeMs
             && deps.sinceStoreRecoveryMs() > storeRecoveryGraceMs,
-        probeStore: createStoreProbe({ ...deps, probe: () => deps.store.read(deps.registration) }),
+        probeStore: createStoreProbe({ ...deps, readStore: () => deps.store.read(deps.registration) }),
         startRun: (batchJobId, entry) =>
             createBatchJobRun({
                 ...deps,
--- a/packages/runner/src/peers/createStoreProbe.ts
+++ b/packages/runner/src/peers/createStoreProbe.ts
@@ -2,7 +2,7 @@
 
 interface StoreProbeDeps {
     /** A call that shows whether the store answers. */
-    probe: () => Promise<unknown>;
+    readStore: () => Promise<unknown>;
     /** Milliseconds since the store last answered this process. */
     sinceStoreAnswerMs: () => number;
     clock: Clock;
@@ -17,14 +17,14 @@
  * have already detected a store outage.
  */
 export function createStoreProbe(
-    { probe, sinceStoreAnswerMs, clock }: StoreProbeDeps,
+    { readStore, sinceStoreAnswerMs, clock }: StoreProbeDeps,
 ): () => void {
     let probedAtMs = -Infinity;
     return () => {
         const nowMs = clock.monotonicMs();
         if (nowMs - probedAtMs > intervalMs && sinceStoreAnswerMs() > maxAnswerAgeMs) {
             probedAtMs = nowMs;
-            probe().catch(() => {
+            readStore().catch(() => {
                 // Failures are counted with all store calls; here a missing answer is all that matters.
             });
         }
